--- a/bench/experiments/balance/index.ts
+++ b/bench/experiments/balance/index.ts
@@ -9,9 +9,9 @@
   TargetView,
 } from '../../../src/core/routing/index.js';
 import {
-  FailureWatch,
-  LoadAwareChoice,
-  TwoChoices,
+  OutlierDetector,
+  LoadAwareChooser,
+  PowerOfTwoChooser,
 } from '../../../src/core/routing/index.js';
 import type {Experiment} from '../../lib/types.js';
 import type {SimOptions} from './sim.js';
@@ -61,16 +61,17 @@
       {
         name: 'corrected',
         createChooser: (clock) => {
-          const failures = new FailureWatch({clock});
-          return new LoadAwareChoice({
+          const failures = new OutlierDetector({clock});
+          return new LoadAwareChooser({
             random: new SeededRandom(seed),
-            failures,
+            outliers: failures,
           });
         },
       },
       {
         name: 'two choices, uncorrected',
-        createChooser: () => new TwoChoices({random: new SeededRandom(seed)}),
+        createChooser: () =>
+          new PowerOfTwoChooser({random: new SeededRandom(seed)}),
       },
       {name: 'round robin', createChooser: () => new RoundRobin()},
       {name: 'least reported', createChooser: () => new LeastReported()},
--- a/bench/experiments/balance/sim.ts
+++ b/bench/experiments/balance/sim.ts
@@ -5,7 +5,7 @@
   TargetChooser,
   TargetView,
 } from '../../../src/core/routing/index.js';
-import {OwnCounts} from '../../../src/core/routing/index.js';
+import {CountHistory} from '../../../src/core/routing/index.js';
 import {exponential} from '../../lib/arrivals.js';
 import {Samples} from '../../lib/samples.js';
 
@@ -32,7 +32,7 @@
   running: number;
   readonly queue: Array<() => void>;
   /** Requests at the target, as reports show them a lag later. */
-  readonly reported: OwnCounts;
+  readonly reported: CountHistory;
 }
 
 /** Runs arrivals through choosers and samples the queues at the targets. */
@@ -45,7 +45,7 @@
   readonly waits = new Samples({name: 'wait at the target', unit: 'ms'});
   private readonly clock = new ManualClock();
   private readonly targets: SimTarget[];
-  private readonly own: OwnCounts[][];
+  private readonly own: CountHistory[][];
   private readonly counts: number[][];
   private readonly choosers: TargetChooser[];
 
@@ -56,10 +56,10 @@
     this.targets = each(targets, () => ({
       running: 0,
       queue: [],
-      reported: new OwnCounts({keepMs: REPORT_KEEP_MS}),
+      reported: new CountHistory({retentionMs: REPORT_KEEP_MS}),
     }));
     this.own = each(entries, () =>
-      each(targets, () => new OwnCounts({keepMs: REPORT_KEEP_MS})),
+      each(targets, () => new CountHistory({retentionMs: REPORT_KEEP_MS})),
     );
     this.counts = each(entries, () => each(targets, () => 0));
     this.choosers = each(entries, () => createChooser(this.clock));
@@ -113,12 +113,12 @@
   private note(entry: number, at: number, by: number): void {
     const counts = this.counts[entry]!;
     counts[at]! += by;
-    this.own[entry]![at]!.note({nowMs: this.clock.now(), count: counts[at]!});
+    this.own[entry]![at]!.record({nowMs: this.clock.now(), count: counts[at]!});
   }
 
   private report(target: SimTarget): void {
     const count = target.running + target.queue.length;
-    target.reported.note({nowMs: this.clock.now(), count});
+    target.reported.record({nowMs: this.clock.now(), count});
   }
 
   private viewOf(entry: number, at: number): TargetView {
@@ -131,13 +131,13 @@
       service: 's',
       incarnation: '',
       usable: true,
-      leaving: false,
+      draining: false,
       ownInFlight: this.counts[entry]![at]!,
       running: Math.min(reported, capacity),
       waiting: Math.max(0, reported - capacity),
       capacity,
       cachedPrefixes: [],
-      ownAtReport: this.own[entry]![at]!.countAt(atMs),
+      ownInReport: this.own[entry]![at]!.countAt(atMs),
     };
   }
 
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -137,12 +137,12 @@
   private createDrainer(): DrainController {
     return new DrainController({
       ...this.options,
-      leaving: this.board.leaving,
+      draining: this.board.leaving,
       limits: AGENT_DRAIN_LIMITS,
       work: {
         countRunning: () => this.countUnfinished(),
         countUnsentBytes: () => this.server.countUnsentBytes(),
-        countPeersToAnswer: () => this.peers.count(),
+        countPendingPeers: () => this.peers.count(),
       },
     });
   }
--- a/src/core/admission/capacity.ts
+++ b/src/core/admission/capacity.ts
@@ -1,14 +1,14 @@
 /** The share of the targets' capacity that falls to one entry. */
 import type {TargetView} from '../routing/types.js';
 import {estimateLoad} from '../routing/estimate-load.js';
-import {UNKNOWN_CAPACITY} from './consts.js';
+import {DEFAULT_CAPACITY} from './consts.js';
 
 /** What an entry knows of a service's targets. */
 export interface CapacityQuery {
   /** Views of the service's targets. */
   readonly views: readonly TargetView[];
   /** Entries that send work to the same targets; at least 1. */
-  readonly sharers: number;
+  readonly entryCount: number;
 }
 
 /**
@@ -19,8 +19,8 @@
  * @example
  * resolveSlots({views, sharers: 2});
  */
-export function resolveSlots(query: CapacityQuery): number {
-  const {sharers} = query;
+export function computeSlots(query: CapacityQuery): number {
+  const {entryCount: sharers} = query;
   const views = query.views.filter((view) => view.usable);
   if (views.length === 0) return 0;
   const total = sum(views, capacityOf);
@@ -49,7 +49,7 @@
 }
 
 function capacityOf(view: TargetView): number {
-  return view.capacity > 0 ? view.capacity : UNKNOWN_CAPACITY;
+  return view.capacity > 0 ? view.capacity : DEFAULT_CAPACITY;
 }
 
 function sum(
--- a/src/core/admission/consts.ts
+++ b/src/core/admission/consts.ts
@@ -2,13 +2,13 @@
 export const RESUME_SHARE = 0.1;
 
 /** Slots of a target whose capacity is not known. */
-export const UNKNOWN_CAPACITY = 8;
+export const DEFAULT_CAPACITY = 8;
 
 /** Time for which a slot stands idle between two requests, in milliseconds. */
-export const TURN_MS = 20;
+export const SLOT_TURNAROUND_MS = 20;
 
 /** Time over which the drain of a queue is remembered, in milliseconds. */
-export const DRAIN_MEMORY_MS = 1_000;
+export const DRAIN_RATE_DECAY_MS = 1_000;
 
 /** Time without any slot after which waiting work is refused. */
 export const NO_SLOTS_GRACE_MS = 5_000;
@@ -29,7 +29,7 @@
 export const SHORTEST_HALF_LIFE_MS = 10_000;
 
 /** Deviations that a careful estimate adds to the mean. */
-export const CAREFUL_DEVIATIONS = 2;
+export const CONSERVATIVE_DEVIATIONS = 2;
 
 /** Share of the way by which a longer sample raises the shortest time. */
 export const SHORTEST_RISE = 0.05;
--- a/src/core/admission/drain-rate.ts
+++ b/src/core/admission/drain-rate.ts
@@ -1,5 +1,5 @@
 /** How fast a queue drains, as observed while something waits in it. */
-import {DRAIN_MEMORY_MS} from './consts.js';
+import {DRAIN_RATE_DECAY_MS} from './consts.js';
 
 /**
  * Measures the time between two requests that leave a queue. Times without
@@ -18,32 +18,32 @@
   private sinceMs: number | undefined;
 
   /** A request has begun to wait. */
-  noteWaiting(nowMs: number): void {
+  recordWaiting(nowMs: number): void {
     this.sinceMs ??= nowMs;
   }
 
   /** A request that waited has left for a slot. */
-  noteDeparture(options: {nowMs: number; stillWaiting: boolean}): void {
+  recordDeparture(options: {nowMs: number; stillWaiting: boolean}): void {
     const {nowMs, stillWaiting} = options;
     if (this.sinceMs === undefined) return;
     // One long gap is forgotten as fast as many short ones.
-    const tookMs = Math.min(nowMs - this.sinceMs, DRAIN_MEMORY_MS);
+    const tookMs = Math.min(nowMs - this.sinceMs, DRAIN_RATE_DECAY_MS);
     this.departedAtMs = nowMs;
-    const kept = Math.exp(-tookMs / DRAIN_MEMORY_MS);
+    const kept = Math.exp(-tookMs / DRAIN_RATE_DECAY_MS);
     this.busyMs = this.busyMs * kept + tookMs;
     this.departures = this.departures * kept + 1;
     this.sinceMs = stillWaiting ? nowMs : undefined;
   }
 
   /** Nothing waits any more, though none has left for a slot. */
-  noteEmpty(): void {
+  recordEmpty(): void {
     this.sinceMs = undefined;
   }
 
   /** Time between two departures; 0 where there were none of late. */
   intervalMs(nowMs: number): number {
     const idle = this.sinceMs === undefined;
-    if (idle && nowMs - this.departedAtMs > DRAIN_MEMORY_MS) return 0;
+    if (idle && nowMs - this.departedAtMs > DRAIN_RATE_DECAY_MS) return 0;
     return this.departures === 0 ? 0 : this.busyMs / this.departures;
   }
 }
--- a/src/core/admission/fair-admission.ts
+++ b/src/core/admission/fair-admission.ts
@@ -7,13 +7,13 @@
 import type {Refusal} from '../errors/refusals.js';
 import {Ran, RefusalReason} from '../errors/refusals.js';
 import {splitLimit} from './capacity.js';
-import type {LastInLine, PoolRequest} from './service-pool.js';
+import type {QueueRank, PoolRequest} from './service-pool.js';
 import {ServicePool} from './service-pool.js';
 import type {
   Admission,
   AdmissionQuery,
   AdmissionTicket,
-  EntryLoad,
+  EntryCapacity,
 } from './types.js';
 import {TicketOutcome, WorkKind} from './types.js';
 
@@ -51,7 +51,7 @@
     this.queueLength = cfg.limits.queueLength;
   }
 
-  resize(load: EntryLoad): void {
+  resize(load: EntryCapacity): void {
     this.liveEntries = load.liveEntries;
     for (const slots of load.services) {
       this.poolOf(slots.service).resize(slots);
@@ -79,11 +79,11 @@
       return;
     }
     if (request.kind === WorkKind.RUNNING) {
-      pool.enter(request);
+      pool.addRunning(request);
       request.onStart();
       return;
     }
-    if (!pool.canBeMet(request)) {
+    if (!pool.canMeetDeadline(request)) {
       pool.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
@@ -91,7 +91,7 @@
       pool.refuse(request, RefusalReason.OVERLOADED);
       return;
     }
-    pool.offer(request);
+    pool.submit(request);
   }
 
   /** Resumes are bound by the whole limit: their entry may have just died. */
@@ -132,23 +132,24 @@
   }
 
   private withdraw(pool: ServicePool, request: PoolRequest): void {
-    if (pool.withdraw(request)) request.onRefuse(callerGone(request));
+    if (pool.remove(request)) request.onRefuse(callerGone(request));
   }
 
   /** Makes place in a full queue; false where the newcomer is the last. */
   private makeRoom(pool: ServicePool, request: PoolRequest): boolean {
-    if (pool.hasRoom(request) || this.waiting < this.queueLength) return true;
-    const place = pool.placeOf(request);
+    if (pool.canStartNow(request) || this.waiting < this.queueLength)
+      return true;
+    const place = pool.rankOf(request);
     const last = this.lastInLine();
     if (last === undefined || !goesBefore(place, last.place)) return false;
     last.pool.evict(last.place.request);
     return true;
   }
 
-  private lastInLine(): {pool: ServicePool; place: LastInLine} | undefined {
-    let last: {pool: ServicePool; place: LastInLine} | undefined;
+  private lastInLine(): {pool: ServicePool; place: QueueRank} | undefined {
+    let last: {pool: ServicePool; place: QueueRank} | undefined;
     for (const pool of this.pools.values()) {
-      const place = pool.lastInLine();
+      const place = pool.lowestRank();
       if (place === undefined) continue;
       if (last === undefined || goesBefore(last.place, place)) {
         last = {pool, place};
@@ -189,9 +190,9 @@
 }
 
 /** Whether `a` keeps its place in the queue rather than `b`. */
-function goesBefore(a: LastInLine, b: LastInLine): boolean {
+function goesBefore(a: QueueRank, b: QueueRank): boolean {
   if (a.lane !== b.lane) return a.lane < b.lane;
-  return a.pressure < b.pressure;
+  return a.weightedLength < b.weightedLength;
 }
 
 function callerGone(request: PoolRequest): Refusal {
@@ -213,6 +214,6 @@
     reason: RefusalReason.ACCOUNT_LIMIT,
     ran: isNew ? Ran.NO : Ran.UNKNOWN,
     detail: `${open} requests of this account are open at this entry`,
-    retryAfterMs: pool.retryAfterMs(),
+    retryAfterMs: pool.nextRetryAfterMs(),
   };
 }
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -22,7 +22,7 @@
 /** A flow with the pressure that its waiting items put on the queue. */
 export interface LongestFlow<T> {
   /** Waiting items over the flow's weight. */
-  readonly pressure: number;
+  readonly weightedLength: number;
   /** The item that would leave last. */
   readonly last: T;
 }
@@ -101,7 +101,7 @@
    * Charges a flow for service beyond an item's cost, or gives back what it
    * did not use where `cost` is negative.
    */
-  correct(options: FairItem): void {
+  charge(options: FairItem): void {
     const {weight, cost} = options;
     const flow = this.openFlow(options.flow);
     const shift = cost / weight;
@@ -112,7 +112,7 @@
   }
 
   /** Items that would leave before a new one of this flow. */
-  countBefore(flow: string): number {
+  countAhead(flow: string): number {
     const known = this.flows.get(flow);
     const startTime =
       known === undefined ? this.virtualTime : this.nextStartTime(known);
@@ -130,8 +130,8 @@
       const last = queued.at(-1)?.item;
       if (last === undefined) continue;
       const pressure = queued.length / last.weight;
-      const longer = longest === undefined || pressure > longest.pressure;
-      if (longer) longest = {pressure, last};
+      const longer = longest === undefined || pressure > longest.weightedLength;
+      if (longer) longest = {weightedLength: pressure, last};
     }
     return longest;
   }
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,5 +1,5 @@
 /** Which requests are let in, wait or are refused. */
-export {resolveSlots, splitLimit} from './capacity.js';
+export {computeSlots, splitLimit} from './capacity.js';
 export type {CapacityQuery} from './capacity.js';
 export {RESUME_SHARE} from './consts.js';
 export {FairAdmission} from './fair-admission.js';
@@ -18,6 +18,6 @@
   Admission,
   AdmissionQuery,
   AdmissionTicket,
-  EntryLoad,
+  EntryCapacity,
   ServiceSlots,
 } from './types.js';
--- a/src/core/admission/return-schedule.ts
+++ b/src/core/admission/retry-after-schedule.ts
@@ -7,7 +7,7 @@
 } from './consts.js';
 
 /** What is known of a queue when it refuses a request. */
-export interface ReturnQuery {
+export interface RetryAfterQuery {
   readonly nowMs: number;
   /** Time until the requests that wait now have left the queue. */
   readonly waitMs: number;
@@ -22,13 +22,13 @@
  * @example
  * schedule.next({nowMs: clock.now(), waitMs: 800, intervalMs: 40});
  */
-export class ReturnSchedule {
+export class RetryAfterSchedule {
   private lastTurnAtMs = 0;
 
   constructor(private readonly options: {random: RandomSource}) {}
 
   /** Time after which this caller should come back, in milliseconds. */
-  next(query: ReturnQuery): number {
+  next(query: RetryAfterQuery): number {
     const {nowMs, waitMs, intervalMs} = query;
     const afterMs = Math.max(this.lastTurnAtMs, nowMs + waitMs);
     const latestMs = nowMs + MAX_RETRY_AFTER_MS;
--- a/src/core/admission/retry-budget.ts
+++ b/src/core/admission/retry-budget.ts
@@ -49,12 +49,12 @@
   }
 
   /** Counts a request that is sent for the first time. */
-  noteFirstTry(): void {
+  recordFirstAttempt(): void {
     this.current().firstTries++;
   }
 
   /** Takes one retry out of the budget; false where none is left. */
-  tryRetry(): boolean {
+  tryTakeRetry(): boolean {
     const slice = this.current();
     const firstTries = sumOf(this.slices, (s) => s.firstTries);
     const retries = sumOf(this.slices, (s) => s.retries);
@@ -92,7 +92,7 @@
     private readonly options: {clock: Clock; floor?: number; reserve?: number},
   ) {}
 
-  of(service: {
+  forService(service: {
     readonly name: string;
     readonly retryRatio: number;
   }): RetryBudget {
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -3,12 +3,12 @@
 import {PriorityClass} from '../config/types.js';
 import type {Refusal} from '../errors/refusals.js';
 import {Ran, RefusalReason} from '../errors/refusals.js';
-import {NO_SLOTS_GRACE_MS, TURN_MS} from './consts.js';
+import {NO_SLOTS_GRACE_MS, SLOT_TURNAROUND_MS} from './consts.js';
 import {DrainRate} from './drain-rate.js';
 import type {FairItem} from './fair-queue.js';
 import {FairQueue} from './fair-queue.js';
-import {ReturnSchedule} from './return-schedule.js';
-import {ServiceTime} from './service-time.js';
+import {RetryAfterSchedule} from './retry-after-schedule.js';
+import {ServiceTimeEstimator} from './service-time-estimator.js';
 import {TicketOutcome, WorkKind} from './types.js';
 
 /** A request that waits or is in flight. */
@@ -25,10 +25,10 @@
 }
 
 /** The request that gives way first when the queue is full. */
-export interface LastInLine {
+export interface QueueRank {
   readonly request: PoolRequest;
   readonly lane: number;
-  readonly pressure: number;
+  readonly weightedLength: number;
 }
 
 const CLASSES: readonly PriorityClass[] = [
@@ -51,9 +51,9 @@
  */
 export class ServicePool {
   private readonly lanes: ReadonlyArray<FairQueue<PoolRequest>>;
-  private readonly times = new ServiceTime();
+  private readonly times = new ServiceTimeEstimator();
   private readonly drainRate = new DrainRate();
-  private readonly returns: ReturnSchedule;
+  private readonly returns: RetryAfterSchedule;
   private slots = 0;
   private resumeSlots = 0;
   /** Slots for new work when there last were any. */
@@ -64,7 +64,7 @@
   constructor(private readonly options: {clock: Clock; random: RandomSource}) {
     const count = CLASSES.length * LANES_PER_CLASS;
     this.lanes = Array.from({length: count}, () => new FairQueue());
-    this.returns = new ReturnSchedule(options);
+    this.returns = new RetryAfterSchedule(options);
     this.noSlotsSinceMs = options.clock.now();
   }
 
@@ -92,44 +92,45 @@
   }
 
   /** Whether a new request can be answered in time, as far as is known. */
-  canBeMet(request: PoolRequest): boolean {
+  canMeetDeadline(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
     const size = request.cost;
-    if (this.hasRoom(request)) {
+    if (this.canStartNow(request)) {
       return leftMs > 0 && leftMs >= this.times.shortestMs({size, nowMs});
     }
     const lane = laneOf(request);
     const ahead = this.lanes.slice(0, lane);
     const before =
       ahead.reduce((sum, queue) => sum + queue.size, 0) +
-      this.lanes[lane]!.countBefore(request.flow);
+      this.lanes[lane]!.countAhead(request.flow);
     const waitMs = (before + 1) * this.intervalMs();
-    return leftMs > 0 && waitMs + this.times.carefulMs(size) <= leftMs;
+    return leftMs > 0 && waitMs + this.times.conservativeMs(size) <= leftMs;
   }
 
   /** Starts a request or lets it wait; ask `canBeMet` first. */
-  offer(request: PoolRequest): void {
+  submit(request: PoolRequest): void {
     this.lanes[laneOf(request)]!.push(request);
     this.drain();
-    if (this.waiting > 0) this.drainRate.noteWaiting(this.options.clock.now());
+    if (this.waiting > 0)
+      this.drainRate.recordWaiting(this.options.clock.now());
   }
 
   /** Counts a request that runs already. */
-  enter(request: PoolRequest): void {
+  addRunning(request: PoolRequest): void {
     this.start(request);
   }
 
   /** Takes a request out of the queue; false where it does not wait. */
-  withdraw(request: PoolRequest): boolean {
+  remove(request: PoolRequest): boolean {
     const removed = this.lanes[laneOf(request)]!.remove(request);
-    if (this.waiting === 0) this.drainRate.noteEmpty();
+    if (this.waiting === 0) this.drainRate.recordEmpty();
     return removed;
   }
 
   /** Refuses a request that waits, for want of room in the queue. */
   evict(request: PoolRequest): void {
-    if (this.withdraw(request)) this.refuse(request, RefusalReason.OVERLOADED);
+    if (this.remove(request)) this.refuse(request, RefusalReason.OVERLOADED);
   }
 
   /** Frees the slot of a request that has ended. */
@@ -140,32 +141,36 @@
   }
 
   /** The request that gives way first; undefined where none has to. */
-  lastInLine(): LastInLine | undefined {
+  lowestRank(): QueueRank | undefined {
     for (let lane = this.lanes.length - 1; lane >= 0; lane--) {
       if (isResumeLane(lane)) continue;
       const longest = this.lanes[lane]!.longestFlow();
       if (longest === undefined) continue;
-      return {request: longest.last, lane, pressure: longest.pressure};
+      return {
+        request: longest.last,
+        lane,
+        weightedLength: longest.weightedLength,
+      };
     }
     return undefined;
   }
 
   /** What a request would be in the queue, if it waited. */
-  placeOf(request: PoolRequest): LastInLine {
+  rankOf(request: PoolRequest): QueueRank {
     const lane = laneOf(request);
     const count = this.lanes[lane]!.countOf(request.flow) + 1;
-    return {request, lane, pressure: count / request.weight};
+    return {request, lane, weightedLength: count / request.weight};
   }
 
   /** Whether a request would start at once. */
-  hasRoom(request: PoolRequest): boolean {
+  canStartNow(request: PoolRequest): boolean {
     const lane = laneOf(request);
     const ahead = this.lanes.slice(0, lane + 1).some((q) => q.size > 0);
     return !ahead && this.inFlight < this.slotsOf(lane);
   }
 
   /** Time after which a refused caller should come back. */
-  retryAfterMs(): number {
+  nextRetryAfterMs(): number {
     const intervalMs = this.intervalMs();
     const waitMs = this.waiting * intervalMs;
     const nowMs = this.options.clock.now();
@@ -179,7 +184,7 @@
       // A part of the answer that a resume continues was computed before.
       ran: request.kind === WorkKind.NEW ? Ran.NO : Ran.UNKNOWN,
       detail: `${this.waiting} requests wait for ${this.slots} slots`,
-      retryAfterMs: this.retryAfterMs(),
+      retryAfterMs: this.nextRetryAfterMs(),
     });
   }
 
@@ -194,7 +199,7 @@
   private startOrRefuse(lane: FairQueue<PoolRequest>): void {
     const request = lane.peek()!;
     if (!this.isWorthStarting(request)) {
-      this.withdraw(request);
+      this.remove(request);
       this.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
@@ -207,7 +212,7 @@
   private noteDeparture(): void {
     const nowMs = this.options.clock.now();
     const stillWaiting = this.waiting > 0;
-    this.drainRate.noteDeparture({nowMs, stillWaiting});
+    this.drainRate.recordDeparture({nowMs, stillWaiting});
   }
 
   private isWorthStarting(request: PoolRequest): boolean {
@@ -218,7 +223,7 @@
     // whether the service has become faster.
     const neededMs =
       this.waiting > 1
-        ? this.times.carefulMs(size)
+        ? this.times.conservativeMs(size)
         : this.times.shortestMs({size, nowMs});
     return leftMs > 0 && leftMs >= neededMs;
   }
@@ -236,10 +241,10 @@
     if (outcome !== TicketOutcome.FAILED) {
       this.times.add({heldMs, size, nowMs});
     }
-    const unitMs = this.times.typicalMs(1);
+    const unitMs = this.times.expectedMs(1);
     if (unitMs === 0) return;
     const cost = heldMs / unitMs - size;
-    this.lanes[laneOf(request)]!.correct({...request, cost});
+    this.lanes[laneOf(request)]!.charge({...request, cost});
   }
 
   private refuseUnreachable(): void {
@@ -251,20 +256,20 @@
     const intervalMs = this.intervalMs();
     let waitMs = intervalMs;
     for (const request of this.lanes.flatMap((lane) => lane.ordered())) {
-      const neededMs = waitMs + this.times.carefulMs(request.cost);
+      const neededMs = waitMs + this.times.conservativeMs(request.cost);
       const leftMs = request.deadlineAtMs - nowMs;
       if (leftMs > 0 && neededMs <= leftMs) {
         waitMs += intervalMs;
         continue;
       }
-      this.withdraw(request);
+      this.remove(request);
       this.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
     }
   }
 
   private refuseAll(): void {
     for (const request of this.lanes.flatMap((lane) => lane.ordered())) {
-      this.withdraw(request);
+      this.remove(request);
       this.refuse(request, RefusalReason.NO_TARGET);
     }
   }
@@ -286,7 +291,7 @@
   private turnSlots(): number {
     const heldMs = this.times.meanHeldMs();
     if (heldMs === 0) return 0;
-    return Math.floor(this.slots * Math.min(1, TURN_MS / heldMs));
+    return Math.floor(this.slots * Math.min(1, SLOT_TURNAROUND_MS / heldMs));
   }
 }
 
--- a/src/core/admission/service-time.ts
+++ b/src/core/admission/service-time-estimator.ts
@@ -1,13 +1,13 @@
 /** How long a service's requests hold their slots, as observed. */
 import {
-  CAREFUL_DEVIATIONS,
+  CONSERVATIVE_DEVIATIONS,
   SAMPLE_WEIGHT,
   SHORTEST_HALF_LIFE_MS,
   SHORTEST_RISE,
 } from './consts.js';
 
 /** One request that has ended. */
-export interface HeldSample {
+export interface ServiceTimeSample {
   readonly heldMs: number;
   /** Size of the request: tokens asked for, or 1. */
   readonly size: number;
@@ -23,7 +23,7 @@
  * times.add({heldMs: 500, size: 10, nowMs: 0});
  * times.typicalMs(20); // 1000
  */
-export class ServiceTime {
+export class ServiceTimeEstimator {
   private samples = 0;
   private meanMs = 0;
   private meanSize = 1;
@@ -31,7 +31,7 @@
   private shortest = 0;
   private shortestAtMs = 0;
 
-  add(sample: HeldSample): void {
+  add(sample: ServiceTimeSample): void {
     const {heldMs, size, nowMs} = sample;
     this.samples++;
     const weight = Math.max(SAMPLE_WEIGHT, 1 / this.samples);
@@ -49,13 +49,13 @@
   }
 
   /** Time that a request of this size can be expected to take. */
-  typicalMs(size: number): number {
+  expectedMs(size: number): number {
     return this.perUnit() * size;
   }
 
   /** Time that a request of this size seldom exceeds. */
-  carefulMs(size: number): number {
-    return (this.perUnit() + CAREFUL_DEVIATIONS * this.deviation) * size;
+  conservativeMs(size: number): number {
+    return (this.perUnit() + CONSERVATIVE_DEVIATIONS * this.deviation) * size;
   }
 
   /**
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -56,7 +56,7 @@
 }
 
 /** The share of the site's capacity that falls to this entry. */
-export interface EntryLoad {
+export interface EntryCapacity {
   /** Entries between which client accounts' limits are split; at least 1. */
   readonly liveEntries: number;
   readonly services: readonly ServiceSlots[];
@@ -68,5 +68,5 @@
   /** Takes over a new configuration. */
   configure(cfg: SiteConfig): void;
   /** Takes over new capacity and refuses what can no longer be met. */
-  resize(load: EntryLoad): void;
+  resize(load: EntryCapacity): void;
 }
--- a/src/core/drain/consts.ts
+++ b/src/core/drain/consts.ts
@@ -5,12 +5,12 @@
 
 /** An entry refuses for long enough that balancers and callers notice. */
 export const ENTRY_DRAIN_LIMITS: DrainLimits = {
-  noticeMs: 2_000,
-  silentPeerMs: 5_000,
+  minDrainMs: 2_000,
+  peerTimeoutMs: 5_000,
 };
 
 /** An agent outlasts claims that were written before it began to leave. */
 export const AGENT_DRAIN_LIMITS: DrainLimits = {
-  noticeMs: 1_000,
-  silentPeerMs: 5_000,
+  minDrainMs: 1_000,
+  peerTimeoutMs: 5_000,
 };
--- a/src/core/drain/drain-controller.ts
+++ b/src/core/drain/drain-controller.ts
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly options: {
-      leaving: Cell<boolean>;
+      draining: Cell<boolean>;
       clock: Clock;
       logger: Logger;
       limits: DrainLimits;
@@ -29,7 +29,7 @@
 
   /** Begins to leave; does nothing when that has begun. */
   begin(): void {
-    const {leaving, clock, logger} = this.options;
+    const {draining: leaving, clock, logger} = this.options;
     if (leaving.get()) return;
     this.beganAtMs = clock.now();
     this.busyAtMs = this.beganAtMs;
@@ -54,11 +54,11 @@
     const running = work.countRunning();
     if (running > 0) this.busyAtMs = nowMs;
     return {
-      leavingForMs: nowMs - this.beganAtMs,
+      drainingForMs: nowMs - this.beganAtMs,
       idleForMs: nowMs - this.busyAtMs,
       running,
       unsentBytes: work.countUnsentBytes(),
-      peersToAnswer: work.countPeersToAnswer(),
+      pendingPeers: work.countPendingPeers(),
     };
   }
 }
--- a/src/core/drain/may-exit.ts
+++ b/src/core/drain/may-exit.ts
@@ -10,7 +10,7 @@
  */
 export function mayExit(state: DrainState, limits: DrainLimits): boolean {
   if (state.running > 0) return false;
-  if (state.leavingForMs < limits.noticeMs) return false;
-  if (state.unsentBytes === 0 && state.peersToAnswer === 0) return true;
-  return state.idleForMs >= limits.silentPeerMs;
+  if (state.drainingForMs < limits.minDrainMs) return false;
+  if (state.unsentBytes === 0 && state.pendingPeers === 0) return true;
+  return state.idleForMs >= limits.peerTimeoutMs;
 }
--- a/src/core/membership/consts.ts
+++ b/src/core/membership/consts.ts
@@ -2,7 +2,7 @@
 import type {SuspicionBounds} from './types.js';
 
 /** Gaps that the threshold remembers. */
-export const GAPS_KEPT = 64;
+export const GAP_SAMPLES = 64;
 
 /** A silence is suspect beyond the longest gap kept, times this. */
 export const GAP_FACTOR = 3;
@@ -23,4 +23,4 @@
 export const SUBSET_SIZE = 32;
 
 /** Entries that watch a target whoever else draws it. */
-export const COVERING_ENTRIES = 2;
+export const WATCHERS_PER_TARGET = 2;
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -39,10 +39,10 @@
 export function isAmongFirst(options: {
   key: string;
   member: string;
-  rivals: readonly string[];
+  members: readonly string[];
   count: number;
 }): boolean {
-  const {key, member, rivals, count} = options;
+  const {key, member, members: rivals, count} = options;
   const own = {member, score: scoreOf(key, member)};
   let ahead = 0;
   for (const rival of rivals) {
--- a/src/core/membership/select-subset.ts
+++ b/src/core/membership/select-subset.ts
@@ -1,4 +1,4 @@
-import {COVERING_ENTRIES, SUBSET_SIZE} from './consts.js';
+import {WATCHERS_PER_TARGET, SUBSET_SIZE} from './consts.js';
 import {isAmongFirst, rankByRendezvous} from './rendezvous.js';
 import type {SubsetTarget} from './types.js';
 
@@ -25,7 +25,7 @@
     const drawn = drawOwn(self, members);
     drawn.forEach((vm) => chosen.add(vm));
     if (drawn.length === members.length) continue;
-    const watch = {member: self, rivals: entries, count: COVERING_ENTRIES};
+    const watch = {member: self, members: entries, count: WATCHERS_PER_TARGET};
     members
       .filter((vm) => isAmongFirst({key: vm, ...watch}))
       .forEach((vm) => chosen.add(vm));
--- a/src/core/membership/gap-threshold.ts
+++ b/src/core/membership/silence-timeout.ts
@@ -1,4 +1,4 @@
-import {GAP_FACTOR, GAPS_KEPT} from './consts.js';
+import {GAP_FACTOR, GAP_SAMPLES} from './consts.js';
 import type {SuspicionBounds} from './types.js';
 
 /**
@@ -11,7 +11,7 @@
  * threshold.note(100);
  * threshold.allowedMs(); // 600
  */
-export class GapThreshold {
+export class SilenceTimeout {
   private readonly gaps: number[] = [];
   private next = 0;
 
@@ -22,13 +22,13 @@
   }
 
   /** Takes the time between two messages, in milliseconds. */
-  note(gapMs: number): void {
+  recordGap(gapMs: number): void {
     this.gaps[this.next] = gapMs;
-    this.next = (this.next + 1) % GAPS_KEPT;
+    this.next = (this.next + 1) % GAP_SAMPLES;
   }
 
   /** The longest silence that is not suspect, in milliseconds. */
-  allowedMs(): number {
+  timeoutMs(): number {
     const {floorMs, ceilingMs} = this.bounds;
     if (this.gaps.length === 0) return ceilingMs;
     const longestMs = Math.max(...this.gaps);
--- a/src/core/placing/choose-call-target.ts
+++ b/src/core/placing/choose-call-target.ts
@@ -1,8 +1,8 @@
 /** Chooses the target of a plain call. */
 import type {RandomSource} from '../clock/index.js';
 import type {Target} from '../targets/index.js';
-import type {Usual} from './compare.js';
-import {describeUsual, excessFailuresOf} from './compare.js';
+import type {ServiceBaseline} from './service-baseline.js';
+import {computeBaseline, excessFailureShare} from './service-baseline.js';
 
 /** Load in requests that a target in another data centre must be lower by. */
 const DISTANCE_COST = 0.5;
@@ -20,7 +20,7 @@
 const PAUSED_COST = 1_000;
 
 /** What a choice is made from. */
-export interface CallChoice {
+export interface CallTargetQuery {
   readonly targets: readonly Target[];
   readonly dataCentre: string;
   /** Targets that were tried already. */
@@ -35,8 +35,8 @@
  * @example
  * const target = chooseCallTarget({targets, dataCentre, tried, random});
  */
-export function chooseCallTarget(choice: CallChoice): Target | undefined {
-  const usual = describeUsual(choice.targets);
+export function chooseCallTarget(choice: CallTargetQuery): Target | undefined {
+  const usual = computeBaseline(choice.targets);
   let best: Target | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const target of choice.targets) {
@@ -50,13 +50,17 @@
   return best;
 }
 
-function costOf(target: Target, choice: CallChoice, usual: Usual): number {
+function costOf(
+  target: Target,
+  choice: CallTargetQuery,
+  usual: ServiceBaseline,
+): number {
   const {slots, dataCentre} = target.record;
   const requests = target.estimatedRequests();
   let cost = requests + choice.random.float() * JITTER;
   if (requests >= slots) cost += requests - slots + 1;
   if (dataCentre !== choice.dataCentre) cost += DISTANCE_COST;
-  cost += excessFailuresOf(target, usual) * FAILING_COST;
+  cost += excessFailureShare(target, usual) * FAILING_COST;
   if (target.isFull()) cost += FULL_COST;
   if (target.isPaused()) cost += PAUSED_COST;
   return cost;
--- a/src/core/placing/choose-engine.ts
+++ b/src/core/placing/choose-engine.ts
@@ -1,8 +1,12 @@
 /** Chooses the engines of a generation: where it runs and where its copy goes. */
 import type {RandomSource} from '../clock/index.js';
 import type {Target} from '../targets/index.js';
-import type {Usual} from './compare.js';
-import {describeUsual, excessFailuresOf, slownessOf} from './compare.js';
+import type {ServiceBaseline} from './service-baseline.js';
+import {
+  computeBaseline,
+  excessFailureShare,
+  relativeSlowness,
+} from './service-baseline.js';
 
 /** What a prompt that is yet to be read delays others by, in running requests. */
 const UNREAD_COST = 5;
@@ -26,17 +30,17 @@
 const JITTER = 1;
 
 /** What a choice is made from. */
-export interface EngineChoice {
+export interface EngineQuery {
   readonly targets: readonly Target[];
   /** Tokens that the generation needs at its end. */
   readonly tokens: number;
-  readonly memoryTokens: number;
+  readonly kvCapacityTokens: number;
   /** Targets that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
   /** Data centres to stay out of, where another has room. */
-  readonly avoided?: ReadonlySet<string>;
+  readonly avoidedDataCentres?: ReadonlySet<string>;
   /** Prefer engines that were heard of lately. */
-  readonly isSeenLately?: boolean;
+  readonly preferRecentlySeen?: boolean;
   readonly random: RandomSource;
 }
 
@@ -57,7 +61,7 @@
  * @example
  * const engine = chooseEngine({targets, tokens, memoryTokens, excluded, random});
  */
-export function chooseEngine(choice: EngineChoice): Target | undefined {
+export function chooseEngine(choice: EngineQuery): Target | undefined {
   return shortlistEngines(choice, 1)[0];
 }
 
@@ -67,11 +71,8 @@
  * @example
  * await prober.refresh(shortlistEngines(choice, 3));
  */
-export function shortlistEngines(
-  choice: EngineChoice,
-  count: number,
-): Target[] {
-  const usual = describeUsual(choice.targets);
+export function shortlistEngines(choice: EngineQuery, count: number): Target[] {
+  const usual = computeBaseline(choice.targets);
   return choice.targets
     .filter((target) => !choice.excluded.has(target.id))
     .map((target) => ({target, cost: costOf(target, choice, usual)}))
@@ -80,17 +81,28 @@
     .map(({target}) => target);
 }
 
-function costOf(target: Target, choice: EngineChoice, usual: Usual): number {
-  const {tokens, memoryTokens, avoided, random, isSeenLately} = choice;
+function costOf(
+  target: Target,
+  choice: EngineQuery,
+  usual: ServiceBaseline,
+): number {
+  const {
+    tokens,
+    kvCapacityTokens: memoryTokens,
+    avoidedDataCentres: avoided,
+    random,
+    preferRecentlySeen: isSeenLately,
+  } = choice;
   let cost = target.estimatedRequests() + random.float() * JITTER;
-  cost += target.estimatedUnread() * UNREAD_COST;
-  cost += slownessOf(target, usual) * SLOW_COST;
-  cost += excessFailuresOf(target, usual) * FAILING_COST;
+  cost += target.estimatedPrefills() * UNREAD_COST;
+  cost += relativeSlowness(target, usual) * SLOW_COST;
+  cost += excessFailureShare(target, usual) * FAILING_COST;
   const planned = target.plannedTokens() + tokens;
   if (planned > memoryTokens * MEMORY_SHARE) cost += MEMORY_COST;
   if (target.isFull()) cost += FULL_COST;
   if (target.isPaused()) cost += PAUSED_COST;
   if (avoided?.has(target.record.dataCentre)) cost += AVOIDED_COST;
-  if (isSeenLately && target.unseenMs() > SEEN_LATELY_MS) cost += UNSEEN_COST;
+  if (isSeenLately && target.lastSeenAgeMs() > SEEN_LATELY_MS)
+    cost += UNSEEN_COST;
   return cost;
 }
--- a/src/core/placing/urgency.ts
+++ b/src/core/placing/engine-priority.ts
@@ -5,12 +5,12 @@
 const LAST_CLASS = 9;
 
 /** What decides the urgency of a generation. */
-export interface UrgencyFacts {
+export interface EnginePriorityQuery {
   readonly route: Pick<Route, 'priority'>;
   /** The account's own priority goes before the route's. */
   readonly account?: Pick<AccountKeys, 'priority'>;
   /** Whether the caller has read a part of it already. */
-  readonly isUnderWay: boolean;
+  readonly isResumed: boolean;
 }
 
 /**
@@ -24,8 +24,8 @@
  * @example
  * urgencyClass({route: {priority: 1}, isUnderWay: true}); // 0
  */
-export function urgencyClass(facts: UrgencyFacts): number {
-  const {route, account, isUnderWay} = facts;
+export function enginePriority(facts: EnginePriorityQuery): number {
+  const {route, account, isResumed: isUnderWay} = facts;
   const priority = account?.priority ?? route.priority;
   const wanted = isUnderWay ? priority - 1 : priority;
   return Math.min(LAST_CLASS, Math.max(0, Math.round(wanted)));
--- a/src/core/placing/index.ts
+++ b/src/core/placing/index.ts
@@ -1,8 +1,8 @@
 /** Where requests are sent. */
-export type {CallChoice} from './choose-call-target.js';
+export type {CallTargetQuery} from './choose-call-target.js';
 export {chooseCallTarget} from './choose-call-target.js';
-export type {EngineChoice} from './choose-engine.js';
+export type {EngineQuery} from './choose-engine.js';
 export {chooseEngine, shortlistEngines} from './choose-engine.js';
-export {rankApart} from './rank-apart.js';
-export type {UrgencyFacts} from './urgency.js';
-export {urgencyClass} from './urgency.js';
+export {rankByFingerprint} from './rank-by-fingerprint.js';
+export type {EnginePriorityQuery} from './engine-priority.js';
+export {enginePriority} from './engine-priority.js';
--- a/src/core/placing/rank-apart.ts
+++ b/src/core/placing/rank-by-fingerprint.ts
@@ -11,7 +11,7 @@
  * @example
  * const [target] = rankApart(fingerprint, targets);
  */
-export function rankApart(
+export function rankByFingerprint(
   fingerprint: string,
   targets: readonly Target[],
 ): Target[] {
--- a/src/core/placing/compare.ts
+++ b/src/core/placing/service-baseline.ts
@@ -2,9 +2,9 @@
 import type {Target} from '../targets/index.js';
 
 /** What is usual among the targets of a service. */
-export interface Usual {
+export interface ServiceBaseline {
   /** Median time between events, in milliseconds; undefined if unknown. */
-  readonly paceMs?: number;
+  readonly eventGapMs?: number;
   /** Mean share of failed answers. */
   readonly failureShare: number;
 }
@@ -15,12 +15,12 @@
  * @example
  * const usual = describeUsual(targets);
  */
-export function describeUsual(targets: readonly Target[]): Usual {
-  const paces = targets.flatMap((target) => target.paceMs ?? []);
+export function computeBaseline(targets: readonly Target[]): ServiceBaseline {
+  const paces = targets.flatMap((target) => target.eventGapMs ?? []);
   paces.sort((a, b) => a - b);
   const failing = targets.reduce((sum, t) => sum + t.failureShare, 0);
   return {
-    paceMs: paces[Math.floor(paces.length / 2)],
+    eventGapMs: paces[Math.floor(paces.length / 2)],
     failureShare: failing / Math.max(1, targets.length),
   };
 }
@@ -32,9 +32,13 @@
  * @example
  * slownessOf(target, usual); // 0.3
  */
-export function slownessOf(target: Target, usual: Usual): number {
-  if (target.paceMs === undefined || usual.paceMs === undefined) return 0;
-  return Math.max(0, target.paceMs / usual.paceMs - 1);
+export function relativeSlowness(
+  target: Target,
+  usual: ServiceBaseline,
+): number {
+  if (target.eventGapMs === undefined || usual.eventGapMs === undefined)
+    return 0;
+  return Math.max(0, target.eventGapMs / usual.eventGapMs - 1);
 }
 
 /**
@@ -43,6 +47,9 @@
  * @example
  * excessFailuresOf(target, usual); // 0.4
  */
-export function excessFailuresOf(target: Target, usual: Usual): number {
+export function excessFailureShare(
+  target: Target,
+  usual: ServiceBaseline,
+): number {
   return Math.max(0, target.failureShare - usual.failureShare);
 }
--- a/src/core/poison/common-cause.ts
+++ b/src/core/poison/common-cause.ts
@@ -1,6 +1,6 @@
 /** Whether a target was lost together with its data centre. */
 import type {Target} from '../targets/index.js';
-import {lifeOf} from '../targets/index.js';
+import {incarnationOf} from '../targets/index.js';
 
 /** Targets of one data centre fall within this time, in milliseconds. */
 const TOGETHER_MS = 600;
@@ -33,19 +33,24 @@
     (target) =>
       target !== lost &&
       target.record.dataCentre === lost.record.dataCentre &&
-      !endedBefore.has(lifeOf(target.record)) &&
+      !endedBefore.has(incarnationOf(target.record)) &&
       wasThere(target, lostAtMs),
   );
   const peers = witnesses.filter(
     ({record}) => record.service === lost.record.service,
   );
   const asked = peers.length > 0 ? peers : witnesses;
-  const fallen = asked.filter((target) => target.lostSinceMs !== undefined);
+  const fallen = asked.filter(
+    (target) => target.unavailableSinceMs !== undefined,
+  );
   return fallen.length > 0 && fallen.length >= asked.length * FALLEN_SHARE;
 }
 
 /** Whether a target was there until about the time of a loss. */
-function wasThere({lostSinceMs, record}: Target, lostAtMs: number): boolean {
-  if (lostSinceMs === undefined) return !record.isLeaving;
+function wasThere(
+  {unavailableSinceMs: lostSinceMs, record}: Target,
+  lostAtMs: number,
+): boolean {
+  if (lostSinceMs === undefined) return !record.isDraining;
   return lostSinceMs >= lostAtMs - TOGETHER_MS;
 }
--- a/src/core/retrying/decide-retry.ts
+++ b/src/core/retrying/decide-retry.ts
@@ -7,7 +7,7 @@
 const FIRST_FAILURE_STATUS = 500;
 
 /** How one try of a call ended. */
-export interface TryEnd {
+export interface AttemptResult {
   /** Present where there is no answer. */
   readonly failure?: ExchangeFailure;
   /** Present where the target answered. */
@@ -17,24 +17,24 @@
 /** What is known when a try has ended. */
 export interface RetryQuery {
   readonly operation: OperationKind;
-  readonly end: TryEnd;
+  readonly result: AttemptResult;
   /** Targets to which the call was sent. */
-  readonly sent: number;
+  readonly sentCount: number;
   readonly maxAttempts: number;
   /** Whether another target is there. */
-  readonly hasTarget: boolean;
+  readonly hasOtherTarget: boolean;
   /** Takes one repeat out of the service's budget, if one is left. */
   readonly takeFromBudget: () => boolean;
 }
 
 /** What to do next. */
-export enum RetryVerdict {
+export enum RetryDecision {
   /** Pass the target's answer on. */
   PASS_ON = 'pass_on',
   /** Send the call to another target. */
   RETRY = 'retry',
   /** Tell the caller that the call failed. */
-  GIVE_UP = 'give_up',
+  FAIL = 'give_up',
 }
 
 const NOT_RUN: ReadonlySet<ExchangeFailure> = new Set([
@@ -99,7 +99,7 @@
  * @example
  * isTargetFailure({status: 500}); // true
  */
-export function isTargetFailure({failure, status = 0}: TryEnd): boolean {
+export function isTargetFailure({failure, status = 0}: AttemptResult): boolean {
   if (failure !== undefined) return !certainlyDidNotRun(failure);
   return status >= FIRST_FAILURE_STATUS;
 }
@@ -111,20 +111,20 @@
  * @example
  * const verdict = decideRetry({operation, end: {status: 500}, ...rest});
  */
-export function decideRetry(query: RetryQuery): RetryVerdict {
-  const {operation, end, sent, maxAttempts} = query;
+export function decideRetry(query: RetryQuery): RetryDecision {
+  const {operation, result: end, sentCount: sent, maxAttempts} = query;
   const isAnswered = end.failure === undefined;
-  if (isAnswered && !isTargetFailure(end)) return RetryVerdict.PASS_ON;
-  const otherwise = isAnswered ? RetryVerdict.PASS_ON : RetryVerdict.GIVE_UP;
+  if (isAnswered && !isTargetFailure(end)) return RetryDecision.PASS_ON;
+  const otherwise = isAnswered ? RetryDecision.PASS_ON : RetryDecision.FAIL;
   const isHarmless =
     end.failure !== undefined && certainlyDidNotRun(end.failure);
   if (operation === OperationKind.UNSAFE && !isHarmless) return otherwise;
-  if (sent >= maxAttempts || !query.hasTarget) return otherwise;
-  return query.takeFromBudget() ? RetryVerdict.RETRY : otherwise;
+  if (sent >= maxAttempts || !query.hasOtherTarget) return otherwise;
+  return query.takeFromBudget() ? RetryDecision.RETRY : otherwise;
 }
 
 /** The status and reason with which a failed call is answered. */
-export interface FailureAnswer {
+export interface FailureResponse {
   readonly status: number;
   readonly reason: RefusalReason;
 }
@@ -143,7 +143,7 @@
  * @example
  * answerFailure({mayHaveRun: true, isTimedOut: false}).status; // 502
  */
-export function answerFailure(query: FailureQuery): FailureAnswer {
+export function toFailureResponse(query: FailureQuery): FailureResponse {
   const {mayHaveRun, isTimedOut} = query;
   if (!mayHaveRun) {
     const reason = isTimedOut
--- a/src/core/retrying/index.ts
+++ b/src/core/retrying/index.ts
@@ -1,16 +1,16 @@
 /** Repeating calls by what they are. */
 export type {
-  FailureAnswer,
+  FailureResponse,
   FailureQuery,
   RetryQuery,
-  TryEnd,
+  AttemptResult,
 } from './decide-retry.js';
 export {
-  answerFailure,
+  toFailureResponse,
   certainlyDidNotRun,
   countsAsSent,
   decideRetry,
   isTargetFailure,
   retryReasonOf,
-  RetryVerdict,
+  RetryDecision,
 } from './decide-retry.js';
--- a/src/core/routing/own-counts.ts
+++ b/src/core/routing/count-history.ts
@@ -13,14 +13,14 @@
  * counts.note({nowMs: 10, count: 3});
  * counts.countAt(12); // 3
  */
-export class OwnCounts {
+export class CountHistory {
   private changes: CountChange[] = [];
 
-  constructor(private readonly options: {keepMs: number}) {}
+  constructor(private readonly options: {retentionMs: number}) {}
 
-  note(options: {nowMs: number; count: number}): void {
+  record(options: {nowMs: number; count: number}): void {
     const {nowMs, count} = options;
-    const oldestMs = nowMs - this.options.keepMs;
+    const oldestMs = nowMs - this.options.retentionMs;
     // The last change before the kept time still says what held then.
     while ((this.changes[1]?.atMs ?? nowMs + 1) <= oldestMs) {
       this.changes.shift();
--- a/src/core/routing/estimate-load.ts
+++ b/src/core/routing/estimate-load.ts
@@ -1,4 +1,8 @@
-import {BELIEVED_LOAD, SLOW_START_MS, SLOW_START_SHARE} from './consts.js';
+import {
+  MAX_REPORTED_UTILISATION,
+  SLOW_START_MS,
+  SLOW_START_SHARE,
+} from './consts.js';
 import type {TargetView} from './types.js';
 
 /**
@@ -9,8 +13,8 @@
  * estimateLoad(view) / view.capacity;
  */
 export function estimateLoad(view: TargetView): number {
-  const {running, waiting, ownInFlight, ownAtReport = 0} = view;
-  const believed = BELIEVED_LOAD * Math.max(view.capacity, 1);
+  const {running, waiting, ownInFlight, ownInReport: ownAtReport = 0} = view;
+  const believed = MAX_REPORTED_UTILISATION * Math.max(view.capacity, 1);
   const others = Math.max(0, running + waiting - ownAtReport);
   return ownInFlight + Math.min(others, believed);
 }
--- a/src/core/routing/index.ts
+++ b/src/core/routing/index.ts
@@ -1,8 +1,8 @@
 /** The choice of a target for a request. */
-export {OWN_COUNTS_KEEP_MS, REPORT_ROUND_TRIP_MS} from './consts.js';
+export {COUNT_RETENTION_MS, REPORT_ROUND_TRIP_MS} from './consts.js';
 export {estimateLoad, utilisationOf} from './estimate-load.js';
-export {FailureWatch} from './failure-watch.js';
-export {LoadAwareChoice} from './load-aware-choice.js';
-export {OwnCounts} from './own-counts.js';
-export {TwoChoices} from './two-choices.js';
+export {OutlierDetector} from './outlier-detector.js';
+export {LoadAwareChooser} from './load-aware-chooser.js';
+export {CountHistory} from './count-history.js';
+export {PowerOfTwoChooser} from './power-of-two-chooser.js';
 export type {ChoiceQuery, TargetChooser, TargetView} from './types.js';
--- a/src/core/routing/load-aware-choice.ts
+++ b/src/core/routing/load-aware-chooser.ts
@@ -4,7 +4,7 @@
 import type {RandomSource} from '../clock/index.js';
 import {PREFIX_SLACK} from './consts.js';
 import {slowStartShare, utilisationOf} from './estimate-load.js';
-import type {FailureWatch} from './failure-watch.js';
+import type {OutlierDetector} from './outlier-detector.js';
 import type {ChoiceQuery, TargetChooser, TargetView} from './types.js';
 
 /** A target with the shares of its capacity that are in use. */
@@ -24,9 +24,9 @@
  * @example
  * new LoadAwareChoice({random, failures}).choose({query, targets});
  */
-export class LoadAwareChoice implements TargetChooser {
+export class LoadAwareChooser implements TargetChooser {
   constructor(
-    private readonly options: {random: RandomSource; failures: FailureWatch},
+    private readonly options: {random: RandomSource; outliers: OutlierDetector},
   ) {}
 
   choose(options: {
@@ -50,7 +50,7 @@
       (target) => target.usable && target.service === query.service,
     );
     const vms = ofService.map(({vm}) => vm);
-    const kept = new Set(this.options.failures.keep({vms}));
+    const kept = new Set(this.options.outliers.filterSelectable({vms}));
     const usable = ofService.filter(({vm}) => !query.exclude.includes(vm));
     const healthy = usable.filter(({vm}) => kept.has(vm));
     // An ejected target is better than none.
--- a/src/core/routing/failure-watch.ts
+++ b/src/core/routing/outlier-detector.ts
@@ -1,10 +1,10 @@
 /** Finds targets that answer fast because they fail. */
 import type {Clock} from '../clock/index.js';
 import {
-  EJECT_MS,
-  FAILURE_SHARE,
+  BASE_EJECTION_MS,
+  FAILURE_SHARE_THRESHOLD,
   FAILURE_WINDOW_MS,
-  MAX_EJECT_MS,
+  MAX_EJECTION_MS,
   MAX_EJECTED_SHARE,
   MIN_OUTCOMES,
 } from './consts.js';
@@ -27,17 +27,17 @@
  * watch.note({vm: 'engine-1', failed: true});
  * watch.keep({vms: ['engine-1', 'engine-2']});
  */
-export class FailureWatch {
+export class OutlierDetector {
   private readonly records = new Map<string, TargetRecord>();
 
   constructor(private readonly options: {clock: Clock}) {}
 
-  note(options: {vm: string; failed: boolean}): void {
+  recordOutcome(options: {vm: string; failed: boolean}): void {
     const record = this.recordOf(options.vm);
     record.outcomes++;
     if (options.failed) record.failures++;
     if (record.outcomes < MIN_OUTCOMES) return;
-    if (record.failures >= record.outcomes * FAILURE_SHARE) {
+    if (record.failures >= record.outcomes * FAILURE_SHARE_THRESHOLD) {
       this.eject(record);
     } else if (record.outcomes >= 2 * MIN_OUTCOMES) {
       record.ejections = 0;
@@ -58,7 +58,7 @@
    * The targets that may be chosen. At most a share of them stays out; those
    * whose ejection ends first come back beyond that.
    */
-  keep(options: {vms: readonly string[]}): string[] {
+  filterSelectable(options: {vms: readonly string[]}): string[] {
     const {vms} = options;
     const out = vms.filter((vm) => this.isEjected(vm));
     const allowed = Math.floor(vms.length * MAX_EJECTED_SHARE);
@@ -74,7 +74,10 @@
 
   private eject(record: TargetRecord): void {
     const nowMs = this.options.clock.now();
-    const forMs = Math.min(EJECT_MS * 2 ** record.ejections, MAX_EJECT_MS);
+    const forMs = Math.min(
+      BASE_EJECTION_MS * 2 ** record.ejections,
+      MAX_EJECTION_MS,
+    );
     record.ejectedUntilMs = nowMs + forMs;
     record.ejections++;
     record.outcomes = 0;
--- a/src/core/routing/two-choices.ts
+++ b/src/core/routing/power-of-two-chooser.ts
@@ -10,7 +10,7 @@
  * @example
  * new TwoChoices({random}).choose({query, targets});
  */
-export class TwoChoices implements TargetChooser {
+export class PowerOfTwoChooser implements TargetChooser {
   constructor(private readonly options: {random: RandomSource}) {}
 
   choose(options: {
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -10,7 +10,7 @@
   /** Connected, healthy, not suspected and not leaving. */
   readonly usable: boolean;
   /** The target leaves and takes no new work. */
-  readonly leaving: boolean;
+  readonly draining: boolean;
   /** Requests of this entry that it runs now. */
   readonly ownInFlight: number;
   /** What it last reported; lags. */
@@ -21,7 +21,7 @@
   /** Prefixes that it reported as cached; late, with gaps. */
   readonly cachedPrefixes: readonly string[];
   /** Own requests that the report counts; 0 where it is left out. */
-  readonly ownAtReport?: number;
+  readonly ownInReport?: number;
   /** Time since it became usable; without end where it is left out. */
   readonly usableForMs?: number;
 }
--- a/src/core/streams/event-sequence.ts
+++ b/src/core/streams/event-sequence.ts
@@ -1,7 +1,7 @@
 /** Keeps a stream whole across the targets that write it. */
 
 /** What to do with an event. */
-export enum EventVerdict {
+export enum SequenceCheck {
   /** It is the next one. */
   PASS = 'pass',
   /** The caller has it already. */
@@ -42,21 +42,21 @@
     return !this.hasUnnumbered;
   }
 
-  judge(id: number | undefined): EventVerdict {
+  check(id: number | undefined): SequenceCheck {
     if (id === undefined) {
       this.hasUnnumbered = true;
       return this.pass();
     }
     if (this.last !== undefined) {
-      if (id <= this.last) return EventVerdict.SKIP;
-      if (id > this.last + 1) return EventVerdict.GAP;
+      if (id <= this.last) return SequenceCheck.SKIP;
+      if (id > this.last + 1) return SequenceCheck.GAP;
     }
     this.last = id;
     return this.pass();
   }
 
-  private pass(): EventVerdict {
+  private pass(): SequenceCheck {
     this.passed++;
-    return EventVerdict.PASS;
+    return SequenceCheck.PASS;
   }
 }
--- a/src/core/streams/index.ts
+++ b/src/core/streams/index.ts
@@ -1,7 +1,7 @@
 /** Event streams that are carried from one target to the next by their ids. */
-export {EventSequence, EventVerdict} from './event-sequence.js';
+export {EventSequence, SequenceCheck} from './event-sequence.js';
 export type {RawEvent} from './event-splitter.js';
 export {EventSplitter, toPosition} from './event-splitter.js';
-export {stallLimitMs, suspectLimitMs} from './stall-limit.js';
-export type {GenerationNeed, GenerationTimes} from './stream-time.js';
-export {StreamTime} from './stream-time.js';
+export {stallTimeoutMs, probeDelayMs} from './stall-timeout.js';
+export type {GenerationSize, GenerationSample} from './min-generation-time.js';
+export {MinGenerationTime} from './min-generation-time.js';
--- a/src/core/streams/stream-time.ts
+++ b/src/core/streams/min-generation-time.ts
@@ -10,23 +10,23 @@
 const CAUTION = 0.8;
 
 /** What is known of a generation when it arrives. */
-export interface GenerationNeed {
+export interface GenerationSize {
   readonly promptTokens: number;
   /** Events that it has at most. */
   readonly maxEvents: number;
   /** Events that the caller has already. */
-  readonly hasEvents: number;
+  readonly receivedEvents: number;
 }
 
 /** A generation that ended well. */
-export interface GenerationTimes {
+export interface GenerationSample {
   readonly promptTokens: number;
   readonly maxEvents: number;
   readonly events: number;
   /** From arrival to the first event, in milliseconds. */
   readonly firstEventMs: number;
   /** From the first event to the last, in milliseconds. */
-  readonly writingMs: number;
+  readonly streamingMs: number;
 }
 
 /**
@@ -39,15 +39,21 @@
  * times.learn(generation);
  * times.isHopeless({need, leftMs: 1_000});
  */
-export class StreamTime {
+export class MinGenerationTime {
   private samples = 0;
   private msPerToken = Number.POSITIVE_INFINITY;
   private msPerEvent = Number.POSITIVE_INFINITY;
   /** Smallest share of the announced events that was written. */
   private eventShare = 1;
 
-  learn(times: GenerationTimes): void {
-    const {promptTokens, maxEvents, events, firstEventMs, writingMs} = times;
+  addSample(times: GenerationSample): void {
+    const {
+      promptTokens,
+      maxEvents,
+      events,
+      firstEventMs,
+      streamingMs: writingMs,
+    } = times;
     if (promptTokens <= 0 || maxEvents <= 0 || events <= 1) return;
     this.samples++;
     this.msPerToken = lower(this.msPerToken, firstEventMs / promptTokens);
@@ -56,15 +62,15 @@
   }
 
   /** The least time for a generation, in milliseconds; 0 while unknown. */
-  shortestMs(need: GenerationNeed): number {
+  shortestMs(need: GenerationSize): number {
     if (this.samples < MIN_SAMPLES) return 0;
-    const {promptTokens, maxEvents, hasEvents} = need;
+    const {promptTokens, maxEvents, receivedEvents: hasEvents} = need;
     const events = Math.max(0, maxEvents * this.eventShare - hasEvents);
     return promptTokens * this.msPerToken + events * this.msPerEvent;
   }
 
   /** Whether a generation cannot end in the time that is left. */
-  isHopeless(options: {need: GenerationNeed; leftMs: number}): boolean {
+  cannotFinish(options: {need: GenerationSize; leftMs: number}): boolean {
     return options.leftMs < this.shortestMs(options.need) * CAUTION;
   }
 }
--- a/src/core/streams/stall-limit.ts
+++ b/src/core/streams/stall-timeout.ts
@@ -20,7 +20,7 @@
  * @example
  * stallLimitMs({maxPauseMs: 700, widestGapMs: 60}); // 300
  */
-export function stallLimitMs(options: {
+export function stallTimeoutMs(options: {
   maxPauseMs?: number;
   /** Widest gap between events of the same target, lately. */
   widestGapMs: number;
@@ -42,10 +42,13 @@
  * @example
  * suspectLimitMs({maxPauseMs: 700, widestGapMs: 60}); // 130
  */
-export function suspectLimitMs(options: {
+export function probeDelayMs(options: {
   maxPauseMs?: number;
   widestGapMs: number;
 }): number {
   const byGapsMs = options.widestGapMs * SUSPECT_GAPS;
-  return Math.min(Math.max(SUSPECT_FLOOR_MS, byGapsMs), stallLimitMs(options));
+  return Math.min(
+    Math.max(SUSPECT_FLOOR_MS, byGapsMs),
+    stallTimeoutMs(options),
+  );
 }
--- a/src/core/targets/index.ts
+++ b/src/core/targets/index.ts
@@ -4,4 +4,4 @@
 export {Target} from './target.js';
 export {TargetSet} from './target-set.js';
 export type {TargetRecord} from './types.js';
-export {lifeOf} from './types.js';
+export {incarnationOf} from './types.js';
--- a/src/core/targets/target-set.ts
+++ b/src/core/targets/target-set.ts
@@ -1,7 +1,7 @@
 /** All targets that are registered, as this entry knows them. */
 import type {Clock} from '../clock/index.js';
 import type {SourceChange, SourceItem} from '../edges/state-source.js';
-import {LAPSE_GRACE_MS, MAX_PACES} from './consts.js';
+import {REREGISTRATION_GRACE_MS, MAX_REMEMBERED_GAPS} from './consts.js';
 import {Target} from './target.js';
 import type {TargetRecord} from './types.js';
 
@@ -38,7 +38,7 @@
   }
 
   /** Whether the registered life of a target is the one that is given. */
-  knows(target: Target): boolean {
+  isCurrent(target: Target): boolean {
     return this.targets.get(target.id) === target;
   }
 
@@ -48,7 +48,7 @@
     const found: Target[] = [];
     for (const target of this.targets.values()) {
       const {record} = target;
-      if (record.service === service && !record.isLeaving) found.push(target);
+      if (record.service === service && !record.isDraining) found.push(target);
     }
     return found;
   }
@@ -82,10 +82,10 @@
     this.missingSinceMs.delete(record.id);
     const known = this.targets.get(record.id);
     if (known !== undefined && isSameLife(known.record, record)) {
-      const wasLeaving = known.record.isLeaving;
+      const wasLeaving = known.record.isDraining;
       known.record = record;
-      if (record.isLeaving && !wasLeaving) {
-        known.noteLeaving();
+      if (record.isDraining && !wasLeaving) {
+        known.recordDraining();
         this.options.onRemoved(known);
       }
       return;
@@ -93,7 +93,7 @@
     if (known !== undefined) this.remove(record.id);
     const {clock, onPaused} = this.options;
     const paceMs = this.paces.get(record.address);
-    const target = new Target({record, clock, onPaused, paceMs});
+    const target = new Target({record, clock, onPaused, eventGapMs: paceMs});
     this.targets.set(record.id, target);
   }
 
@@ -104,16 +104,16 @@
 
   private forgetLapsed(): void {
     if (this.missingSinceMs.size === 0) return;
-    const dueMs = this.options.clock.now() - LAPSE_GRACE_MS;
+    const dueMs = this.options.clock.now() - REREGISTRATION_GRACE_MS;
     for (const [id, sinceMs] of [...this.missingSinceMs]) {
       if (sinceMs <= dueMs) this.remove(id);
     }
   }
 
   /** A restarted target runs on the same machine as before. */
-  private rememberPace({record, paceMs}: Target): void {
+  private rememberPace({record, eventGapMs: paceMs}: Target): void {
     if (paceMs === undefined) return;
-    if (this.paces.size >= MAX_PACES) this.paces.clear();
+    if (this.paces.size >= MAX_REMEMBERED_GAPS) this.paces.clear();
     this.paces.set(record.address, paceMs);
   }
 
@@ -123,11 +123,11 @@
     if (target === undefined) return;
     this.targets.delete(id);
     this.rememberPace(target);
-    target.noteLeaving();
+    target.recordDraining();
     this.options.onRemoved(target);
   }
 }
 
 function isSameLife(a: TargetRecord, b: TargetRecord): boolean {
-  return a.bornMs === b.bornMs && a.address === b.address;
+  return a.startedAtMs === b.startedAtMs && a.address === b.address;
 }
--- a/src/core/targets/target.ts
+++ b/src/core/targets/target.ts
@@ -3,10 +3,10 @@
 import {
   FAILURE_WEIGHT,
   FAILURES_BEFORE_PAUSE,
-  LOAD_FRESH_MS,
+  MAX_REPORT_AGE_MS,
   LONGEST_PAUSE_MS,
-  PACE_AGING,
-  PACE_EVENTS,
+  EVENT_GAP_GROWTH,
+  EVENT_GAP_SAMPLES,
   PAUSE_AFTER_FAILURE_MS,
   PAUSE_AFTER_REJECT_MS,
 } from './consts.js';
@@ -17,20 +17,20 @@
   readonly running: number;
   readonly waiting: number;
   /** Running requests whose prompts are being read; undefined if not told. */
-  readonly reading?: number;
+  readonly prefilling?: number;
   /** Tokens in memory that cannot yield; undefined where it is not told. */
-  readonly memoryUsed?: number;
+  readonly kvUsedTokens?: number;
   /** Start of the life that tells, as a Unix time in milliseconds. */
-  readonly bornMs?: number;
+  readonly startedAtMs?: number;
 }
 
 /** Work that this entry gave to a target. */
 export interface TargetWork {
   /** Tokens in the target's memory at the end of the work; 0 for a call. */
   readonly tokens: number;
-  readonly begunMs: number;
+  readonly startedAtMs: number;
   /** The prompt has not been read yet. */
-  isReading: boolean;
+  isPrefilling: boolean;
 }
 
 /**
@@ -71,9 +71,9 @@
     /** Told of each pause and of its length in milliseconds. */
     onPaused?: (target: Target, pauseMs: number) => void;
     /** The pace of an earlier life at the same address. */
-    paceMs?: number;
+    eventGapMs?: number;
   }) {
-    this.pace = options.paceMs;
+    this.pace = options.eventGapMs;
     this.record = options.record;
     this.clock = options.clock;
     this.onPaused = options.onPaused ?? (() => undefined);
@@ -89,15 +89,15 @@
   }
 
   /** Own requests whose prompts are still being read. */
-  get reading(): number {
+  get prefilling(): number {
     let count = 0;
-    for (const work of this.work) if (work.isReading) count++;
+    for (const work of this.work) if (work.isPrefilling) count++;
     return count;
   }
 
   begin(options: {tokens: number}): TargetWork {
     const {tokens} = options;
-    const work = {tokens, begunMs: this.clock.now(), isReading: true};
+    const work = {tokens, startedAtMs: this.clock.now(), isPrefilling: true};
     this.work.add(work);
     return work;
   }
@@ -107,44 +107,44 @@
   }
 
   /** A copy of a run at another target takes memory here. */
-  addCopy(tokens: number): void {
+  addKvCopy(tokens: number): void {
     this.copyTokens += tokens;
   }
 
-  removeCopy(tokens: number): void {
+  removeKvCopy(tokens: number): void {
     this.copyTokens = Math.max(0, this.copyTokens - tokens);
   }
 
   /** Takes over what the target said of its load, `lagMs` ago. */
-  noteLoad(load: ReportedLoad, lagMs = 0): void {
+  recordLoad(load: ReportedLoad, lagMs = 0): void {
     this.reported = load;
     this.reportedMs = this.clock.now();
     this.takenMs = this.reportedMs - lagMs;
     this.ownWhenReported = 0;
     for (const work of this.work) {
-      if (work.begunMs <= this.takenMs) this.ownWhenReported++;
+      if (work.startedAtMs <= this.takenMs) this.ownWhenReported++;
     }
-    this.noteSeen();
+    this.recordSeen();
   }
 
   /** The target has just shown that it is there. */
-  noteSeen(): void {
+  recordSeen(): void {
     this.seenMs = this.clock.now();
     this.lostMs = undefined;
   }
 
   /** When the target was last seen, on the process's clock. */
-  get lastSeenMs(): number {
+  get lastSeenAtMs(): number {
     return this.seenMs;
   }
 
   /** Since when the target is not there; undefined if it is. */
-  get lostSinceMs(): number | undefined {
+  get unavailableSinceMs(): number | undefined {
     return this.lostMs;
   }
 
   /** Milliseconds since the target last showed that it is there. */
-  unseenMs(): number {
+  lastSeenAgeMs(): number {
     return this.clock.now() - this.seenMs;
   }
 
@@ -159,12 +159,12 @@
   }
 
   /** Prompts that are read or wait to be, as far as is known. */
-  estimatedUnread(): number {
-    if (this.reportAgeMs() > LOAD_FRESH_MS) return this.reading;
-    const {reading = 0, waiting} = this.reported;
+  estimatedPrefills(): number {
+    if (this.reportAgeMs() > MAX_REPORT_AGE_MS) return this.prefilling;
+    const {prefilling: reading = 0, waiting} = this.reported;
     let unread = reading + waiting;
     for (const work of this.work) {
-      if (work.isReading && work.begunMs > this.takenMs) unread++;
+      if (work.isPrefilling && work.startedAtMs > this.takenMs) unread++;
     }
     return unread;
   }
@@ -172,8 +172,8 @@
   /** Tokens in the target's memory, with those that own work will need. */
   plannedTokens(): number {
     const own = this.ownTokens();
-    const {memoryUsed} = this.reported;
-    if (memoryUsed === undefined || this.reportAgeMs() > LOAD_FRESH_MS) {
+    const {kvUsedTokens: memoryUsed} = this.reported;
+    if (memoryUsed === undefined || this.reportAgeMs() > MAX_REPORT_AGE_MS) {
       return own;
     }
     return Math.max(own, memoryUsed + this.tokensBegunSinceReport());
@@ -187,7 +187,7 @@
   }
 
   private othersRequests(): number {
-    if (this.reportAgeMs() > LOAD_FRESH_MS) return 0;
+    if (this.reportAgeMs() > MAX_REPORT_AGE_MS) return 0;
     const {running, waiting} = this.reported;
     return Math.max(0, running + waiting - this.ownWhenReported);
   }
@@ -195,30 +195,30 @@
   private tokensBegunSinceReport(): number {
     let tokens = 0;
     for (const work of this.work) {
-      if (work.begunMs > this.takenMs) tokens += work.tokens;
+      if (work.startedAtMs > this.takenMs) tokens += work.tokens;
     }
     return tokens;
   }
 
   /** Notes the time between two events of a stream, in milliseconds. */
-  noteGap(gapMs: number): void {
+  recordEventGap(gapMs: number): void {
     this.gapsMs += gapMs;
     this.gapCount++;
-    if (this.gapCount < PACE_EVENTS) return;
+    if (this.gapCount < EVENT_GAP_SAMPLES) return;
     const meanMs = this.gapsMs / this.gapCount;
     this.gapsMs = 0;
     this.gapCount = 0;
-    const agedMs = (this.pace ?? Number.POSITIVE_INFINITY) * PACE_AGING;
+    const agedMs = (this.pace ?? Number.POSITIVE_INFINITY) * EVENT_GAP_GROWTH;
     this.pace = Math.min(agedMs, meanMs);
   }
 
   /** Shortest mean time between events seen lately; undefined if unknown. */
-  get paceMs(): number | undefined {
+  get eventGapMs(): number | undefined {
     return this.pace;
   }
 
   /** Notes whether an answer was a failure of the target's own. */
-  noteAnswer(isFailure: boolean): void {
+  recordResponse(isFailure: boolean): void {
     const sample = isFailure ? 1 : 0;
     this.failing += (sample - this.failing) * FAILURE_WEIGHT;
   }
@@ -228,15 +228,15 @@
     return this.failing;
   }
 
-  noteSuccess(): void {
-    this.noteSeen();
+  recordSuccess(): void {
+    this.recordSeen();
     this.failures = 0;
     this.pauses = 0;
     this.pausedUntilMs = Number.NEGATIVE_INFINITY;
   }
 
   /** The target did not answer, or not as it should. */
-  noteFailure(): void {
+  recordFailure(): void {
     this.failures++;
     if (this.failures < FAILURES_BEFORE_PAUSE) return;
     this.pause();
@@ -253,23 +253,23 @@
   }
 
   /** This life of the target is over; another will register itself. */
-  noteGone(): void {
+  recordIncarnationEnded(): void {
     this.pauseFor(LONGEST_PAUSE_MS);
   }
 
   /** The target had no room for a request. */
-  noteRejected(): void {
+  recordRejected(): void {
     this.fullUntilMs = this.clock.now() + PAUSE_AFTER_REJECT_MS;
   }
 
   /** The target takes no new work: it leaves, or is gone. */
-  noteLeaving(): void {
+  recordDraining(): void {
     this.leftMs ??= this.clock.now();
-    this.record = {...this.record, isLeaving: true};
+    this.record = {...this.record, isDraining: true};
   }
 
   /** Milliseconds since the target was found to leave; undefined if not. */
-  leavingForMs(): number | undefined {
+  drainingForMs(): number | undefined {
     return this.leftMs === undefined
       ? undefined
       : this.clock.now() - this.leftMs;
--- a/src/core/targets/types.ts
+++ b/src/core/targets/types.ts
@@ -10,9 +10,9 @@
   /** Requests that it works on at once. */
   readonly slots: number;
   /** It finishes its work and takes no more. */
-  readonly isLeaving: boolean;
+  readonly isDraining: boolean;
   /** Unix milliseconds of its start: tells a restart under the same id. */
-  readonly bornMs?: number;
+  readonly startedAtMs?: number;
 }
 
 /**
@@ -21,6 +21,9 @@
  * @example
  * lifeOf({id: 'i-7', bornMs: 1000, ...rest}); // 'i-7@1000'
  */
-export function lifeOf({id, bornMs = 0}: TargetRecord): string {
+export function incarnationOf({
+  id,
+  startedAtMs: bornMs = 0,
+}: TargetRecord): string {
   return `${id}@${bornMs}`;
 }
--- a/src/direct/call-run.ts
+++ b/src/direct/call-run.ts
@@ -6,15 +6,15 @@
 import {LatencyName} from '../core/metrics/index.js';
 import {chooseCallTarget} from '../core/placing/index.js';
 import {
-  answerFailure,
+  toFailureResponse,
   certainlyDidNotRun,
   countsAsSent,
   decideRetry,
   isTargetFailure,
   retryReasonOf,
-  RetryVerdict,
+  RetryDecision,
 } from '../core/retrying/index.js';
-import type {TryEnd} from '../core/retrying/index.js';
+import type {AttemptResult} from '../core/retrying/index.js';
 import {OperationKind} from '../core/routes/index.js';
 import type {Target, TargetWork} from '../core/targets/index.js';
 import {AnswerBody, TOO_LARGE} from './answer-body.js';
@@ -109,7 +109,7 @@
       listener: {
         onHead: (head) => {
           this.head = head;
-          if (head.load !== undefined) target.noteLoad(head.load);
+          if (head.load !== undefined) target.recordLoad(head.load);
         },
         onData: (chunk) => this.onData(chunk),
         onComplete: () => this.onEnd({status: this.head!.status}),
@@ -148,7 +148,7 @@
     }
     this.noteTaken(current);
     current.exchange.cancel();
-    current.target.noteFailure();
+    current.target.recordFailure();
     this.closeTry();
     this.sent++;
     this.mayHaveRun = true;
@@ -158,7 +158,7 @@
 
   private onFailure(failure: ExchangeFailure, detail: string): void {
     const {target, work} = this.current!;
-    const beganMs = work.begunMs;
+    const beganMs = work.startedAtMs;
     if (!certainlyDidNotRun(failure)) this.mayHaveRun = true;
     const isLost = failure === ExchangeFailure.BROKEN;
     if (isLost) this.poison.noteLoss({target, beganMs});
@@ -172,9 +172,9 @@
     this.onEnd({failure});
   }
 
-  private onEnd(end: TryEnd): void {
+  private onEnd(end: AttemptResult): void {
     const {target} = this.current!;
-    target.noteAnswer(isTargetFailure(end));
+    target.recordResponse(isTargetFailure(end));
     this.closeTry();
     if (countsAsSent(end.failure)) this.sent++;
     const next = this.choose();
@@ -182,16 +182,16 @@
     const reason = retryReasonOf(end.failure, RetryReason.CALL_LOST);
     const verdict = decideRetry({
       operation,
-      end,
-      sent: this.sent,
+      result: end,
+      sentCount: this.sent,
       maxAttempts,
-      hasTarget: next !== undefined,
+      hasOtherTarget: next !== undefined,
       takeFromBudget: () => this.takeFromBudget(reason),
     });
-    if (verdict === RetryVerdict.PASS_ON) {
-      target.noteSuccess();
+    if (verdict === RetryDecision.PASS_ON) {
+      target.recordSuccess();
       this.passOn();
-    } else if (verdict === RetryVerdict.RETRY) {
+    } else if (verdict === RetryDecision.RETRY) {
       this.noteRetry(reason, target);
       if (this.poison.isSuspect()) void this.goOnWithCare();
       else this.send(next!);
@@ -233,7 +233,7 @@
     const target = this.current?.target;
     this.leave();
     const mayHaveRun = this.mayHaveRun || wasUnderWay;
-    const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
+    const {status, reason} = toFailureResponse({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
     this.ctx.logger.info('refused', {
       id: this.work.req.attemptId,
@@ -265,7 +265,7 @@
   }
 
   private noteTaken({target, work}: CallTry): void {
-    this.poison.noteTaken({target, beganMs: work.begunMs});
+    this.poison.noteTaken({target, beganMs: work.startedAtMs});
   }
 
   private stop(): void {
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -180,7 +180,7 @@
   /** Ids of the targets that may be given work. */
   knownTargets(): string[] {
     return [...this.ctx.targets.all()]
-      .filter((target) => !target.record.isLeaving)
+      .filter((target) => !target.record.isDraining)
       .map((target) => target.id);
   }
 
--- a/src/direct/note-failure.ts
+++ b/src/direct/note-failure.ts
@@ -11,15 +11,15 @@
 export function noteFailureAt(target: Target, failure: ExchangeFailure): void {
   switch (failure) {
     case ExchangeFailure.REJECTED:
-      target.noteRejected();
+      target.recordRejected();
       break;
     case ExchangeFailure.WRONG_TARGET:
-      target.noteGone();
+      target.recordIncarnationEnded();
       break;
     case ExchangeFailure.NOT_SENT:
       target.pause();
       break;
     default:
-      target.noteFailure();
+      target.recordFailure();
   }
 }
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -7,7 +7,7 @@
 import type {LossLedger, Quarantine} from '../../core/poison/index.js';
 import {dropOldest, fellTogether} from '../../core/poison/index.js';
 import type {Target, TargetSet} from '../../core/targets/index.js';
-import {lifeOf} from '../../core/targets/index.js';
+import {incarnationOf} from '../../core/targets/index.js';
 import {
   DIAGNOSIS_MS,
   LIFE_CHECK_MS,
@@ -88,7 +88,7 @@
   open(loss: LossCase): void {
     const {ledger} = this.options;
     const {request, target} = loss;
-    const life = lifeOf(target.record);
+    const life = incarnationOf(target.record);
     const key = `${request} ${life}`;
     if (this.diagnoses.has(key) || this.isHeld(loss)) return;
     ledger.note({request, life});
@@ -154,14 +154,14 @@
     const {clock, targets, ledger} = this.options;
     const {request, target} = loss;
     const atMs = clock.now();
-    const wasLeaving = target.record.isLeaving;
+    const wasLeaving = target.record.isDraining;
     await sleep(clock, DIAGNOSIS_MS);
     const cause = this.causeOf(loss, atMs);
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
     await sleep(clock, LIFE_CHECK_MS - DIAGNOSIS_MS);
-    const hasEnded = !targets.knows(target) && target.lastSeenMs < atMs;
+    const hasEnded = !targets.isCurrent(target) && target.lastSeenAtMs < atMs;
     if (!hasEnded || !this.silent.has(loss)) return;
-    ledger.note({request, life: lifeOf(target.record)});
+    ledger.note({request, life: incarnationOf(target.record)});
     this.close(loss, LossCause.UNEXPLAINED);
   }
 
@@ -189,7 +189,8 @@
   private causeOf(loss: LossCase, atMs: number): LossCause {
     const {request, target, beganMs} = loss;
     const {ledger, targets} = this.options;
-    if (target.lastSeenMs > atMs + SEEN_AFTER_MS) return LossCause.TARGET_LIVES;
+    if (target.lastSeenAtMs > atMs + SEEN_AFTER_MS)
+      return LossCause.TARGET_LIVES;
     const isFall = fellTogether({
       lost: target,
       lostAtMs: atMs,
@@ -201,7 +202,10 @@
 
   private close(loss: LossCase, cause: LossCause): void {
     const {ledger, metrics, onNews} = this.options;
-    const key = {request: loss.request, life: lifeOf(loss.target.record)};
+    const key = {
+      request: loss.request,
+      life: incarnationOf(loss.target.record),
+    };
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
     this.tell('cause of loss', loss, {cause});
     if (cause === LossCause.DATA_CENTRE) ledger.noteFall(key);
@@ -215,7 +219,7 @@
   }
 
   private hold({request, clientAccount, target}: LossCase): void {
-    this.options.ledger.settle({request, life: lifeOf(target.record)});
+    this.options.ledger.settle({request, life: incarnationOf(target.record)});
     const targets = this.held.get(request)?.targets ?? new Set<Target>();
     this.held.set(request, {clientAccount, targets: targets.add(target)});
     dropOldest({entries: this.held, most: MAX_HELD});
@@ -227,13 +231,13 @@
     const nowMs = clock.now();
     const held = [...(this.held.get(request)?.targets ?? [])];
     const known = held.filter(
-      (target) => targets.knows(target) && prober.tellsOfBirth(target),
+      (target) => targets.isCurrent(target) && prober.tellsOfBirth(target),
     );
     await Promise.all(
       known.map(async (target) => {
         if (!(await prober.showsLifeSince(target, nowMs))) return;
         this.held.get(request)?.targets.delete(target);
-        ledger.dismiss({request, life: lifeOf(target.record)});
+        ledger.dismiss({request, life: incarnationOf(target.record)});
       }),
     );
   }
@@ -243,7 +247,7 @@
     {id, request, target}: LossCase,
     fields: {held?: number; cause?: LossCause},
   ): void {
-    const {dataCentre, bornMs} = target.record;
+    const {dataCentre, startedAtMs: bornMs} = target.record;
     this.options.logger.info(message, {
       id,
       fingerprint: request,
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -70,7 +70,9 @@
 
   /** Whether a target tells of its birth, so that a restart shows. */
   tellsOfBirth(target: Target): boolean {
-    return this.options.isEngine(target) && target.record.bornMs !== undefined;
+    return (
+      this.options.isEngine(target) && target.record.startedAtMs !== undefined
+    );
   }
 
   /** Asks those of some targets that were not asked lately. */
@@ -117,7 +119,7 @@
     this.options.clock.schedule({
       delayMs,
       run: () => {
-        if (!target.record.isLeaving) void this.isAlive(target);
+        if (!target.record.isDraining) void this.isAlive(target);
       },
     });
   }
@@ -137,16 +139,16 @@
     const {logger} = this.options;
     const report = await this.reportInTime(target);
     if (report.isOk() && isAnotherLife(target, report.value)) {
-      target.noteGone();
+      target.recordIncarnationEnded();
       logger.info('target was replaced', {
         target: target.id,
-        bornMs: report.value.bornMs,
+        bornMs: report.value.startedAtMs,
       });
       return false;
     }
     if (report.isOk()) {
-      target.noteLoad(report.value, REPORT_LAG_MS);
-      target.noteSuccess();
+      target.recordLoad(report.value, REPORT_LAG_MS);
+      target.recordSuccess();
       return true;
     }
     target.pause();
@@ -161,7 +163,10 @@
 }
 
 /** Another target, or a restarted one, has the address now. */
-function isAnotherLife({record}: Target, {bornMs}: ReportedLoad): boolean {
-  const isTold = bornMs !== undefined && record.bornMs !== undefined;
-  return isTold && bornMs !== record.bornMs;
+function isAnotherLife(
+  {record}: Target,
+  {startedAtMs: bornMs}: ReportedLoad,
+): boolean {
+  const isTold = bornMs !== undefined && record.startedAtMs !== undefined;
+  return isTold && bornMs !== record.startedAtMs;
 }
--- a/src/direct/repeat-budgets.ts
+++ b/src/direct/repeat-budgets.ts
@@ -49,7 +49,7 @@
 
   /** Counts a request that is sent for the first time. */
   noteFirstTry(service: string): void {
-    for (const budget of this.budgetsOf(service)) budget.noteFirstTry();
+    for (const budget of this.budgetsOf(service)) budget.recordFirstAttempt();
   }
 
   /** Takes one repeat out of the service's budget; false if none is left. */
@@ -66,10 +66,10 @@
         // Nothing reached the target, so nothing is repeated.
         return true;
       case RetryReason.TARGET_REFUSED:
-        return rejections.tryRetry();
+        return rejections.tryTakeRetry();
       default:
-        if (!hadWritten && !unwritten.tryRetry()) return false;
-        return losses.tryRetry();
+        if (!hadWritten && !unwritten.tryTakeRetry()) return false;
+        return losses.tryTakeRetry();
     }
   }
 
@@ -78,9 +78,9 @@
     const lossRatio = ratio * RETRY_SHARE;
     const rejectionRatio = ratio * REJECTED_RATIO;
     return [
-      this.losses.of({name, retryRatio: lossRatio}),
-      this.unwritten.of({name, retryRatio: lossRatio}),
-      this.rejections.of({name, retryRatio: rejectionRatio}),
+      this.losses.forService({name, retryRatio: lossRatio}),
+      this.unwritten.forService({name, retryRatio: lossRatio}),
+      this.rejections.forService({name, retryRatio: rejectionRatio}),
     ] as const;
   }
 }
--- a/src/direct/streams/copy-keeper.ts
+++ b/src/direct/streams/copy-keeper.ts
@@ -60,7 +60,7 @@
     if (this.isBusy || this.current === undefined) return;
     const {holder} = this.current;
     const ageMs = this.options.ctx.clock.now() - this.askedMs;
-    const isSound = canGoOnAt(holder) && !holder.record.isLeaving;
+    const isSound = canGoOnAt(holder) && !holder.record.isDraining;
     if (isSound) {
       if (this.isAsked && ageMs >= COPY_REFRESH_MS) void this.ask(holder);
       return;
@@ -74,7 +74,7 @@
   close(options: {isNeeded: boolean}): void {
     this.isOver = true;
     if (this.current === undefined) return;
-    this.current.holder.removeCopy(this.options.tokens);
+    this.current.holder.removeKvCopy(this.options.tokens);
     // The runner itself frees the copy that it made with the request.
     const isLeftOver = this.isAsked && !options.isNeeded;
     if (isLeftOver) this.free(this.current.reference.id);
@@ -119,8 +119,8 @@
 
   private take(copy: RunCopy): void {
     const {tokens} = this.options;
-    this.current?.holder.removeCopy(tokens);
-    copy.holder.addCopy(tokens);
+    this.current?.holder.removeKvCopy(tokens);
+    copy.holder.addKvCopy(tokens);
     this.current = copy;
   }
 }
--- a/src/direct/streams/silence-watch.ts
+++ b/src/direct/streams/silence-watch.ts
@@ -1,6 +1,6 @@
 /** Notices that the target of a stream has fallen silent. */
 import type {TimerHandle} from '../../core/clock/index.js';
-import {stallLimitMs, suspectLimitMs} from '../../core/streams/index.js';
+import {stallTimeoutMs, probeDelayMs} from '../../core/streams/index.js';
 import type {Target} from '../../core/targets/index.js';
 import {READING_CHECK_MS} from '../consts.js';
 import type {DirectContext} from '../context.js';
@@ -59,7 +59,7 @@
   }
 
   private noteGap(gapMs: number): void {
-    this.options.target.noteGap(gapMs);
+    this.options.target.recordEventGap(gapMs);
     this.widestGapMs = Math.max(this.widestGapMs * GAP_DECAY, gapMs);
   }
 
@@ -72,7 +72,7 @@
 
   /** Waits until the present gap has become suspicious. */
   private watchGap(): void {
-    const leftMs = suspectLimitMs(this.facts()) - this.silentMs();
+    const leftMs = probeDelayMs(this.facts()) - this.silentMs();
     if (leftMs <= 0) void this.lookInto();
     else this.waitFor(leftMs, () => this.watchGap());
   }
@@ -88,7 +88,7 @@
 
   /** The target is there, but it writes nothing. */
   private awaitStall(events: number): void {
-    const leftMs = stallLimitMs(this.facts()) - this.silentMs();
+    const leftMs = stallTimeoutMs(this.facts()) - this.silentMs();
     if (this.events > events) this.watchGap();
     else if (leftMs <= 0) this.lose();
     else this.waitFor(leftMs, () => this.awaitStall(events));
@@ -102,7 +102,7 @@
   private lose(): void {
     const silentMs = Math.round(this.silentMs());
     this.stop();
-    this.options.target.noteFailure();
+    this.options.target.recordFailure();
     this.options.onLost(silentMs);
   }
 
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -1,8 +1,8 @@
 /** Where a stream runs next, and where its copy goes. */
-import type {EngineChoice} from '../../core/placing/index.js';
+import type {EngineQuery} from '../../core/placing/index.js';
 import {
   chooseEngine,
-  rankApart,
+  rankByFingerprint,
   shortlistEngines,
 } from '../../core/placing/index.js';
 import type {Target} from '../../core/targets/index.js';
@@ -61,8 +61,8 @@
     return chooseEngine({
       ...this.choice(),
       excluded: new Set([runner.id]),
-      avoided: new Set([...this.doubtful, runner.record.dataCentre]),
-      isSeenLately: true,
+      avoidedDataCentres: new Set([...this.doubtful, runner.record.dataCentre]),
+      preferRecentlySeen: true,
     });
   }
 
@@ -90,17 +90,17 @@
     if (identity === undefined)
       return shortlistEngines(this.choice(), SHORTLIST);
     const all = shortlistEngines(this.choice(), Number.POSITIVE_INFINITY);
-    return rankApart(identity, all.filter(isHere)).slice(0, SHORTLIST);
+    return rankByFingerprint(identity, all.filter(isHere)).slice(0, SHORTLIST);
   }
 
-  private choice(): EngineChoice {
+  private choice(): EngineQuery {
     const {ctx, work, tokens} = this;
     return {
       targets: ctx.targets.ofService(work.service.name),
       tokens,
-      memoryTokens: work.service.engine?.memoryTokens ?? Infinity,
+      kvCapacityTokens: work.service.engine?.memoryTokens ?? Infinity,
       excluded: this.excluded,
-      avoided: this.doubtful,
+      avoidedDataCentres: this.doubtful,
       random: ctx.random,
     };
   }
@@ -114,10 +114,10 @@
  * if (canGoOnAt(holder)) goOnAt(holder);
  */
 export function canGoOnAt(holder: Target): boolean {
-  const leavingForMs = holder.leavingForMs() ?? 0;
+  const leavingForMs = holder.drainingForMs() ?? 0;
   return leavingForMs < LEAVING_WORK_MS && !holder.isPaused();
 }
 
 function isHere(target: Target): boolean {
-  return !target.record.isLeaving && !target.isPaused();
+  return !target.record.isDraining && !target.isPaused();
 }
--- a/src/direct/streams/stream-run.ts
+++ b/src/direct/streams/stream-run.ts
@@ -5,11 +5,14 @@
   CopyReference,
 } from '../../core/edges/direct-target.js';
 import {RefusalReason, RetryReason} from '../../core/errors/refusals.js';
-import {answerFailure, certainlyDidNotRun} from '../../core/retrying/index.js';
+import {
+  toFailureResponse,
+  certainlyDidNotRun,
+} from '../../core/retrying/index.js';
 import type {RawEvent} from '../../core/streams/index.js';
 import {
   EventSequence,
-  EventVerdict,
+  SequenceCheck,
   toPosition,
 } from '../../core/streams/index.js';
 import type {Target} from '../../core/targets/index.js';
@@ -117,7 +120,7 @@
     const need = needOf(req, service);
     if (need === undefined) return false;
     const leftMs = endMs - this.ctx.clock.now();
-    return this.ctx.streamTimes.of(service.name).isHopeless({need, leftMs});
+    return this.ctx.streamTimes.of(service.name).cannotFinish({need, leftMs});
   }
 
   private refuse(reason: RefusalReason): void {
@@ -175,11 +178,11 @@
   }
 
   private onEvent(head: AnswerHead, event: RawEvent): void {
-    const verdict = this.sequence.judge(event.id);
-    if (verdict === EventVerdict.PASS) {
+    const verdict = this.sequence.check(event.id);
+    if (verdict === SequenceCheck.PASS) {
       this.delivery.pass(head, event);
     }
-    if (verdict !== EventVerdict.GAP) return;
+    if (verdict !== SequenceCheck.GAP) return;
     this.current?.cancel();
     const reason = RetryReason.ENGINE_DIED;
     this.onLost({reason, detail: `event ${event.id} is out of order`});
@@ -252,7 +255,7 @@
     const mayHaveRun = this.mayHaveRun || this.current !== undefined || isOpen;
     const target = this.current?.target;
     this.leave();
-    const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
+    const {status, reason} = toFailureResponse({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
     this.ctx.logger.info('stream given up', {
       id: this.work.req.attemptId,
@@ -261,7 +264,7 @@
       events: this.sequence.count,
       tries: this.tries,
       target: target?.id,
-      unread: target?.estimatedUnread(),
+      unread: target?.estimatedPrefills(),
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
     });
@@ -301,14 +304,14 @@
   private learnTimes(): void {
     const {req, service} = this.work;
     const need = needOf(req, service);
-    if (need === undefined || need.hasEvents > 0 || this.tries > 1) return;
+    if (need === undefined || need.receivedEvents > 0 || this.tries > 1) return;
     const takenMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
-    this.ctx.streamTimes.of(service.name).learn({
+    this.ctx.streamTimes.of(service.name).addSample({
       ...need,
       events: this.sequence.count,
       firstEventMs,
-      writingMs: takenMs - firstEventMs,
+      streamingMs: takenMs - firstEventMs,
     });
   }
 
@@ -329,7 +332,7 @@
       id: this.work.req.attemptId,
       holder: holder.id,
       dataCentre: holder.record.dataCentre,
-      isLeaving: holder.record.isLeaving,
+      isLeaving: holder.record.isDraining,
       isPaused: holder.isPaused(),
     });
   }
@@ -340,7 +343,7 @@
       target: target.id,
       dataCentre: target.record.dataCentre,
       requests: target.estimatedRequests(),
-      unread: target.estimatedUnread(),
+      unread: target.estimatedPrefills(),
       reportAgeMs: Math.round(Math.min(target.reportAgeMs(), 1e6)),
       usesCopy,
       copyAt: copy?.holder.record.dataCentre,
--- a/src/direct/streams/stream-times.ts
+++ b/src/direct/streams/stream-times.ts
@@ -1,8 +1,8 @@
 /** How long the generations of each service take. */
 import type {CallerRequest} from '../../core/edges/direct-caller.js';
 import type {RoutedService} from '../../core/routes/index.js';
-import type {GenerationNeed} from '../../core/streams/index.js';
-import {StreamTime, toPosition} from '../../core/streams/index.js';
+import type {GenerationSize} from '../../core/streams/index.js';
+import {MinGenerationTime, toPosition} from '../../core/streams/index.js';
 
 /**
  * One `StreamTime` for each service.
@@ -11,12 +11,12 @@
  * times.of('drafts').isHopeless({need, leftMs});
  */
 export class StreamTimes {
-  private readonly times = new Map<string, StreamTime>();
+  private readonly times = new Map<string, MinGenerationTime>();
 
-  of(service: string): StreamTime {
+  of(service: string): MinGenerationTime {
     let time = this.times.get(service);
     if (time === undefined) {
-      time = new StreamTime();
+      time = new MinGenerationTime();
       this.times.set(service, time);
     }
     return time;
@@ -32,13 +32,13 @@
 export function needOf(
   req: CallerRequest,
   service: RoutedService,
-): GenerationNeed | undefined {
+): GenerationSize | undefined {
   const {generation, lastEventId} = req;
   const {engine} = service;
   if (generation === undefined || engine === undefined) return undefined;
   return {
     promptTokens: generation.promptTokens,
     maxEvents: generation.maxOutputTokens / engine.tokensPerEvent,
-    hasEvents: toPosition(lastEventId) ?? 0,
+    receivedEvents: toPosition(lastEventId) ?? 0,
   };
 }
--- a/src/direct/streams/stream-try.ts
+++ b/src/direct/streams/stream-try.ts
@@ -6,7 +6,7 @@
 } from '../../core/edges/direct-target.js';
 import {ExchangeFailure} from '../../core/edges/direct-target.js';
 import {RetryReason} from '../../core/errors/refusals.js';
-import {urgencyClass} from '../../core/placing/index.js';
+import {enginePriority} from '../../core/placing/index.js';
 import {retryReasonOf} from '../../core/retrying/index.js';
 import type {RawEvent} from '../../core/streams/index.js';
 import {EventSplitter} from '../../core/streams/index.js';
@@ -116,7 +116,7 @@
 
   /** When the request came to the target, on the process's clock. */
   get beganMs(): number {
-    return this.work.begunMs;
+    return this.work.startedAtMs;
   }
 
   /** Events that this target has written. */
@@ -145,7 +145,7 @@
       req: toTargetRequest({
         work,
         leftMs: work.endMs - ctx.clock.now(),
-        priority: urgencyClass({route, account, isUnderWay}),
+        priority: enginePriority({route, account, isResumed: isUnderWay}),
         lastEventId: lastEventId?.toString(),
         copyTo: this.copy?.holder.record.address,
         copyFrom,
@@ -161,7 +161,7 @@
 
   private onHead(head: AnswerHead): void {
     this.head = head;
-    if (head.load !== undefined) this.target.noteLoad(head.load);
+    if (head.load !== undefined) this.target.recordLoad(head.load);
   }
 
   private onData(chunk: Uint8Array): void {
@@ -189,8 +189,8 @@
 
   private noteEvent(): void {
     this.count++;
-    this.work.isReading = false;
-    this.target.noteSeen();
+    this.work.isPrefilling = false;
+    this.target.recordSeen();
     if (!this.options.work.admitted.route.isResumable) return;
     this.watch.noteEvent();
     this.keeper.check();
@@ -207,7 +207,7 @@
       this.lose({reason, detail: 'ended within an event'});
     } else {
       this.close({copyIsNeeded: false});
-      this.target.noteSuccess();
+      this.target.recordSuccess();
       this.options.listener.onEnd(head);
     }
   }
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -121,12 +121,12 @@
   /** A first target is free; another one draws on the retry budget. */
   private chooseTarget(event: BookingEvent): AgentPlace | undefined {
     const {request, options} = this;
-    const budget = options.parts.retryBudgets.of(request.service);
+    const budget = options.parts.retryBudgets.forService(request.service);
     if (event.kind === EventKind.BEGIN) {
-      budget.noteFirstTry();
+      budget.recordFirstAttempt();
       return this.agents.choose(undefined);
     }
-    if (!mayMove(this.state, event) || !budget.tryRetry()) return undefined;
+    if (!mayMove(this.state, event) || !budget.tryTakeRetry()) return undefined;
     this.countRetry(RetryReason.TARGET_REFUSED);
     return this.agents.choose(this.state.stored?.claim.agentVm);
   }
--- a/src/entry/calls/plain-service.ts
+++ b/src/entry/calls/plain-service.ts
@@ -10,7 +10,7 @@
 import {Ran, RefusalReason, RetryReason} from '../../core/errors/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import type {
-  FailureWatch,
+  OutlierDetector,
   TargetChooser,
   TargetView,
 } from '../../core/routing/index.js';
@@ -34,7 +34,7 @@
   readonly metrics: Metrics;
   readonly links: AgentLinks;
   readonly chooser: TargetChooser;
-  readonly failures: FailureWatch;
+  readonly failures: OutlierDetector;
   readonly retryBudgets: RetryBudgets;
   readonly dataCentre: string;
 }
@@ -51,8 +51,8 @@
     request: ResolvedPlain,
   ): Promise<Result<PlainResponse, Refusal>> {
     const tried: string[] = [];
-    const budget = this.parts.retryBudgets.of(request.service);
-    budget.noteFirstTry();
+    const budget = this.parts.retryBudgets.forService(request.service);
+    budget.recordFirstAttempt();
     let ran = Ran.NO;
     while (tried.length < MAX_TRIES) {
       const leftMs = request.deadlineAtMs - this.parts.clock.now();
@@ -73,7 +73,7 @@
       if (answer.isErr() && mayHaveRun(answer.error)) ran = Ran.UNKNOWN;
       tried.push(target.vm);
       if (tried.length === MAX_TRIES) break;
-      if (!budget.tryRetry()) return err(budgetSpent(ran));
+      if (!budget.tryTakeRetry()) return err(budgetSpent(ran));
       if (answer.isErr()) this.countRetry(answer.error);
     }
     return err(targetsFailed(ran));
@@ -110,7 +110,7 @@
   private noteOutcome(vm: string, answer: Result<CallAnswer, CallError>): void {
     const status = answer.isOk() ? (answer.value.response?.status ?? 0) : 0;
     const failed = answer.isErr() || status >= SERVER_ERROR;
-    this.parts.failures.note({vm, failed});
+    this.parts.failures.recordOutcome({vm, failed});
   }
 
   private countRetry(error: CallError): void {
--- a/src/entry/entry-board.ts
+++ b/src/entry/entry-board.ts
@@ -1,7 +1,7 @@
 import type {Maybe} from 'purify-ts';
 import {Nothing} from 'purify-ts';
 
-import type {EntryLoad} from '../core/admission/index.js';
+import type {EntryCapacity} from '../core/admission/index.js';
 import {Cell} from '../core/blackboard/index.js';
 import type {SiteConfig} from '../core/config/types.js';
 import type {VmRecord} from '../core/edges/index.js';
@@ -21,5 +21,5 @@
   readonly vms = new Cell<readonly VmRecord[]>([]);
   readonly leaving = new Cell(false);
   /** This entry's share of the targets' capacity. */
-  readonly load = new Cell<EntryLoad>({liveEntries: 1, services: []});
+  readonly load = new Cell<EntryCapacity>({liveEntries: 1, services: []});
 }
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -28,7 +28,7 @@
   PeerServer,
   PROTOCOL_VERSION,
 } from '../core/protocol/index.js';
-import {FailureWatch, LoadAwareChoice} from '../core/routing/index.js';
+import {OutlierDetector, LoadAwareChooser} from '../core/routing/index.js';
 import type {DaemonSettings} from '../core/settings/types.js';
 import {AgentLinks} from './links/agent-links.js';
 import {BookingService} from './calls/booking-service.js';
@@ -189,12 +189,12 @@
     const {countOpenAnswers} = this.options;
     return new DrainController({
       ...this.options,
-      leaving: this.board.leaving,
+      draining: this.board.leaving,
       limits: ENTRY_DRAIN_LIMITS,
       work: {
         countRunning: () => this.countRunning() + countOpenAnswers(),
         countUnsentBytes: () => 0,
-        countPeersToAnswer: () => 0,
+        countPendingPeers: () => 0,
       },
     });
   }
@@ -205,13 +205,13 @@
 
   private createParts(): RunParts {
     const {clock, random, metrics, settings} = this.options;
-    const failures = new FailureWatch({clock});
+    const failures = new OutlierDetector({clock});
     return {
       clock,
       random,
       metrics,
       links: this.links,
-      chooser: new LoadAwareChoice({random, failures}),
+      chooser: new LoadAwareChooser({random, outliers: failures}),
       failures,
       retryBudgets: new RetryBudgets({clock}),
       dataCentre: settings.dataCentre,
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -109,7 +109,9 @@
     const order = this.createOrder(request, this.options.parts.random.id());
     const kind = restarted ? WorkKind.RESUME : WorkKind.NEW;
     return this.admit({request, order, kind}).map((ticket) => {
-      this.options.parts.retryBudgets.of(request.service).noteFirstTry();
+      this.options.parts.retryBudgets
+        .forService(request.service)
+        .recordFirstAttempt();
       const {copy, run} = this.hold(order, ticket);
       const reader = copy.read({position: 0, restarted});
       run.start();
--- a/src/entry/generation/may-retry-refused.ts
+++ b/src/entry/generation/may-retry-refused.ts
@@ -15,5 +15,5 @@
   const {message, order, parts} = options;
   if (message.reason === RefusalReason.LEAVING) return true;
   const {service: name, retryRatio} = order;
-  return parts.retryBudgets.of({name, retryRatio}).tryRetry();
+  return parts.retryBudgets.forService({name, retryRatio}).tryTakeRetry();
 }
--- a/src/entry/generation/run-types.ts
+++ b/src/entry/generation/run-types.ts
@@ -4,7 +4,7 @@
 import type {GenerationSpec} from '../../core/edges/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import type {Quarantine} from '../../core/poison/index.js';
-import type {FailureWatch, TargetChooser} from '../../core/routing/index.js';
+import type {OutlierDetector, TargetChooser} from '../../core/routing/index.js';
 import type {AgentLinks} from '../links/agent-links.js';
 import type {AttemptPlace} from './answer-copy.js';
 import type {AttemptLink} from './attempt-link.js';
@@ -30,7 +30,7 @@
   readonly metrics: Metrics;
   readonly links: AgentLinks;
   readonly chooser: TargetChooser;
-  readonly failures: FailureWatch;
+  readonly failures: OutlierDetector;
   readonly retryBudgets: RetryBudgets;
   readonly dataCentre: string;
   readonly quarantine: Quarantine;
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -7,7 +7,7 @@
 import type {RecoveryPolicy} from '../../core/generation/index.js';
 import {
   BUSY_BOUNDS,
-  GapThreshold,
+  SilenceTimeout,
   IDLE_BOUNDS,
 } from '../../core/membership/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
@@ -26,8 +26,8 @@
 } from '../../core/protocol/index.js';
 import type {TargetView} from '../../core/routing/index.js';
 import {
-  OWN_COUNTS_KEEP_MS,
-  OwnCounts,
+  COUNT_RETENTION_MS,
+  CountHistory,
   REPORT_ROUND_TRIP_MS,
 } from '../../core/routing/index.js';
 import {
@@ -50,8 +50,8 @@
   private suspected = false;
   private unlisted = false;
   private toldLeave = false;
-  private readonly busyGaps = new GapThreshold(BUSY_BOUNDS[Weigh.LATENCY]);
-  private readonly idleGaps = new GapThreshold(IDLE_BOUNDS);
+  private readonly busyGaps = new SilenceTimeout(BUSY_BOUNDS[Weigh.LATENCY]);
+  private readonly idleGaps = new SilenceTimeout(IDLE_BOUNDS);
   private offeredVersion = 0;
   private configDueAtMs = 0;
   /** Incarnation that was connected while the VM list called it live. */
@@ -59,7 +59,9 @@
   private quiet = false;
   /** Attempts to cancel once the agent is back. */
   private readonly pendingCancels = new Set<string>();
-  private readonly ownCounts = new OwnCounts({keepMs: OWN_COUNTS_KEEP_MS});
+  private readonly ownCounts = new CountHistory({
+    retentionMs: COUNT_RETENTION_MS,
+  });
   private ownAtReport = 0;
   private usableSinceMs: number | undefined;
 
@@ -156,13 +158,13 @@
       service,
       incarnation: this.incarnation,
       usable,
-      leaving,
+      draining: leaving,
       ownInFlight: this.handlers.size,
       running: beat?.running ?? 0,
       waiting: beat?.waiting ?? 0,
       capacity: beat?.capacity ?? 0,
       cachedPrefixes: beat?.cachedPrefixes ?? [],
-      ownAtReport: this.ownAtReport,
+      ownInReport: this.ownAtReport,
       usableForMs: this.noteUsable(usable),
     };
   }
@@ -209,7 +211,7 @@
     if (!this.client.isReady() || this.suspected) return;
     const busy = this.handlers.size > 0;
     const silentMs = this.silentForMs(busy);
-    const allowedMs = (busy ? this.busyGaps : this.idleGaps).allowedMs();
+    const allowedMs = (busy ? this.busyGaps : this.idleGaps).timeoutMs();
     if (busy) this.checkQuiet(silentMs, allowedMs * policy.hedgeShare);
     if (silentMs <= allowedMs) return;
     this.suspected = true;
@@ -286,7 +288,7 @@
   private noteHeard(): void {
     const nowMs = this.options.clock.now();
     const busy = this.handlers.size > 0;
-    (busy ? this.busyGaps : this.idleGaps).note(this.silentForMs(busy));
+    (busy ? this.busyGaps : this.idleGaps).recordGap(this.silentForMs(busy));
     this.heardAtMs = nowMs;
     this.suspected = false;
     this.quiet = false;
@@ -342,7 +344,7 @@
 
   private noteCount(): void {
     const nowMs = this.options.clock.now();
-    this.ownCounts.note({nowMs, count: this.handlers.size});
+    this.ownCounts.record({nowMs, count: this.handlers.size});
   }
 
   /** Time since the target became usable; 0 while it is not. */
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -187,6 +187,6 @@
 }
 
 function stateOf(view: TargetView): string {
-  if (view.leaving) return 'leaving';
+  if (view.draining) return 'leaving';
   return view.usable ? 'usable' : 'unusable';
 }
--- a/src/entry/load-controller.ts
+++ b/src/entry/load-controller.ts
@@ -1,6 +1,6 @@
 /** Works out this entry's share of the targets' capacity. */
-import type {EntryLoad, ServiceSlots} from '../core/admission/index.js';
-import {resolveSlots, RESUME_SHARE} from '../core/admission/index.js';
+import type {EntryCapacity, ServiceSlots} from '../core/admission/index.js';
+import {computeSlots, RESUME_SHARE} from '../core/admission/index.js';
 import type {Clock, TimerHandle} from '../core/clock/index.js';
 import type {
   RecoveryConfig,
@@ -58,7 +58,7 @@
   cfg: Pick<SiteConfig, 'services' | 'recovery'>;
   vms: readonly VmRecord[];
   views: readonly TargetView[];
-}): EntryLoad {
+}): EntryCapacity {
   const {cfg, vms, views} = options;
   const {services, recovery} = cfg;
   const liveEntries = Math.max(1, vms.filter(isLiveEntry).length);
@@ -90,7 +90,7 @@
   // Where each entry watches a part of the targets, fewer entries share one.
   const watchedShare = listed === 0 ? 1 : Math.min(1, views.length / listed);
   const sharers = Math.max(1, liveEntries * watchedShare);
-  const slots = resolveSlots({views, sharers});
+  const slots = computeSlots({views, entryCount: sharers});
   const resumeSlots = Math.floor(slots * resumeShare);
   return {service: service.name, slots, resumeSlots};
 }
--- a/test/core/admission/capacity.test.ts
+++ b/test/core/admission/capacity.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
-import {resolveSlots, splitLimit} from '../../../src/core/admission/index.js';
+import {computeSlots, splitLimit} from '../../../src/core/admission/index.js';
 import type {TargetView} from '../../../src/core/routing/index.js';
 
 const SEED = 20261204;
@@ -14,7 +14,7 @@
     service: 'drafts',
     incarnation: 'i',
     usable: true,
-    leaving: false,
+    draining: false,
     ownInFlight: 0,
     running: 0,
     waiting: 0,
@@ -41,10 +41,10 @@
         ownInFlight,
         running: Math.min(total, capacity),
         waiting: Math.max(0, total - capacity),
-        ownAtReport: seen[i]!,
+        ownInReport: seen[i]!,
       });
       const sharers = wanted.length;
-      const slots = resolveSlots({views: [view], sharers});
+      const slots = computeSlots({views: [view], entryCount: sharers});
       // One request ends in each step; others start up to the slots.
       const left = Math.max(0, ownInFlight - 1);
       return Math.max(left, Math.min(slots, wanted[i]!));
@@ -73,7 +73,7 @@
       running: fc.nat({max: 10_000}),
       waiting: fc.nat({max: 10_000}),
       capacity: fc.integer({min: 1, max: 64}),
-      ownAtReport: fc.nat({max: 100}),
+      ownInReport: fc.nat({max: 100}),
     });
     fc.assert(
       fc.property(
@@ -82,7 +82,7 @@
         (fields, sharers) => {
           const views = fields.map((f) => viewOf(f));
           const total = views.reduce((sum, v) => sum + v.capacity, 0);
-          const slots = resolveSlots({views, sharers});
+          const slots = computeSlots({views, entryCount: sharers});
           expect(slots).toBeGreaterThanOrEqual(
             Math.max(1, Math.floor(total / sharers)),
           );
@@ -95,7 +95,7 @@
 
   it('gives nothing where no target is usable', () => {
     const views = [viewOf({usable: false})];
-    expect(resolveSlots({views, sharers: 1})).toBe(0);
+    expect(computeSlots({views, entryCount: 1})).toBe(0);
   });
 });
 
--- a/test/core/admission/drain-rate.test.ts
+++ b/test/core/admission/drain-rate.test.ts
@@ -15,9 +15,9 @@
         const rate = new DrainRate();
         let nowMs = 0;
         const depart = (gapMs: number): void => {
-          rate.noteWaiting(nowMs);
+          rate.recordWaiting(nowMs);
           nowMs += gapMs;
-          rate.noteDeparture({nowMs, stillWaiting: true});
+          rate.recordDeparture({nowMs, stillWaiting: true});
         };
         gaps.forEach(depart);
         for (let ms = 0; ms < 20_000; ms += evenMs) depart(evenMs);
@@ -38,16 +38,16 @@
     },
   ])('gives $expected where $name', ({departures, laterMs, expected}) => {
     const rate = new DrainRate();
-    rate.noteWaiting(0);
+    rate.recordWaiting(0);
     for (let i = 1; i <= departures; i++) {
-      rate.noteDeparture({nowMs: 50 * i, stillWaiting: i < departures});
+      rate.recordDeparture({nowMs: 50 * i, stillWaiting: i < departures});
     }
     expect(rate.intervalMs(50 * departures + laterMs)).toBe(expected);
   });
 
   it('counts no request that did not wait', () => {
     const rate = new DrainRate();
-    rate.noteDeparture({nowMs: 10, stillWaiting: false});
+    rate.recordDeparture({nowMs: 10, stillWaiting: false});
     expect(rate.intervalMs(10)).toBe(0);
   });
 });
--- a/test/core/admission/retry-budget.test.ts
+++ b/test/core/admission/retry-budget.test.ts
@@ -53,10 +53,10 @@
         for (const {waitMs, firstTry} of steps) {
           clock.advance(waitMs);
           if (firstTry) {
-            budget.noteFirstTry();
+            budget.recordFirstAttempt();
             naive.note(clock.now());
           } else {
-            expect(budget.tryRetry()).toBe(naive.tryRetry(clock.now()));
+            expect(budget.tryTakeRetry()).toBe(naive.tryRetry(clock.now()));
           }
         }
       }),
@@ -73,9 +73,9 @@
       const firstTries = 10_000;
       for (let i = 0; i < firstTries; i++) {
         clock.advance(10);
-        budget.noteFirstTry();
+        budget.recordFirstAttempt();
         sent++;
-        for (let k = 0; k < wantedPerTry && budget.tryRetry(); k++) sent++;
+        for (let k = 0; k < wantedPerTry && budget.tryTakeRetry(); k++) sent++;
       }
       expect(sent / firstTries).toBeLessThanOrEqual(1.1);
       expect(sent / firstTries).toBeGreaterThan(1.09);
@@ -84,8 +84,8 @@
 
   it('allows the retry of a lone failure', () => {
     const budget = new RetryBudget({clock: new ManualClock(), ratio: RATIO});
-    budget.noteFirstTry();
-    expect(budget.tryRetry()).toBe(true);
+    budget.recordFirstAttempt();
+    expect(budget.tryTakeRetry()).toBe(true);
   });
 });
 
@@ -94,8 +94,9 @@
     const budgets = new RetryBudgets({clock: new ManualClock()});
     const stock = {name: 'stock', retryRatio: RATIO};
     const drafts = {name: 'drafts', retryRatio: RATIO};
-    for (let i = 0; i < RETRY_FLOOR; i++) budgets.of(stock).tryRetry();
-    expect(budgets.of(stock).tryRetry()).toBe(false);
-    expect(budgets.of(drafts).tryRetry()).toBe(true);
+    for (let i = 0; i < RETRY_FLOOR; i++)
+      budgets.forService(stock).tryTakeRetry();
+    expect(budgets.forService(stock).tryTakeRetry()).toBe(false);
+    expect(budgets.forService(drafts).tryTakeRetry()).toBe(true);
   });
 });
--- a/test/core/drain/drain-controller.test.ts
+++ b/test/core/drain/drain-controller.test.ts
@@ -32,14 +32,14 @@
   const clock = new ManualClock();
   const ends: number[] = [];
   const drain = new DrainController({
-    leaving,
+    draining: leaving,
     clock,
     logger: SILENT_LOGGER,
     limits: AGENT_DRAIN_LIMITS,
     work: {
       countRunning: () => now.step.running,
       countUnsentBytes: () => now.step.unsent,
-      countPeersToAnswer: () => now.step.peers,
+      countPendingPeers: () => now.step.peers,
     },
     onDrained: () => void ends.push(clock.now()),
   });
@@ -48,7 +48,8 @@
 
 describe('DrainController', () => {
   it(`ends once, never with work, never unbounded (seed ${SEED})`, () => {
-    const {noticeMs, silentPeerMs} = AGENT_DRAIN_LIMITS;
+    const {minDrainMs: noticeMs, peerTimeoutMs: silentPeerMs} =
+      AGENT_DRAIN_LIMITS;
     fc.assert(
       fc.property(fc.array(STEP, {minLength: 1, maxLength: 300}), (steps) => {
         const now = {step: steps[0]!};
--- a/test/core/membership/membership.test.ts
+++ b/test/core/membership/membership.test.ts
@@ -2,10 +2,10 @@
 import {describe, expect, it} from 'vitest';
 
 import {
-  COVERING_ENTRIES,
+  WATCHERS_PER_TARGET,
   GAP_FACTOR,
-  GAPS_KEPT,
-  GapThreshold,
+  GAP_SAMPLES,
+  SilenceTimeout,
   isAmongFirst,
   rankByRendezvous,
   selectSubset,
@@ -27,15 +27,15 @@
   it(`suspects no gap like those learned, and all past the ceiling (seed ${SEED})`, () => {
     const gaps = fc.array(fc.integer({min: 1, max: 3_000}), {
       minLength: 1,
-      maxLength: 3 * GAPS_KEPT,
+      maxLength: 3 * GAP_SAMPLES,
     });
     fc.assert(
       fc.property(gaps, (learned) => {
-        const threshold = new GapThreshold(BOUNDS);
-        expect(threshold.allowedMs()).toBe(BOUNDS.ceilingMs);
-        learned.forEach((gapMs) => threshold.note(gapMs));
-        const allowedMs = threshold.allowedMs();
-        const recent = learned.slice(-GAPS_KEPT);
+        const threshold = new SilenceTimeout(BOUNDS);
+        expect(threshold.timeoutMs()).toBe(BOUNDS.ceilingMs);
+        learned.forEach((gapMs) => threshold.recordGap(gapMs));
+        const allowedMs = threshold.timeoutMs();
+        const recent = learned.slice(-GAP_SAMPLES);
         const naiveMs = Math.max(...recent) * GAP_FACTOR;
         const {floorMs, ceilingMs} = BOUNDS;
         expect(allowedMs).toBe(Math.min(ceilingMs, Math.max(floorMs, naiveMs)));
@@ -59,7 +59,7 @@
         const left = rankByRendezvous({key, members: all.slice(1)});
         expect(left).toEqual(ranked.filter((member) => member !== lost));
         ranked.forEach((member, at) => {
-          const isFirst = isAmongFirst({key, member, rivals: all, count: 2});
+          const isFirst = isAmongFirst({key, member, members: all, count: 2});
           expect(isFirst).toBe(at < 2);
         });
       }),
@@ -88,7 +88,7 @@
           const subset = selectSubset({self, entries: others, targets: all});
           subset.forEach((vm) => watchers.set(vm, (watchers.get(vm) ?? 0) + 1));
         }
-        const least = Math.min(seen.length, COVERING_ENTRIES);
+        const least = Math.min(seen.length, WATCHERS_PER_TARGET);
         for (const {vm} of all) {
           expect(watchers.get(vm) ?? 0).toBeGreaterThanOrEqual(least);
         }
@@ -103,7 +103,7 @@
     const select = (self: string, rivals: string[], of = all) =>
       selectSubset({self, entries: rivals, targets: of});
     const sizes = entries.map((self) => select(self, entries).size);
-    const covered = (COVERING_ENTRIES * all.length) / entries.length;
+    const covered = (WATCHERS_PER_TARGET * all.length) / entries.length;
     expect(Math.max(...sizes)).toBeLessThanOrEqual(2 * (SUBSET_SIZE + covered));
     const left = entries.slice(1);
     let moved = 0;
--- a/test/core/placing/urgency.test.ts
+++ b/test/core/placing/engine-priority.test.ts
@@ -1,13 +1,13 @@
 /** Urgency of generations at the engines that they share. */
 import {describe, expect, it} from 'vitest';
 
-import {urgencyClass} from '../../../src/core/placing/index.js';
+import {enginePriority} from '../../../src/core/placing/index.js';
 
 interface Case {
   readonly name: string;
   readonly route: number;
   readonly account?: number;
-  readonly isUnderWay?: boolean;
+  readonly isResumed?: boolean;
   readonly expected: number;
 }
 
@@ -18,27 +18,27 @@
   {
     name: 'one more for a run under way',
     route: 2,
-    isUnderWay: true,
+    isResumed: true,
     expected: 1,
   },
-  {name: 'no class before the first', route: 0, isUnderWay: true, expected: 0},
+  {name: 'no class before the first', route: 0, isResumed: true, expected: 0},
   {name: 'no class behind the last', route: 12, expected: 9},
 ];
 
 describe('urgencyClass', () => {
-  it.each(CASES)('takes $name', ({route, account, isUnderWay, expected}) => {
+  it.each(CASES)('takes $name', ({route, account, isResumed, expected}) => {
     const facts = {
       route: {priority: route},
       account: account === undefined ? undefined : {priority: account},
-      isUnderWay: isUnderWay ?? false,
+      isResumed: isResumed ?? false,
     };
-    expect(urgencyClass(facts)).toBe(expected);
+    expect(enginePriority(facts)).toBe(expected);
   });
 
   it('lets a full engine give up what its caller has not begun to read', () => {
     // An engine takes the place of the newest of the least urgent.
-    const begun = urgencyClass({route: {priority: 1}, isUnderWay: false});
-    const goneOn = urgencyClass({route: {priority: 1}, isUnderWay: true});
+    const begun = enginePriority({route: {priority: 1}, isResumed: false});
+    const goneOn = enginePriority({route: {priority: 1}, isResumed: true});
     const runs = [
       {id: 'old', atMs: 1, urgency: begun},
       {id: 'fresh', atMs: 2, urgency: begun},
--- a/test/core/placing/placing.test.ts
+++ b/test/core/placing/placing.test.ts
@@ -25,7 +25,7 @@
           address: `127.0.0.1:${index}`,
           dataCentre,
           slots: 6,
-          isLeaving: false,
+          isDraining: false,
         },
       }),
   );
@@ -38,7 +38,7 @@
 ) => ({
   targets,
   tokens: TOKENS,
-  memoryTokens: MEMORY,
+  kvCapacityTokens: MEMORY,
   excluded: new Set<string>(),
   random,
 });
@@ -50,14 +50,15 @@
       spoil: (t: Target) => void t.begin({tokens: TOKENS}),
     },
     {name: 'an engine that is not there', spoil: (t: Target) => t.pause()},
-    {name: 'an engine without room', spoil: (t: Target) => t.noteRejected()},
+    {name: 'an engine without room', spoil: (t: Target) => t.recordRejected()},
     {
       name: 'an engine whose memory is full of copies',
-      spoil: (t: Target) => t.addCopy(MEMORY),
+      spoil: (t: Target) => t.addKvCopy(MEMORY),
     },
     {
       name: 'an engine whose others wait',
-      spoil: (t: Target) => t.noteLoad({running: 1, waiting: 2, reading: 1}),
+      spoil: (t: Target) =>
+        t.recordLoad({running: 1, waiting: 2, prefilling: 1}),
     },
   ])('stays away from $name', ({spoil}) => {
     const {targets} = site(['a', 'a', 'b']);
@@ -72,8 +73,8 @@
   it('stays out of a data centre while another has engines', () => {
     const {targets} = site(['a', 'b']);
     targets[1]!.begin({tokens: TOKENS});
-    const avoided = new Set(['a']);
-    const query = {...choice(targets), avoided};
+    const avoidedDataCentres = new Set(['a']);
+    const query = {...choice(targets), avoidedDataCentres};
     expect(chooseEngine(query)).toBe(targets[1]);
     expect(chooseEngine({...query, targets: targets.slice(0, 1)})).toBe(
       targets[0],
@@ -83,7 +84,7 @@
   it('prefers fast engines until they are busy', () => {
     const {targets} = site(['a', 'a', 'a']);
     for (const [index, target] of targets.entries()) {
-      for (let i = 0; i < 6; i++) target.noteGap(index === 0 ? 40 : 31);
+      for (let i = 0; i < 6; i++) target.recordEventGap(index === 0 ? 40 : 31);
     }
     const random = new SeededRandom(SEED);
     const picks = Array.from({length: 3}, () => {
@@ -123,8 +124,8 @@
       const backlogMs = Math.max(0, freeAtMs[index]! - (nowMs - 200));
       const unread = Math.ceil(backlogMs / 1_000);
       const reading = Math.min(1, unread);
-      target.noteLoad(
-        {running: reading, waiting: unread - reading, reading},
+      target.recordLoad(
+        {running: reading, waiting: unread - reading, prefilling: reading},
         200,
       );
     }
@@ -162,9 +163,9 @@
   it('leaves a target whose answers fail more than usual', () => {
     const {targets} = site(['a', 'b', 'b']);
     for (let i = 0; i < 30; i++) {
-      targets[0]!.noteAnswer(i % 2 === 0);
-      targets[1]!.noteAnswer(i % 10 === 0);
-      targets[2]!.noteAnswer(i % 10 === 0);
+      targets[0]!.recordResponse(i % 2 === 0);
+      targets[1]!.recordResponse(i % 10 === 0);
+      targets[2]!.recordResponse(i % 10 === 0);
     }
     expect(chooseCallTarget(query(targets))).not.toBe(targets[0]);
   });
--- a/test/core/placing/rank-apart.test.ts
+++ b/test/core/placing/rank-by-fingerprint.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
-import {rankApart} from '../../../src/core/placing/index.js';
+import {rankByFingerprint} from '../../../src/core/placing/index.js';
 import {Target} from '../../../src/core/targets/index.js';
 
 const TARGETS = 12;
@@ -20,15 +20,18 @@
       address: `127.0.0.1:${i}`,
       dataCentre: 'a',
       slots: 8,
-      isLeaving: false,
+      isDraining: false,
     };
     return new Target({record, clock});
   });
-  const first = (i: number) => rankApart(`suspect ${i}`, targets)[0]!.id;
+  const first = (i: number) =>
+    rankByFingerprint(`suspect ${i}`, targets)[0]!.id;
 
   it('gives a suspect the same order each time, with every target', () => {
-    expect(rankApart('p', targets)).toEqual(rankApart('p', targets));
-    expect(new Set(rankApart('p', targets)).size).toBe(TARGETS);
+    expect(rankByFingerprint('p', targets)).toEqual(
+      rankByFingerprint('p', targets),
+    );
+    expect(new Set(rankByFingerprint('p', targets)).size).toBe(TARGETS);
   });
 
   it('lets two suspects hardly ever meet', () => {
--- a/test/core/poison/common-cause.test.ts
+++ b/test/core/poison/common-cause.test.ts
@@ -3,7 +3,7 @@
 
 import {ManualClock} from '../../../src/core/clock/index.js';
 import {fellTogether} from '../../../src/core/poison/index.js';
-import {lifeOf, Target} from '../../../src/core/targets/index.js';
+import {incarnationOf, Target} from '../../../src/core/targets/index.js';
 
 const ENGINES = 'engines';
 const DESKS = 'desks';
@@ -81,8 +81,8 @@
           address: `127.0.0.1:${i}`,
           dataCentre: dataCentre ?? 'a',
           slots: 8,
-          isLeaving: false,
-          bornMs: 1,
+          isDraining: false,
+          startedAtMs: 1,
         },
       });
     const lost = create(0, {});
@@ -100,7 +100,7 @@
       lost,
       lostAtMs: LOST_MS,
       targets: [lost, ...others],
-      endedBefore: new Set(ended.map(({record}) => lifeOf(record))),
+      endedBefore: new Set(ended.map(({record}) => incarnationOf(record))),
     });
     expect(answer).toBe(isFall);
   });
--- a/test/core/retrying/decide-retry.test.ts
+++ b/test/core/retrying/decide-retry.test.ts
@@ -2,19 +2,19 @@
 import {describe, expect, it} from 'vitest';
 
 import {ExchangeFailure} from '../../../src/core/edges/direct-target.js';
-import type {TryEnd} from '../../../src/core/retrying/index.js';
+import type {AttemptResult} from '../../../src/core/retrying/index.js';
 import {
-  answerFailure,
+  toFailureResponse,
   certainlyDidNotRun,
   countsAsSent,
   decideRetry,
-  RetryVerdict,
+  RetryDecision,
 } from '../../../src/core/retrying/index.js';
 import {OperationKind} from '../../../src/core/routes/index.js';
 
 const SEED = 20261204;
 
-const endArb: fc.Arbitrary<TryEnd> = fc.oneof(
+const endArb: fc.Arbitrary<AttemptResult> = fc.oneof(
   fc.record({failure: fc.constantFrom(...Object.values(ExchangeFailure))}),
   fc.record({status: fc.constantFrom(200, 204, 404, 500, 502, 503)}),
 );
@@ -23,7 +23,7 @@
 function play(options: {
   operation: OperationKind;
   maxAttempts: number;
-  ends: readonly TryEnd[];
+  ends: readonly AttemptResult[];
 }) {
   const {operation, maxAttempts, ends} = options;
   let sent = 0;
@@ -35,13 +35,13 @@
     if (countsAsSent(end.failure)) sent++;
     const verdict = decideRetry({
       operation,
-      end,
-      sent,
+      result: end,
+      sentCount: sent,
       maxAttempts,
-      hasTarget: index + 1 < ends.length,
+      hasOtherTarget: index + 1 < ends.length,
       takeFromBudget: () => true,
     });
-    if (verdict !== RetryVerdict.RETRY) return {sent, ran, verdict, end};
+    if (verdict !== RetryDecision.RETRY) return {sent, ran, verdict, end};
   }
   throw new Error('retried without a target');
 }
@@ -64,7 +64,7 @@
             expect(ran).toBeLessThanOrEqual(1);
           }
           const isAnswered = end.failure === undefined;
-          expect(verdict === RetryVerdict.PASS_ON).toBe(isAnswered);
+          expect(verdict === RetryDecision.PASS_ON).toBe(isAnswered);
         },
       ),
       {seed: SEED, numRuns: 3_000},
@@ -74,13 +74,13 @@
   it('sends nothing again once the budget is spent', () => {
     const verdict = decideRetry({
       operation: OperationKind.SAFE,
-      end: {status: 500},
-      sent: 1,
+      result: {status: 500},
+      sentCount: 1,
       maxAttempts: 3,
-      hasTarget: true,
+      hasOtherTarget: true,
       takeFromBudget: () => false,
     });
-    expect(verdict).toBe(RetryVerdict.PASS_ON);
+    expect(verdict).toBe(RetryDecision.PASS_ON);
   });
 });
 
@@ -91,6 +91,6 @@
     {mayHaveRun: true, isTimedOut: false, status: 502},
     {mayHaveRun: true, isTimedOut: true, status: 504},
   ])('$mayHaveRun, $isTimedOut: $status', ({status, ...query}) => {
-    expect(answerFailure(query).status).toBe(status);
+    expect(toFailureResponse(query).status).toBe(status);
   });
 });
--- a/test/core/routing/load-aware-choice.test.ts
+++ b/test/core/routing/load-aware-chooser.test.ts
@@ -9,10 +9,10 @@
 } from '../../../src/core/routing/index.js';
 import {
   estimateLoad,
-  FailureWatch,
-  LoadAwareChoice,
-  OwnCounts,
-  TwoChoices,
+  OutlierDetector,
+  LoadAwareChooser,
+  CountHistory,
+  PowerOfTwoChooser,
 } from '../../../src/core/routing/index.js';
 
 const SEED = 20261204;
@@ -25,7 +25,7 @@
     service: 'drafts',
     incarnation: 'i',
     usable: true,
-    leaving: false,
+    draining: false,
     ownInFlight: 0,
     running: 0,
     waiting: 0,
@@ -47,9 +47,13 @@
 
 function createChoice(seed = 1) {
   const clock = new ManualClock();
-  const failures = new FailureWatch({clock});
+  const failures = new OutlierDetector({clock});
   const random = new SeededRandom(seed);
-  return {clock, failures, chooser: new LoadAwareChoice({random, failures})};
+  return {
+    clock,
+    failures,
+    chooser: new LoadAwareChooser({random, outliers: failures}),
+  };
 }
 
 const viewsArb = fc
@@ -61,7 +65,7 @@
       running: fc.nat({max: 40}),
       waiting: fc.nat({max: 5}),
       capacity: fc.nat({max: 16}),
-      ownAtReport: fc.nat({max: 20}),
+      ownInReport: fc.nat({max: 20}),
       usableForMs: fc.nat({max: 20_000}),
     }),
     {maxLength: 12},
@@ -114,7 +118,7 @@
     const own = [0, 0, 0, 0];
     for (let i = 0; i < 48; i++) {
       const targets = own.map((ownInFlight, k) =>
-        viewOf({vm: `engine-${k}`, ownInFlight, running: lie, ownAtReport: 0}),
+        viewOf({vm: `engine-${k}`, ownInFlight, running: lie, ownInReport: 0}),
       );
       const chosen = chooser.choose({query: queryOf(), targets}).extract()!;
       own[Number(chosen.vm.slice('engine-'.length))]!++;
@@ -163,7 +167,10 @@
 });
 
 /** Sends calls of which one target fails each at once; the rest hold them. */
-function sendToFailing(chooser: TargetChooser, failures: FailureWatch): number {
+function sendToFailing(
+  chooser: TargetChooser,
+  failures: OutlierDetector,
+): number {
   const own = [0, 0, 0];
   let failed = 0;
   for (let i = 0; i < 200; i++) {
@@ -172,7 +179,7 @@
     );
     const {vm} = chooser.choose({query: queryOf(), targets}).extract()!;
     const isFailing = vm === '0';
-    failures.note({vm, failed: isFailing});
+    failures.recordOutcome({vm, failed: isFailing});
     if (isFailing) failed++;
     else own[Number(vm)]!++;
   }
@@ -183,8 +190,8 @@
   it('stops what a choice by load alone sends to a target that fails fast', () => {
     const {chooser, failures} = createChoice();
     const random = new SeededRandom(1);
-    const naive = new TwoChoices({random});
-    const blind = sendToFailing(naive, new FailureWatch(createChoice()));
+    const naive = new PowerOfTwoChooser({random});
+    const blind = sendToFailing(naive, new OutlierDetector(createChoice()));
     expect(blind).toBeGreaterThan(100);
     expect(sendToFailing(chooser, failures)).toBeLessThanOrEqual(10);
   });
@@ -195,11 +202,13 @@
       fc.property(fc.array(noteArb, {maxLength: 200}), (notes) => {
         const {failures} = createChoice();
         notes.forEach(({vm, failed}) =>
-          failures.note({vm: String(vm), failed}),
+          failures.recordOutcome({vm: String(vm), failed}),
         );
         const vms = Array.from({length: 8}, (_, i) => String(i));
-        expect(failures.keep({vms}).length).toBeGreaterThanOrEqual(4);
-        expect(failures.keep({vms: ['3']})).toEqual(['3']);
+        expect(failures.filterSelectable({vms}).length).toBeGreaterThanOrEqual(
+          4,
+        );
+        expect(failures.filterSelectable({vms: ['3']})).toEqual(['3']);
       }),
       {seed: SEED, numRuns: RUNS},
     );
@@ -208,7 +217,8 @@
   it('lets a target back after a while, and keeps it out longer each time', () => {
     const {clock, failures} = createChoice();
     const outFor = (): number => {
-      for (let i = 0; i < 5; i++) failures.note({vm: 'a', failed: true});
+      for (let i = 0; i < 5; i++)
+        failures.recordOutcome({vm: 'a', failed: true});
       let ms = 0;
       for (; failures.isEjected('a'); ms += 100) clock.advance(100);
       return ms;
@@ -229,12 +239,12 @@
         fc.array(changeArb, {maxLength: 80}),
         fc.nat({max: 1_000}),
         (changes, backMs) => {
-          const counts = new OwnCounts({keepMs: 1_000});
+          const counts = new CountHistory({retentionMs: 1_000});
           const all: Array<{atMs: number; count: number}> = [];
           let nowMs = 0;
           for (const {waitMs, count} of changes) {
             nowMs += waitMs;
-            counts.note({nowMs, count});
+            counts.record({nowMs, count});
             all.push({atMs: nowMs, count});
           }
           const atMs = nowMs - backMs;
--- a/test/core/streams/streams.test.ts
+++ b/test/core/streams/streams.test.ts
@@ -4,10 +4,10 @@
 import {
   EventSequence,
   EventSplitter,
-  EventVerdict,
-  stallLimitMs,
-  StreamTime,
-  suspectLimitMs,
+  SequenceCheck,
+  stallTimeoutMs,
+  MinGenerationTime,
+  probeDelayMs,
 } from '../../../src/core/streams/index.js';
 
 const SEED = 20261204;
@@ -64,9 +64,9 @@
           const passed: number[] = [];
           for (const {from, count} of runs) {
             for (let id = from; id < from + count; id++) {
-              const verdict = sequence.judge(id);
-              if (verdict === EventVerdict.GAP) break;
-              if (verdict === EventVerdict.PASS) passed.push(id);
+              const verdict = sequence.check(id);
+              if (verdict === SequenceCheck.GAP) break;
+              if (verdict === SequenceCheck.PASS) passed.push(id);
             }
           }
           expect(passed).toEqual(passed.map((_, i) => i + 1));
@@ -78,7 +78,7 @@
 
   it('cannot go on after an event without an id', () => {
     const sequence = new EventSequence({});
-    expect(sequence.judge(undefined)).toBe(EventVerdict.PASS);
+    expect(sequence.check(undefined)).toBe(SequenceCheck.PASS);
     expect(sequence.isResumable).toBe(false);
   });
 });
@@ -91,8 +91,8 @@
     {widestGapMs: 600, suspectMs: 455, stallMs: 455},
   ])('gaps of $widestGapMs ms', ({widestGapMs, suspectMs, stallMs}) => {
     const facts = {maxPauseMs: 700, widestGapMs};
-    expect(suspectLimitMs(facts)).toBeCloseTo(suspectMs);
-    expect(stallLimitMs(facts)).toBeCloseTo(stallMs);
+    expect(probeDelayMs(facts)).toBeCloseTo(suspectMs);
+    expect(stallTimeoutMs(facts)).toBeCloseTo(stallMs);
   });
 });
 
@@ -102,27 +102,30 @@
     maxEvents: 100,
     events: 50,
     firstEventMs: 200,
-    writingMs: 490,
+    streamingMs: 490,
   };
-  const need = {promptTokens: 5_000, maxEvents: 100, hasEvents: 0};
+  const need = {promptTokens: 5_000, maxEvents: 100, receivedEvents: 0};
 
-  function taught(samples: number): StreamTime {
-    const times = new StreamTime();
-    for (let i = 0; i < samples; i++) times.learn(sample);
+  function taught(samples: number): MinGenerationTime {
+    const times = new MinGenerationTime();
+    for (let i = 0; i < samples; i++) times.addSample(sample);
     return times;
   }
 
   it('holds nothing to be impossible before it knows', () => {
-    expect(taught(4).isHopeless({need, leftMs: 1})).toBe(false);
+    expect(taught(4).cannotFinish({need, leftMs: 1})).toBe(false);
   });
 
   it.each([
-    {name: 'a new one', hasEvents: 0, shortestMs: 1_500},
-    {name: 'half of it is there', hasEvents: 25, shortestMs: 1_250},
-    {name: 'all of it may be there', hasEvents: 60, shortestMs: 1_000},
-  ])('$name takes $shortestMs ms', ({hasEvents, shortestMs}) => {
+    {name: 'a new one', receivedEvents: 0, shortestMs: 1_500},
+    {name: 'half of it is there', receivedEvents: 25, shortestMs: 1_250},
+    {name: 'all of it may be there', receivedEvents: 60, shortestMs: 1_000},
+  ])('$name takes $shortestMs ms', ({receivedEvents, shortestMs}) => {
     const times = taught(5);
-    expect(times.shortestMs({...need, hasEvents})).toBeCloseTo(shortestMs, -1);
+    expect(times.shortestMs({...need, receivedEvents})).toBeCloseTo(
+      shortestMs,
+      -1,
+    );
   });
 
   it.each([
@@ -130,6 +133,6 @@
     {leftMs: 1_400, isHopeless: false},
     {leftMs: 9_000, isHopeless: false},
   ])('$leftMs ms left: $isHopeless', ({leftMs, isHopeless}) => {
-    expect(taught(9).isHopeless({need, leftMs})).toBe(isHopeless);
+    expect(taught(9).cannotFinish({need, leftMs})).toBe(isHopeless);
   });
 });
--- a/test/core/targets/targets.test.ts
+++ b/test/core/targets/targets.test.ts
@@ -13,8 +13,8 @@
     address: '127.0.0.1:1',
     dataCentre: 'a',
     slots: 4,
-    isLeaving: false,
-    bornMs: 1,
+    isDraining: false,
+    startedAtMs: 1,
     ...fields,
   };
 }
@@ -42,7 +42,7 @@
     targets.applyChanges([{name: 'i-1', value, isDeleted}]);
 
   it.each([
-    {name: 'leaves', value: record({isLeaving: true}), isDeleted: false},
+    {name: 'leaves', value: record({isDraining: true}), isDeleted: false},
     {name: 'is deleted', value: undefined, isDeleted: true},
     {name: 'cannot be read any more', value: undefined, isDeleted: false},
   ])('gives no work to one that $name', ({value, isDeleted}) => {
@@ -54,7 +54,7 @@
   it('starts afresh with one that was born anew under its id', () => {
     const [before] = targets.ofService('s');
     before!.begin({tokens: 9});
-    change(record({bornMs: 2}));
+    change(record({startedAtMs: 2}));
     const [after] = targets.ofService('s');
     expect(after).not.toBe(before);
     expect(after!.running).toBe(0);
@@ -63,9 +63,9 @@
 
   it('remembers the pace of a machine over restarts', () => {
     const [before] = targets.ofService('s');
-    for (let i = 0; i < 6; i++) before!.noteGap(40);
-    change(record({bornMs: 2}));
-    expect(targets.ofService('s')[0]!.paceMs).toBeCloseTo(40);
+    for (let i = 0; i < 6; i++) before!.recordEventGap(40);
+    change(record({startedAtMs: 2}));
+    expect(targets.ofService('s')[0]!.eventGapMs).toBeCloseTo(40);
   });
 
   it.each([
@@ -113,7 +113,7 @@
       expect(target.isPaused()).toBe(false);
     }
     expect(pauses).toEqual([600, 1_200, 2_400, 4_000, 4_000]);
-    target.noteSuccess();
+    target.recordSuccess();
     target.pause();
     expect(pauses.at(-1)).toBe(600);
   });
@@ -121,20 +121,20 @@
   it('counts the work of others by reports, and its own at once', () => {
     target.begin({tokens: 1});
     clock.advance(300);
-    target.noteLoad({running: 3, waiting: 1, reading: 1}, 200);
+    target.recordLoad({running: 3, waiting: 1, prefilling: 1}, 200);
     expect(target.estimatedRequests()).toBe(4);
     target.begin({tokens: 1});
     expect(target.estimatedRequests()).toBe(5);
-    expect(target.estimatedUnread()).toBe(3);
+    expect(target.estimatedPrefills()).toBe(3);
     clock.advance(1_001);
     expect(target.estimatedRequests()).toBe(2);
   });
 
   it('plans memory for work that a report does not show yet', () => {
     clock.advance(1_000);
-    target.noteLoad({running: 0, waiting: 0, memoryUsed: 10_000}, 200);
+    target.recordLoad({running: 0, waiting: 0, kvUsedTokens: 10_000}, 200);
     target.begin({tokens: 6_000});
-    target.addCopy(1_000);
+    target.addKvCopy(1_000);
     expect(target.plannedTokens()).toBe(16_000);
   });
 });
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -64,16 +64,16 @@
   };
 
   it.each([
-    {name: 'a ready one', spec: sound, isLeaving: false},
+    {name: 'a ready one', spec: sound, isDraining: false},
     {
       name: 'a leaving one',
       spec: {...sound, state: 'draining'},
-      isLeaving: true,
+      isDraining: true,
     },
-    {name: 'one with new fields', spec: {...sound, x: 1}, isLeaving: false},
-  ])('decodes $name', ({spec, isLeaving}) => {
+    {name: 'one with new fields', spec: {...sound, x: 1}, isDraining: false},
+  ])('decodes $name', ({spec, isDraining}) => {
     const target = decodeTarget('i-1', spec).unsafeCoerce();
-    expect(target).toMatchObject({id: 'i-1', dataCentre: 'a', isLeaving});
+    expect(target).toMatchObject({id: 'i-1', dataCentre: 'a', isDraining});
   });
 
   it.each([
