--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -1,5 +1,5 @@
 /** Runs calls to the plain service beside this agent. */
-import {decideAsk, decideCall, KeyAction} from '../core/booking/index.js';
+import {decideKeyQuery, decideCall, KeyAction} from '../core/booking/index.js';
 import type {Clock} from '../core/clock/index.js';
 import type {
   DriverError,
@@ -69,9 +69,9 @@
     const {keys} = this.options;
     const known = keys.find(ask);
     const {promiseNever} = ask;
-    const action = decideAsk({known, promiseNever, isFull: keys.isFull()});
+    const action = decideKeyQuery({known, promiseNever, isFull: keys.isFull()});
     switch (action) {
-      case KeyAction.ANSWER_FIRST:
+      case KeyAction.RETURN_FIRST_OUTCOME:
         this.answerWhenSettled(ask, known!, respond);
         return;
       case KeyAction.PROMISE_NEVER:
@@ -95,7 +95,7 @@
       case KeyAction.ADMIT:
         this.runOnce(call, respond);
         return;
-      case KeyAction.ANSWER_FIRST:
+      case KeyAction.RETURN_FIRST_OUTCOME:
         known!.whenSettled(() =>
           this.answerRecord({callId, record: known!, respond}),
         );
--- a/src/core/booking/admit-key.ts
+++ b/src/core/booking/admit-key.ts
@@ -6,7 +6,7 @@
   /** Run it; the key is admitted. */
   ADMIT = 'admit',
   /** Answer with the first outcome, once there is one. */
-  ANSWER_FIRST = 'answer_first',
+  RETURN_FIRST_OUTCOME = 'answer_first',
   /** Record that the key will never be admitted, and say so. */
   PROMISE_NEVER = 'promise_never',
   /** The key came with another body. */
@@ -16,9 +16,9 @@
   /** No room to remember the key; nothing is promised. */
   REFUSE_FULL = 'refuse_full',
   /** Say that the key was never seen; nothing is promised. */
-  SAY_UNSEEN = 'say_unseen',
+  REPORT_UNSEEN = 'say_unseen',
   /** Say what phase the key is in. */
-  SAY_PHASE = 'say_phase',
+  REPORT_PHASE = 'say_phase',
 }
 
 /** What the agent knows of the key. */
@@ -28,7 +28,7 @@
 }
 
 /** What the agent is asked, and what holds at the moment. */
-export interface KeyQuestion {
+export interface CallContext {
   /** Undefined where the key was never seen. */
   readonly known?: KnownKey;
   readonly fingerprint: string;
@@ -48,13 +48,13 @@
  * @example
  * if (decideCall(question) === KeyAction.ADMIT) run(call);
  */
-export function decideCall(question: KeyQuestion): KeyAction {
+export function decideCall(question: CallContext): KeyAction {
   const {known, fingerprint, incarnation, ownIncarnation} = question;
   // Even what this one knows of the key says nothing of the one that is named.
   if (incarnation !== ownIncarnation) return KeyAction.REFUSE_INCARNATION;
   if (known !== undefined) {
     return known.fingerprint === fingerprint
-      ? KeyAction.ANSWER_FIRST
+      ? KeyAction.RETURN_FIRST_OUTCOME
       : KeyAction.REFUSE_OTHER_BODY;
   }
   if (question.isFull) return KeyAction.REFUSE_FULL;
@@ -67,7 +67,7 @@
  * @example
  * decideAsk({known: undefined, promiseNever: false}); // SAY_UNSEEN
  */
-export function decideAsk(options: {
+export function decideKeyQuery(options: {
   known?: KnownKey;
   promiseNever: boolean;
   isFull: boolean;
@@ -76,9 +76,9 @@
   if (known === undefined) {
     return promiseNever && !isFull
       ? KeyAction.PROMISE_NEVER
-      : KeyAction.SAY_UNSEEN;
+      : KeyAction.REPORT_UNSEEN;
   }
   const answered =
     known.phase === KeyPhase.DONE || known.phase === KeyPhase.RUNNING;
-  return answered ? KeyAction.ANSWER_FIRST : KeyAction.SAY_PHASE;
+  return answered ? KeyAction.RETURN_FIRST_OUTCOME : KeyAction.REPORT_PHASE;
 }
--- a/src/core/booking/booking-state.ts
+++ b/src/core/booking/booking-state.ts
@@ -8,7 +8,7 @@
   TAKING_OVER = 'taking_over',
   MOVING = 'moving',
   VOIDING = 'voiding',
-  ASKING = 'asking',
+  QUERYING = 'asking',
   CALLING = 'calling',
   LOOKING_UP = 'looking_up',
   DONE = 'done',
@@ -26,13 +26,13 @@
   /** The claim that is being written. */
   readonly pending?: Claim;
   /** Nobody but this request may have sent under `stored`. */
-  readonly sole: boolean;
+  readonly soleSender: boolean;
   /** This request has sent under `stored`. */
   readonly sent: boolean;
   /** A write of this request is in doubt. */
-  readonly doubt: boolean;
+  readonly writeInDoubt: boolean;
   /** The agent that `stored` names is gone. */
-  readonly gone: boolean;
-  readonly tries: number;
+  readonly agentGone: boolean;
+  readonly writeAttempts: number;
   readonly moves: number;
 }
--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -4,17 +4,17 @@
  * so that schedules can be run over it by the hundred thousand.
  */
 import type {PlainResponse} from '../edges/index.js';
-import {MAX_MOVES, MAX_WRITE_TRIES} from './consts.js';
+import {MAX_MOVES, MAX_WRITE_ATTEMPTS} from './consts.js';
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
 import {EvidenceKind} from './decide-ran.js';
 import {
-  giveUpEvidence,
+  abortEvidence,
   unwrittenEvidence,
   voidedEvidence,
 } from './step-evidence.js';
 import type {
-  AgentPlace,
+  AgentId,
   AgentResult,
   BookingEffect,
   BookingEvent,
@@ -24,7 +24,7 @@
   WriteResult,
 } from './types.js';
 import {
-  AgentWord,
+  AgentResultKind,
   ClaimState,
   EffectKind,
   EventKind,
@@ -47,11 +47,11 @@
   return {
     ...options,
     phase: BookingPhase.NEW,
-    sole: false,
+    soleSender: false,
     sent: false,
-    doubt: false,
-    gone: false,
-    tries: 0,
+    writeInDoubt: false,
+    agentGone: false,
+    writeAttempts: 0,
     moves: 0,
   };
 }
@@ -71,8 +71,8 @@
   switch (event.kind) {
     case EventKind.BEGIN:
       return begin(state, context);
-    case EventKind.GIVE_UP:
-      return finish(state, giveUpEvidence(state));
+    case EventKind.ABORT:
+      return finish(state, abortEvidence(state));
     case EventKind.WRITE:
       return afterWrite(state, event.result, context);
     case EventKind.AGENT:
@@ -96,7 +96,7 @@
   };
   return {
     state: {...state, phase: BookingPhase.CLAIMING, pending: claim},
-    effect: {kind: EffectKind.CREATE, claim, again: false},
+    effect: {kind: EffectKind.CREATE, claim, isRetry: false},
   };
 }
 
@@ -109,7 +109,7 @@
   switch (outcome) {
     case WriteOutcome.WRITTEN:
       return afterWritten(state, stored!, context);
-    case WriteOutcome.MET: {
+    case WriteOutcome.CONFLICT: {
       const mine = stored!.claim.nonce === state.pending!.nonce;
       if (mine) return afterWritten(state, stored!, context);
       return afterMet(state, stored!, context);
@@ -117,22 +117,22 @@
     case WriteOutcome.NO_EFFECT:
       return finish(state, unwrittenEvidence(state));
     case WriteOutcome.IN_DOUBT:
-      return writeAgain({...state, doubt: true}, context);
+      return writeAgain({...state, writeInDoubt: true}, context);
   }
 }
 
 /** A write in doubt is settled by the same write: it can't happen twice. */
 function writeAgain(state: BookingState, context: StepContext): BookingStep {
-  const tries = state.tries + 1;
-  if (context.late || tries >= MAX_WRITE_TRIES) {
+  const tries = state.writeAttempts + 1;
+  if (context.late || tries >= MAX_WRITE_ATTEMPTS) {
     return finish(state, unwrittenEvidence(state));
   }
   const claim = state.pending!;
   const next = {...state, tries};
   const effect: BookingEffect =
     state.phase === BookingPhase.CLAIMING
-      ? {kind: EffectKind.CREATE, claim, again: true}
-      : {kind: EffectKind.SWAP, expected: state.stored!, claim, again: true};
+      ? {kind: EffectKind.CREATE, claim, isRetry: true}
+      : {kind: EffectKind.SWAP, expected: state.stored!, claim, isRetry: true};
   return {state: next, effect};
 }
 
@@ -147,11 +147,14 @@
       if (stored.claim.state === ClaimState.VOIDED) {
         return finish(next, EvidenceKind.VOIDED_NO_TARGET);
       }
-      return send({...next, sole: true, sent: false}, context);
+      return send({...next, soleSender: true, sent: false}, context);
     case BookingPhase.MOVING:
-      return send({...next, sole: true, sent: false, gone: false}, context);
+      return send(
+        {...next, soleSender: true, sent: false, agentGone: false},
+        context,
+      );
     case BookingPhase.TAKING_OVER:
-      return send({...next, sole: false}, context);
+      return send({...next, soleSender: false}, context);
     default:
       return finish(next, voidedEvidence(context));
   }
@@ -170,7 +173,7 @@
     return finish(state, EvidenceKind.VOIDED_BEFORE);
   }
   const next = {...state, stored, sole: false, doubt: false, gone: false};
-  return ask({...next, tries: 0}, context, false);
+  return ask({...next, writeAttempts: 0}, context, false);
 }
 
 function ask(
@@ -178,26 +181,26 @@
   context: StepContext,
   again: boolean,
 ): BookingStep {
-  if (context.late) return finish(state, giveUpEvidence(state));
+  if (context.late) return finish(state, abortEvidence(state));
   const place = placeOf(state.stored!.claim);
   return {
-    state: {...state, phase: BookingPhase.ASKING},
-    effect: {kind: EffectKind.ASK, place, again},
+    state: {...state, phase: BookingPhase.QUERYING},
+    effect: {kind: EffectKind.QUERY, agent: place, isRetry: again},
   };
 }
 
 /** The last moment at which a late entry can hold the booking back. */
 function send(state: BookingState, context: StepContext): BookingStep {
   if (context.late) {
-    return state.sole
+    return state.soleSender
       ? voidClaim(state, context)
-      : finish(state, giveUpEvidence(state));
+      : finish(state, abortEvidence(state));
   }
   const {claim} = state.stored!;
   const {claimedAtMs} = claim;
   return {
     state: {...state, phase: BookingPhase.CALLING, sent: true},
-    effect: {kind: EffectKind.CALL, place: placeOf(claim), claimedAtMs},
+    effect: {kind: EffectKind.CALL, agent: placeOf(claim), claimedAtMs},
   };
 }
 
@@ -206,25 +209,25 @@
   result: AgentResult,
   context: StepContext,
 ): BookingStep {
-  const {word, response} = result;
+  const {kind: word, response} = result;
   switch (word) {
-    case AgentWord.RESPONSE:
+    case AgentResultKind.RESPONSE:
       return answer(state, response!);
-    case AgentWord.OTHER_BODY:
+    case AgentResultKind.OTHER_BODY:
       return finish(state, EvidenceKind.OTHER_BODY);
-    case AgentWord.UNCERTAIN:
+    case AgentResultKind.UNCERTAIN:
       return finish(state, EvidenceKind.TARGET_BROKE_OFF);
-    case AgentWord.PROMISED_NEVER:
+    case AgentResultKind.PROMISED_NEVER:
       return moveOrVoid(state, context);
-    case AgentWord.UNSEEN:
+    case AgentResultKind.UNSEEN:
       return takeOver(state, context);
-    case AgentWord.NOT_SENT:
-    case AgentWord.NOT_ADMITTED:
+    case AgentResultKind.NOT_SENT:
+    case AgentResultKind.NOT_ADMITTED:
       return afterNotAdmitted(state, context);
-    case AgentWord.GONE:
-      return lookUp({...state, gone: true});
-    case AgentWord.TIMEOUT:
-    case AgentWord.LOST:
+    case AgentResultKind.GONE:
+      return lookUp({...state, agentGone: true});
+    case AgentResultKind.TIMEOUT:
+    case AgentResultKind.LOST:
       return lookUp(state);
   }
 }
@@ -238,12 +241,12 @@
  */
 export function mayMove(state: BookingState, event: BookingEvent): boolean {
   if (event.kind !== EventKind.AGENT) return false;
-  switch (event.result.word) {
-    case AgentWord.PROMISED_NEVER:
+  switch (event.result.kind) {
+    case AgentResultKind.PROMISED_NEVER:
       return true;
-    case AgentWord.NOT_SENT:
-    case AgentWord.NOT_ADMITTED:
-      return state.phase === BookingPhase.CALLING && state.sole;
+    case AgentResultKind.NOT_SENT:
+    case AgentResultKind.NOT_ADMITTED:
+      return state.phase === BookingPhase.CALLING && state.soleSender;
     default:
       return false;
   }
@@ -255,7 +258,7 @@
   context: StepContext,
 ): BookingStep {
   const called = state.phase === BookingPhase.CALLING;
-  if (called && state.sole) {
+  if (called && state.soleSender) {
     return moveOrVoid({...state, sent: false}, context);
   }
   return lookUp(state);
@@ -265,9 +268,9 @@
   const {claim} = state.stored!;
   if (claim.nonce === state.pending?.nonce) {
     // An earlier message may still arrive: only the agent can tell them apart.
-    return send({...state, sole: false}, context);
+    return send({...state, soleSender: false}, context);
   }
-  if (context.late) return finish(state, giveUpEvidence(state));
+  if (context.late) return finish(state, abortEvidence(state));
   const {nonce} = context;
   const {entryIncarnation} = state;
   return swap(state, BookingPhase.TAKING_OVER, {
@@ -313,8 +316,8 @@
 ): BookingStep {
   const expected = state.stored!;
   return {
-    state: {...state, phase, pending: claim, tries: 0},
-    effect: {kind: EffectKind.SWAP, expected, claim, again: false},
+    state: {...state, phase, pending: claim, writeAttempts: 0},
+    effect: {kind: EffectKind.SWAP, expected, claim, isRetry: false},
   };
 }
 
@@ -332,7 +335,7 @@
   context: StepContext,
 ): BookingStep {
   if (response !== undefined) return answer(state, response);
-  if (state.gone) return finish(state, EvidenceKind.AGENT_GONE);
+  if (state.agentGone) return finish(state, EvidenceKind.AGENT_GONE);
   return ask(state, context, true);
 }
 
@@ -350,6 +353,6 @@
   };
 }
 
-function placeOf(claim: Claim): AgentPlace {
+function placeOf(claim: Claim): AgentId {
   return {vm: claim.agentVm, incarnation: claim.agentIncarnation};
 }
--- a/src/core/booking/claim-log.ts
+++ b/src/core/booking/claim-log.ts
@@ -6,7 +6,7 @@
 import type {GetType} from 'purify-ts';
 import {array, Codec, number, string} from 'purify-ts';
 
-import {CLAIM_RETENTION_MS, GROUP_CHANGES} from './consts.js';
+import {CLAIM_RETENTION_MS, MAX_GROUP_CHANGES} from './consts.js';
 import {CLAIM} from './types.js';
 import type {Claim, StoredClaim} from './types.js';
 
@@ -52,7 +52,7 @@
   private horizonMs = -Infinity;
 
   /** Number of the next segment. */
-  get next(): number {
+  get nextIndex(): number {
     return this.segments;
   }
 
@@ -80,7 +80,7 @@
   apply(segment: ClaimSegment): ChangeResult[] {
     const horizonMs = segment.writtenAtMs - CLAIM_RETENTION_MS;
     this.horizonMs = Math.max(this.horizonMs, horizonMs);
-    const firstVersion = this.segments * GROUP_CHANGES + 1;
+    const firstVersion = this.segments * MAX_GROUP_CHANGES + 1;
     this.segments++;
     const results = segment.changes.map((change, i) =>
       this.change(change, firstVersion + i),
--- a/src/core/booking/consts.ts
+++ b/src/core/booking/consts.ts
@@ -1,5 +1,5 @@
 /** Times that one write of a claim is tried while it is in doubt. */
-export const MAX_WRITE_TRIES = 4;
+export const MAX_WRITE_ATTEMPTS = 4;
 
 /** Times that one request moves a booking to another agent. */
 export const MAX_MOVES = 2;
@@ -8,13 +8,13 @@
 export const OUTCOME_BUCKET_MS = 60_000;
 
 /** Most changes of claims in one write. */
-export const GROUP_CHANGES = 500;
+export const MAX_GROUP_CHANGES = 500;
 
 /** Times that one group is appended where other entries' come first. */
-export const MAX_APPENDS = 16;
+export const MAX_APPEND_ATTEMPTS = 16;
 
 /** Least time between two writes of an entry's claims, in milliseconds. */
-export const CLAIM_PACE_MS = 100;
+export const CLAIM_WRITE_INTERVAL_MS = 100;
 
 /** A key is recognised for this long after it was claimed. */
 export const CLAIM_RETENTION_MS = 24 * 60 * 60 * 1_000;
--- a/src/core/booking/decide-ran.ts
+++ b/src/core/booking/decide-ran.ts
@@ -43,7 +43,7 @@
   readonly reason: RefusalReason;
   readonly detail: string;
   /** Whether it is of use to repeat the same key later. */
-  readonly comeBack: boolean;
+  readonly retryLater: boolean;
 }
 
 /**
@@ -61,31 +61,31 @@
     ran: Ran.NO,
     reason: RefusalReason.KEY_REUSED,
     detail: 'this key came with another request before; this one did not run',
-    comeBack: false,
+    retryLater: false,
   },
   [EvidenceKind.VOIDED_NO_TARGET]: {
     ran: Ran.NO,
     reason: RefusalReason.NO_TARGET,
     detail: 'no target could be reached; the key is void, use a new one',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.VOIDED_LATE]: {
     ran: Ran.NO,
     reason: RefusalReason.DEADLINE_EXCEEDED,
     detail: 'not sent in time; the key is void, use a new one',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.VOIDED_BEFORE]: {
     ran: Ran.NO,
     reason: RefusalReason.CLAIM_VOIDED,
     detail: 'the key did not run and never will; use a new one',
-    comeBack: false,
+    retryLater: false,
   },
   [EvidenceKind.NOT_CLAIMED_FIRST_USE]: {
     ran: Ran.NO,
     reason: RefusalReason.STORE_UNAVAILABLE,
     detail: 'the platform does not answer; no new booking starts',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.NOT_CLAIMED]: {
     ran: Ran.UNKNOWN,
@@ -93,42 +93,42 @@
     detail:
       'the platform does not answer; this request started nothing, an ' +
       'earlier one with the same key may have run',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.CLAIM_IN_DOUBT]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'it is not known whether the claim was written; nothing was sent',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.HELD_BY_OTHER]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'another request holds this key at the moment',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.VOID_IN_DOUBT]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'not sent, but another request may still run this key',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.NO_ANSWER]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'sent; no answer came before the deadline',
-    comeBack: true,
+    retryLater: true,
   },
   [EvidenceKind.TARGET_BROKE_OFF]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'the target broke off while it ran the booking',
-    comeBack: false,
+    retryLater: false,
   },
   [EvidenceKind.AGENT_GONE]: {
     ran: Ran.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'the agent that was sent the booking is gone',
-    comeBack: false,
+    retryLater: false,
   },
 };
--- a/src/core/booking/grouped-claims.ts
+++ b/src/core/booking/grouped-claims.ts
@@ -13,9 +13,9 @@
 } from './claim-log.js';
 import type {ClaimStore} from './claim-store.js';
 import {
-  GROUP_CHANGES,
+  MAX_GROUP_CHANGES,
   LOG_RELOAD_MS,
-  MAX_APPENDS,
+  MAX_APPEND_ATTEMPTS,
   MAX_CLAIMS,
   SEGMENT_RETENTION_MS,
 } from './consts.js';
@@ -65,7 +65,7 @@
       clock: Clock;
       random: RandomSource;
       /** Least time between two writes, in milliseconds. */
-      paceMs: number;
+      writeIntervalMs: number;
     },
   ) {}
 
@@ -91,7 +91,7 @@
   private schedule(): void {
     if (this.busy || this.waiting.length === 0) return;
     this.busy = true;
-    const {clock, paceMs} = this.options;
+    const {clock, writeIntervalMs: paceMs} = this.options;
     const dueMs = this.lastWriteMs + paceMs;
     const delayMs = Math.max(0, dueMs - clock.now());
     clock.schedule({delayMs, run: () => void this.flush()});
@@ -99,7 +99,7 @@
 
   private async flush(): Promise<void> {
     this.lastWriteMs = this.options.clock.now();
-    const group = this.waiting.splice(0, GROUP_CHANGES);
+    const group = this.waiting.splice(0, MAX_GROUP_CHANGES);
     await this.write(group);
     await this.trim();
     this.busy = false;
@@ -115,7 +115,7 @@
     const changes = group.map(({change}) => change);
     const writtenAtMs = this.options.clock.wallNow();
     const segment = {nonce, writtenAtMs, changes};
-    for (let i = 0; i < MAX_APPENDS; i++) {
+    for (let i = 0; i < MAX_APPEND_ATTEMPTS; i++) {
       const append = await this.append(segment);
       if (append === Append.TAKEN) continue;
       this.settle(group, segment, append);
@@ -144,7 +144,7 @@
 
   private async append(segment: ClaimSegment): Promise<Append> {
     const kind = ObjectKind.CLAIM;
-    const name = segmentNameOf(this.table.next);
+    const name = segmentNameOf(this.table.nextIndex);
     const {store} = this.options;
     const created = await store.create({kind, name, value: segment});
     return created.match(
@@ -201,7 +201,7 @@
     if (first !== undefined) this.table.startAt(segmentIndexOf(first.name));
     for (const object of objects) {
       const segment = decodeSegment(object);
-      const isNext = segmentIndexOf(object.name) === this.table.next;
+      const isNext = segmentIndexOf(object.name) === this.table.nextIndex;
       if (segment === undefined || !isNext) return false;
       this.table.apply(segment);
       this.keep(object, segment);
@@ -244,5 +244,5 @@
 function toWriteResult({written, stored}: ChangeResult): WriteResult {
   if (written) return {outcome: WriteOutcome.WRITTEN, stored};
   if (stored === undefined) return {outcome: WriteOutcome.NO_EFFECT};
-  return {outcome: WriteOutcome.MET, stored};
+  return {outcome: WriteOutcome.CONFLICT, stored};
 }
--- a/src/core/booking/single-claims.ts
+++ b/src/core/booking/single-claims.ts
@@ -74,7 +74,7 @@
     const claim = CLAIM.decode(object.value).toMaybe().extract();
     if (claim === undefined) return {outcome: WriteOutcome.IN_DOUBT};
     const stored = {claim, version: object.version};
-    return {outcome: WriteOutcome.MET, stored};
+    return {outcome: WriteOutcome.CONFLICT, stored};
   }
 }
 
--- a/src/core/booking/step-evidence.ts
+++ b/src/core/booking/step-evidence.ts
@@ -12,9 +12,9 @@
  */
 export function unwrittenEvidence(state: BookingState): EvidenceKind {
   if (state.phase === BookingPhase.VOIDING) return EvidenceKind.VOID_IN_DOUBT;
-  if (state.phase === BookingPhase.TAKING_OVER) return giveUpEvidence(state);
+  if (state.phase === BookingPhase.TAKING_OVER) return abortEvidence(state);
   if (state.phase === BookingPhase.MOVING) return EvidenceKind.VOID_IN_DOUBT;
-  if (state.doubt) return EvidenceKind.CLAIM_IN_DOUBT;
+  if (state.writeInDoubt) return EvidenceKind.CLAIM_IN_DOUBT;
   return state.firstUse
     ? EvidenceKind.NOT_CLAIMED_FIRST_USE
     : EvidenceKind.NOT_CLAIMED;
@@ -26,7 +26,7 @@
  * @example
  * finish(state, giveUpEvidence(state));
  */
-export function giveUpEvidence(state: BookingState): EvidenceKind {
+export function abortEvidence(state: BookingState): EvidenceKind {
   if (state.sent) return EvidenceKind.NO_ANSWER;
   switch (state.phase) {
     case BookingPhase.NEW:
--- a/src/core/booking/types.ts
+++ b/src/core/booking/types.ts
@@ -37,7 +37,7 @@
 }
 
 /** An agent beside a target. */
-export interface AgentPlace {
+export interface AgentId {
   readonly vm: string;
   readonly incarnation: string;
 }
@@ -47,7 +47,7 @@
   /** Written, or found to be written before. */
   WRITTEN = 'written',
   /** Another claim stands; nothing was written. */
-  MET = 'met',
+  CONFLICT = 'met',
   /** The store certainly wrote nothing. */
   NO_EFFECT = 'no_effect',
   /** The store may have written, or may still write. */
@@ -61,7 +61,7 @@
 }
 
 /** What an agent says of a key, or that it says nothing. */
-export enum AgentWord {
+export enum AgentResultKind {
   /** The first outcome; `response` is set. */
   RESPONSE = 'response',
   /** It has not seen the key. */
@@ -86,7 +86,7 @@
 
 /** Answer to CALL and ASK. */
 export interface AgentResult {
-  readonly word: AgentWord;
+  readonly kind: AgentResultKind;
   readonly response?: PlainResponse;
 }
 
@@ -94,7 +94,7 @@
 export enum EffectKind {
   CREATE = 'create',
   SWAP = 'swap',
-  ASK = 'ask',
+  QUERY = 'ask',
   CALL = 'call',
   LOOK_UP = 'look_up',
   FINISH = 'finish',
@@ -105,7 +105,7 @@
   readonly kind: EffectKind.CREATE;
   readonly claim: Claim;
   /** Whether a write of the same claim is in doubt. */
-  readonly again: boolean;
+  readonly isRetry: boolean;
 }
 
 /** Replace the claim if it is still the expected one. */
@@ -113,21 +113,21 @@
   readonly kind: EffectKind.SWAP;
   readonly expected: StoredClaim;
   readonly claim: Claim;
-  readonly again: boolean;
+  readonly isRetry: boolean;
 }
 
 /** Ask the agent what became of the key, and wait while it runs. */
-export interface AskEffect {
-  readonly kind: EffectKind.ASK;
-  readonly place: AgentPlace;
+export interface QueryEffect {
+  readonly kind: EffectKind.QUERY;
+  readonly agent: AgentId;
   /** Whether an earlier question found no agent. */
-  readonly again: boolean;
+  readonly isRetry: boolean;
 }
 
 /** Send the booking. */
 export interface CallEffect {
   readonly kind: EffectKind.CALL;
-  readonly place: AgentPlace;
+  readonly agent: AgentId;
   readonly claimedAtMs: number;
 }
 
@@ -148,7 +148,7 @@
 export type BookingEffect =
   | CreateEffect
   | SwapEffect
-  | AskEffect
+  | QueryEffect
   | CallEffect
   | LookUpEffect
   | FinishEffect;
@@ -160,13 +160,13 @@
   AGENT = 'agent',
   LOOK_UP = 'look_up',
   /** The caller must be answered now, whatever is still under way. */
-  GIVE_UP = 'give_up',
+  ABORT = 'give_up',
 }
 
 /** What a booking hears, as the answer to its last effect. */
 export type BookingEvent =
   | {readonly kind: EventKind.BEGIN}
-  | {readonly kind: EventKind.GIVE_UP}
+  | {readonly kind: EventKind.ABORT}
   | {readonly kind: EventKind.WRITE; readonly result: WriteResult}
   | {readonly kind: EventKind.AGENT; readonly result: AgentResult}
   | {
@@ -180,7 +180,7 @@
   /** A fresh identity for a write. */
   readonly nonce: string;
   /** The target that new work would go to, if any. */
-  readonly target?: AgentPlace;
+  readonly target?: AgentId;
   /** The deadline has passed, or this process was paused. */
   readonly late: boolean;
   readonly wallMs: number;
--- a/src/entry/calls/booking-agents.ts
+++ b/src/entry/calls/booking-agents.ts
@@ -1,10 +1,10 @@
 /** Words with agents about one booking. */
 import type {
-  AgentPlace,
+  AgentId,
   AgentResult,
   CallEffect,
 } from '../../core/booking/index.js';
-import {AgentWord} from '../../core/booking/index.js';
+import {AgentResultKind} from '../../core/booking/index.js';
 import {RefusalReason} from '../../core/errors/index.js';
 import {KeyPhase, MessageType} from '../../core/protocol/index.js';
 import type {CallAnswer, CallError} from './agent-call.js';
@@ -23,7 +23,7 @@
   ) {}
 
   /** The target that a new claim would name; never the VM `except`. */
-  choose(except: string | undefined): AgentPlace | undefined {
+  choose(except: string | undefined): AgentId | undefined {
     const {chooser, links, dataCentre} = this.parts;
     const service = this.request.service.name;
     const exclude = except === undefined ? [] : [except];
@@ -34,7 +34,7 @@
   }
 
   async call(options: {
-    place: AgentPlace;
+    place: AgentId;
     claimedAtMs: CallEffect['claimedAtMs'];
     timeoutMs: number;
   }): Promise<AgentResult> {
@@ -42,7 +42,7 @@
     const {links, random, clock} = this.parts;
     const link = links.find(place.vm);
     if (link === undefined || !speaksAs(link, place)) {
-      return {word: AgentWord.NOT_SENT};
+      return {kind: AgentResultKind.NOT_SENT};
     }
     const call = createCall({
       request: this.request,
@@ -57,15 +57,15 @@
   }
 
   async ask(options: {
-    place: AgentPlace;
+    place: AgentId;
     timeoutMs: number;
   }): Promise<AgentResult> {
     const {place, timeoutMs} = options;
     const {links, random, clock} = this.parts;
     const link = links.find(place.vm);
-    if (link === undefined) return {word: AgentWord.GONE};
-    if (!link.isConnected()) return {word: AgentWord.NOT_SENT};
-    if (!speaksAs(link, place)) return {word: AgentWord.GONE};
+    if (link === undefined) return {kind: AgentResultKind.GONE};
+    if (!link.isConnected()) return {kind: AgentResultKind.NOT_SENT};
+    if (!speaksAs(link, place)) return {kind: AgentResultKind.GONE};
     const waitMs = Math.max(0, timeoutMs - ASK_ANSWER_MS);
     const message = {
       type: MessageType.ASK_KEY as const,
@@ -81,48 +81,48 @@
   }
 }
 
-function speaksAs(link: AgentLink, place: AgentPlace): boolean {
+function speaksAs(link: AgentLink, place: AgentId): boolean {
   return link.view().incarnation === place.incarnation;
 }
 
-function wordOfAnswer(answer: CallAnswer, place: AgentPlace): AgentResult {
+function wordOfAnswer(answer: CallAnswer, place: AgentId): AgentResult {
   const {response, keyPhase, incarnation} = answer;
-  if (response !== undefined) return {word: AgentWord.RESPONSE, response};
-  if (incarnation !== place.incarnation) return {word: AgentWord.GONE};
-  return {word: PHASE_WORDS[keyPhase!]};
+  if (response !== undefined) return {kind: AgentResultKind.RESPONSE, response};
+  if (incarnation !== place.incarnation) return {kind: AgentResultKind.GONE};
+  return {kind: PHASE_WORDS[keyPhase!]};
 }
 
-const PHASE_WORDS: Readonly<Record<KeyPhase, AgentWord>> = {
-  [KeyPhase.UNSEEN]: AgentWord.UNSEEN,
-  [KeyPhase.PROMISED_NEVER]: AgentWord.PROMISED_NEVER,
-  [KeyPhase.RUNNING]: AgentWord.TIMEOUT,
+const PHASE_WORDS: Readonly<Record<KeyPhase, AgentResultKind>> = {
+  [KeyPhase.UNSEEN]: AgentResultKind.UNSEEN,
+  [KeyPhase.PROMISED_NEVER]: AgentResultKind.PROMISED_NEVER,
+  [KeyPhase.RUNNING]: AgentResultKind.TIMEOUT,
   // The outcome comes as a response.
-  [KeyPhase.DONE]: AgentWord.TIMEOUT,
-  [KeyPhase.UNCERTAIN]: AgentWord.UNCERTAIN,
+  [KeyPhase.DONE]: AgentResultKind.TIMEOUT,
+  [KeyPhase.UNCERTAIN]: AgentResultKind.UNCERTAIN,
 };
 
 function toResult(error: CallError): AgentResult {
   switch (error.kind) {
     case CallErrorKind.NOT_SENT:
-      return {word: AgentWord.NOT_SENT};
+      return {kind: AgentResultKind.NOT_SENT};
     case CallErrorKind.LOST:
-      return {word: AgentWord.LOST};
+      return {kind: AgentResultKind.LOST};
     case CallErrorKind.TIMEOUT:
-      return {word: AgentWord.TIMEOUT};
+      return {kind: AgentResultKind.TIMEOUT};
     case CallErrorKind.REFUSED:
-      return {word: wordOfRefusal(error.refusal?.reason)};
+      return {kind: wordOfRefusal(error.refusal?.reason)};
   }
 }
 
-function wordOfRefusal(reason: RefusalReason | undefined): AgentWord {
+function wordOfRefusal(reason: RefusalReason | undefined): AgentResultKind {
   switch (reason) {
     case RefusalReason.CLAIM_VOIDED:
-      return AgentWord.PROMISED_NEVER;
+      return AgentResultKind.PROMISED_NEVER;
     case RefusalReason.KEY_REUSED:
-      return AgentWord.OTHER_BODY;
+      return AgentResultKind.OTHER_BODY;
     case RefusalReason.OUTCOME_UNKNOWN:
-      return AgentWord.UNCERTAIN;
+      return AgentResultKind.UNCERTAIN;
     default:
-      return AgentWord.NOT_ADMITTED;
+      return AgentResultKind.NOT_ADMITTED;
   }
 }
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -3,7 +3,7 @@
 import {err, ok} from 'neverthrow';
 
 import type {
-  AgentPlace,
+  AgentId,
   BookingEffect,
   BookingEvent,
   BookingState,
@@ -87,7 +87,7 @@
       this.resolve = resolve;
       this.timer = clock.schedule({
         delayMs: Math.max(0, this.leftMs()),
-        run: () => this.take({kind: EventKind.GIVE_UP}),
+        run: () => this.take({kind: EventKind.ABORT}),
       });
       this.take({kind: EventKind.BEGIN});
     });
@@ -119,7 +119,7 @@
   }
 
   /** A first target is free; another one draws on the retry budget. */
-  private chooseTarget(event: BookingEvent): AgentPlace | undefined {
+  private chooseTarget(event: BookingEvent): AgentId | undefined {
     const {request, options} = this;
     const budget = options.parts.retryBudgets.of(request.service);
     if (event.kind === EventKind.BEGIN) {
@@ -142,7 +142,7 @@
       case EffectKind.CALL:
         void this.call(effect);
         return;
-      case EffectKind.ASK:
+      case EffectKind.QUERY:
         void this.ask(effect);
         return;
       case EffectKind.LOOK_UP:
@@ -153,7 +153,7 @@
     }
   }
 
-  private async create({claim, again}: CreateEffect): Promise<void> {
+  private async create({claim, isRetry: again}: CreateEffect): Promise<void> {
     const {parts, claims} = this.options;
     await this.waitIfAgain(again);
     const startedAtMs = parts.clock.now();
@@ -163,11 +163,15 @@
     this.takeWrite(result);
   }
 
-  private async swap({expected, claim, again}: SwapEffect): Promise<void> {
+  private async swap({
+    expected,
+    claim,
+    isRetry: again,
+  }: SwapEffect): Promise<void> {
     await this.waitIfAgain(again);
     const {name} = this;
     const result = await this.options.claims.swap({name, expected, claim});
-    if (result.outcome === WriteOutcome.MET) {
+    if (result.outcome === WriteOutcome.CONFLICT) {
       this.countRetry(RetryReason.STORE_CONFLICT);
     }
     this.takeWrite(result);
@@ -183,17 +187,17 @@
     this.take({kind: EventKind.WRITE, result});
   }
 
-  private async call({place, claimedAtMs}: CallEffect): Promise<void> {
+  private async call({agent: place, claimedAtMs}: CallEffect): Promise<void> {
     const timeoutMs = this.leftMs();
     const result = await this.agents.call({place, claimedAtMs, timeoutMs});
     this.take({kind: EventKind.AGENT, result});
   }
 
   private async ask(
-    effect: Extract<BookingEffect, {kind: EffectKind.ASK}>,
+    effect: Extract<BookingEffect, {kind: EffectKind.QUERY}>,
   ): Promise<void> {
-    if (effect.again) await this.waitToAsk();
-    const {place} = effect;
+    if (effect.isRetry) await this.waitToAsk();
+    const {agent: place} = effect;
     const result = await this.agents.ask({place, timeoutMs: this.leftMs()});
     this.take({kind: EventKind.AGENT, result});
   }
@@ -221,7 +225,7 @@
   }
 
   private refuse(evidence: Evidence): Refusal {
-    const {ran, reason, detail, comeBack} = decideRan(evidence);
+    const {ran, reason, detail, retryLater: comeBack} = decideRan(evidence);
     const label = evidence.kind;
     this.options.parts.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
     const retryAfterMs = comeBack ? RETRY_AFTER_MS : undefined;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -4,7 +4,7 @@
 import type {Admission} from '../core/admission/index.js';
 import {FairAdmission, RetryBudgets} from '../core/admission/index.js';
 import {
-  CLAIM_PACE_MS,
+  CLAIM_WRITE_INTERVAL_MS,
   GroupedClaims,
   StoredOutcomes,
 } from '../core/booking/index.js';
@@ -230,7 +230,7 @@
         parts,
         claims: new GroupedClaims({
           ...this.options,
-          paceMs: CLAIM_PACE_MS,
+          writeIntervalMs: CLAIM_WRITE_INTERVAL_MS,
         }),
         outcomes: new StoredOutcomes({store: this.options.store}),
         incarnation: this.incarnation,
--- a/test/core/booking/grouped-claims.test.ts
+++ b/test/core/booking/grouped-claims.test.ts
@@ -52,7 +52,7 @@
     store,
     clock: new SystemClock(),
     random,
-    paceMs: 0,
+    writeIntervalMs: 0,
   });
 }
 
--- a/test/core/booking/lib/behaviour.ts
+++ b/test/core/booking/lib/behaviour.ts
@@ -1,6 +1,6 @@
 /** How the store, the agents and the service of a world behave. */
 import type {
-  AgentPlace,
+  AgentId,
   AgentResult,
   BookingEffect,
   BookingState,
@@ -9,8 +9,8 @@
   WriteResult,
 } from '../../../../src/core/booking/index.js';
 import {
-  AgentWord,
-  decideAsk,
+  AgentResultKind,
+  decideKeyQuery,
   decideRan,
   EffectKind,
   KeyAction,
@@ -48,28 +48,31 @@
 export function isNewWrite(effect: BookingEffect | undefined): boolean {
   const writes =
     effect?.kind === EffectKind.CREATE || effect?.kind === EffectKind.SWAP;
-  return writes && !effect.again;
+  return writes && !effect.isRetry;
 }
 
 export function askAgent(agent: SimAgent, incarnation: string): AgentResult {
-  if (`i${agent.incarnation}` !== incarnation) return {word: AgentWord.GONE};
+  if (`i${agent.incarnation}` !== incarnation)
+    return {kind: AgentResultKind.GONE};
   const {phase, fingerprint} = agent;
   const known = phase === undefined ? undefined : {phase, fingerprint};
-  const action = decideAsk({known, promiseNever: false, isFull: false});
-  if (action === KeyAction.SAY_UNSEEN) return {word: AgentWord.UNSEEN};
-  return phase === KeyPhase.RUNNING ? {word: AgentWord.TIMEOUT} : wordOf(agent);
+  const action = decideKeyQuery({known, promiseNever: false, isFull: false});
+  if (action === KeyAction.REPORT_UNSEEN) return {kind: AgentResultKind.UNSEEN};
+  return phase === KeyPhase.RUNNING
+    ? {kind: AgentResultKind.TIMEOUT}
+    : wordOf(agent);
 }
 
 export function wordOf(agent: SimAgent): AgentResult {
   switch (agent.phase) {
     case KeyPhase.DONE: {
       const response = responseOf(agent.execution);
-      return {word: AgentWord.RESPONSE, response};
+      return {kind: AgentResultKind.RESPONSE, response};
     }
     case KeyPhase.PROMISED_NEVER:
-      return {word: AgentWord.PROMISED_NEVER};
+      return {kind: AgentResultKind.PROMISED_NEVER};
     default:
-      return {word: AgentWord.UNCERTAIN};
+      return {kind: AgentResultKind.UNCERTAIN};
   }
 }
 
@@ -95,12 +98,12 @@
   if (effect.kind === EffectKind.CREATE) {
     return world.claim === undefined
       ? putClaim(world, effect.claim)
-      : {outcome: WriteOutcome.MET, stored: world.claim};
+      : {outcome: WriteOutcome.CONFLICT, stored: world.claim};
   }
   if (effect.kind !== EffectKind.SWAP) throw new Error('not a write');
   return world.claim?.version === effect.expected.version
     ? putClaim(world, effect.claim)
-    : {outcome: WriteOutcome.MET, stored: world.claim};
+    : {outcome: WriteOutcome.CONFLICT, stored: world.claim};
 }
 
 export function putClaim(world: World, claim: Claim): WriteResult {
@@ -182,7 +185,7 @@
 export function findTarget(
   world: World,
   named: string | undefined,
-): AgentPlace | undefined {
+): AgentId | undefined {
   const vm = world.agents.findIndex(
     (agent) => agent.takesWork && `i${agent.incarnation}` !== named,
   );
--- a/test/core/booking/lib/simulator.ts
+++ b/test/core/booking/lib/simulator.ts
@@ -3,7 +3,7 @@
  * schedule picks what happens next; nothing else decides.
  */
 import type {
-  AgentPlace,
+  AgentId,
   AgentResult,
   BookingEffect,
   BookingEvent,
@@ -12,7 +12,7 @@
   WriteResult,
 } from '../../../../src/core/booking/index.js';
 import {
-  AgentWord,
+  AgentResultKind,
   createBooking,
   decideCall,
   EffectKind,
@@ -67,7 +67,7 @@
     actions.push(...this.arrivals(world));
     world.requests.forEach((request, i) => {
       if (request.told !== undefined || !world.entriesUp[request.entry]) return;
-      add(`give up ${i}`, (w) => this.step(w, i, {kind: EventKind.GIVE_UP}));
+      add(`give up ${i}`, (w) => this.step(w, i, {kind: EventKind.ABORT}));
       const vouches = request.state.firstUse && !request.hungUp;
       if (vouches) add(`hang up ${i}`, (w) => (w.requests[i]!.hungUp = true));
       if (!request.late) add(`late ${i}`, (w) => (w.requests[i]!.late = true));
@@ -222,7 +222,7 @@
     }
     add('reply lost', (w) => {
       take(w);
-      answer(w, {word: AgentWord.LOST});
+      answer(w, {kind: AgentResultKind.LOST});
     });
   }
 
@@ -269,8 +269,8 @@
       case EffectKind.CALL:
         this.addCall(index, effect, add, take);
         return;
-      case EffectKind.ASK:
-        this.addAsk(index, effect.place, add, take);
+      case EffectKind.QUERY:
+        this.addAsk(index, effect.agent, add, take);
         return;
       case EffectKind.LOOK_UP: {
         const {agentIncarnation} = effect.claim;
@@ -330,32 +330,27 @@
       const word = this.admit(w, effect, fingerprint);
       take(w);
       if (word !== undefined) return answer(w, word);
-      const agent = Number(effect.place.vm);
+      const agent = Number(effect.agent.vm);
       const {incarnation} = w.agents[agent]!;
       w.flights.push({at: 'reply', request: index, agent, incarnation});
     });
     add('call not sent', (w) => {
       take(w);
-      answer(w, {word: AgentWord.NOT_SENT});
+      answer(w, {kind: AgentResultKind.NOT_SENT});
     });
     add('call lost', (w) => {
       take(w);
-      answer(w, {word: AgentWord.LOST});
+      answer(w, {kind: AgentResultKind.LOST});
     });
     add('call delayed', (w) => {
       take(w);
       const {fingerprint} = w.requests[index]!.state;
       w.flights.push({at: 'call', effect, fingerprint});
-      answer(w, {word: AgentWord.LOST});
+      answer(w, {kind: AgentResultKind.LOST});
     });
   }
 
-  private addAsk(
-    index: number,
-    place: AgentPlace,
-    add: Adder,
-    take: Take,
-  ): void {
+  private addAsk(index: number, place: AgentId, add: Adder, take: Take): void {
     const answer = (w: World, result: AgentResult): void =>
       this.step(w, index, {kind: EventKind.AGENT, result});
     add('ask', (w) => {
@@ -364,14 +359,14 @@
     });
     add('ask not sent', (w) => {
       take(w);
-      answer(w, {word: AgentWord.NOT_SENT});
+      answer(w, {kind: AgentResultKind.NOT_SENT});
     });
   }
 
   /** A call arrives; undefined while the first one runs. */
   private admit(
     w: World,
-    {place}: CallEffect,
+    {agent: place}: CallEffect,
     fingerprint: string,
   ): AgentResult | undefined {
     const i = Number(place.vm);
@@ -397,15 +392,15 @@
           run: {incarnation: agent.incarnation, fingerprint},
         });
         return undefined;
-      case KeyAction.ANSWER_FIRST:
+      case KeyAction.RETURN_FIRST_OUTCOME:
         return phase === KeyPhase.RUNNING ? undefined : wordOf(agent);
       case KeyAction.PROMISE_NEVER:
         Object.assign(agent, {phase: KeyPhase.PROMISED_NEVER, fingerprint});
-        return {word: AgentWord.PROMISED_NEVER};
+        return {kind: AgentResultKind.PROMISED_NEVER};
       case KeyAction.REFUSE_OTHER_BODY:
-        return {word: AgentWord.OTHER_BODY};
+        return {kind: AgentResultKind.OTHER_BODY};
       default:
-        return {word: AgentWord.NOT_ADMITTED};
+        return {kind: AgentResultKind.NOT_ADMITTED};
     }
   }
 }
--- a/test/core/booking/schedules.test.ts
+++ b/test/core/booking/schedules.test.ts
@@ -89,7 +89,7 @@
     name: 'an entry that took a claim over voids it without a promise',
     decisions: {
       stepBooking: (state: BookingState, event, context: StepContext) =>
-        stepBooking({...state, sole: true}, event, context),
+        stepBooking({...state, soleSender: true}, event, context),
     },
   },
   {
