--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -12,7 +12,7 @@
 import {CounterName} from '../core/metrics/index.js';
 import type {Metrics} from '../core/metrics/index.js';
 import type {Suspect} from '../core/poison/index.js';
-import {findCulprits, isApart} from '../core/poison/index.js';
+import {findCrashCauses, sharesNoCrash} from '../core/poison/index.js';
 import type {StartMessage} from '../core/protocol/index.js';
 import {TargetPhase} from '../core/protocol/index.js';
 import type {AgentBoard} from './agent-board.js';
@@ -83,7 +83,7 @@
     }
     const crashes = order.crashes ?? [];
     if (order.mayShare === true) return undefined;
-    if (!isApart({crashes, beside: this.suspects()})) {
+    if (!sharesNoCrash({crashes, others: this.suspects()})) {
       const detail = 'another request of the same crash runs here';
       return refuse(RefusalReason.NO_TARGET, detail);
     }
@@ -138,7 +138,7 @@
     const kind = isCrash ? DriverErrorKind.LOST : DriverErrorKind.TIMEOUT;
     const detail = `the engine is ${phase}`;
     const id = this.options.random.id();
-    const culprits = isCrash ? findCulprits(this.suspects()) : [];
+    const culprits = isCrash ? findCrashCauses(this.suspects()) : [];
     for (const attempt of this.running()) {
       const isCulprit = culprits.includes(attempt.order.attemptId);
       const crash = isCrash ? {id, isCulprit} : undefined;
--- a/src/core/poison/culprits.ts
+++ b/src/core/poison/crash-causes.ts
@@ -14,7 +14,7 @@
  * @example
  * findCulprits([{id: 'a', crashes: ['c1']}, {id: 'b', crashes: []}]);
  */
-export function findCulprits(suspects: readonly Suspect[]): string[] {
+export function findCrashCauses(suspects: readonly Suspect[]): string[] {
   const counts = new Map<string, number>();
   for (const {crashes} of suspects) {
     for (const crash of new Set(crashes)) {
@@ -33,11 +33,11 @@
  * @example
  * isApart({crashes: ['c1'], beside: [{id: 'b', crashes: ['c1']}]});
  */
-export function isApart(options: {
+export function sharesNoCrash(options: {
   crashes: readonly string[];
-  beside: readonly Suspect[];
+  others: readonly Suspect[];
 }): boolean {
-  const {crashes, beside} = options;
+  const {crashes, others: beside} = options;
   const own = new Set(crashes);
   return !beside.some((other) => other.crashes.some((c) => own.has(c)));
 }
--- a/src/core/poison/common-cause.ts
+++ b/src/core/poison/data-centre-outage.ts
@@ -9,13 +9,13 @@
 const FALLEN_SHARE = 0.75;
 
 /** What is known of a lost target and of those around it. */
-export interface FallQuery {
+export interface OutageQuery {
   readonly lost: Target;
   readonly lostAtMs: number;
   /** All targets that are known. */
   readonly targets: Iterable<Target>;
   /** Lives that the request may have ended before it came to this one. */
-  readonly endedBefore: ReadonlySet<string>;
+  readonly crashedBefore: ReadonlySet<string>;
 }
 
 /**
@@ -27,8 +27,8 @@
  * @example
  * if (fellTogether({lost, lostAtMs, targets, endedBefore})) dismiss();
  */
-export function fellTogether(query: FallQuery): boolean {
-  const {lost, lostAtMs, targets, endedBefore} = query;
+export function isDataCentreOutage(query: OutageQuery): boolean {
+  const {lost, lostAtMs, targets, crashedBefore: endedBefore} = query;
   const witnesses = [...targets].filter(
     (target) =>
       target !== lost &&
--- a/src/core/poison/drop-oldest.ts
+++ b/src/core/poison/drop-oldest.ts
@@ -8,9 +8,9 @@
  */
 export function dropOldest<K>(options: {
   entries: Map<K, unknown> | Set<K>;
-  most: number;
+  maxSize: number;
 }): void {
-  const {entries, most} = options;
+  const {entries, maxSize: most} = options;
   if (entries.size <= most) return;
   const [oldest] = entries.keys();
   entries.delete(oldest!);
--- a/src/core/poison/index.ts
+++ b/src/core/poison/index.ts
@@ -1,8 +1,8 @@
 /** Requests that end the targets that run them. */
-export * from './culprits.js';
+export * from './crash-causes.js';
 export * from './quarantine.js';
-export {fellTogether} from './common-cause.js';
+export {isDataCentreOutage} from './data-centre-outage.js';
 export {dropOldest} from './drop-oldest.js';
 export {LossLedger, POISON_LOSSES} from './loss-ledger.js';
-export type {LossNote, LossNotes} from './loss-notes.js';
-export {LOSS_NOTES} from './loss-notes.js';
+export type {RecordedLoss, RecordedLosses} from './recorded-losses.js';
+export {RECORDED_LOSSES} from './recorded-losses.js';
--- a/src/core/poison/loss-ledger.ts
+++ b/src/core/poison/loss-ledger.ts
@@ -1,7 +1,7 @@
 /** Targets that were lost under requests, as all entries saw it. */
 import type {Clock} from '../clock/index.js';
 import {dropOldest} from './drop-oldest.js';
-import type {LossNote, LossNotes} from './loss-notes.js';
+import type {RecordedLoss, RecordedLosses} from './recorded-losses.js';
 import type {Loss} from './loss-table.js';
 import {LossTable} from './loss-table.js';
 
@@ -12,7 +12,7 @@
 export const SUSPECT_LOSSES = 2;
 
 /** Falls of data centres after which chance explains them no more. */
-export const MOST_FALLS = 5;
+export const MAX_OUTAGES = 5;
 
 /** Time for which a loss is held against a request, in milliseconds. */
 const MEMORY_MS = 600_000;
@@ -26,7 +26,7 @@
 /** A request and the life of a target that it lost. */
 export interface LossKey {
   readonly request: string;
-  readonly life: string;
+  readonly incarnation: string;
 }
 
 /** Falls of data centres that took targets from a request. */
@@ -67,13 +67,13 @@
   }
 
   /** A target was lost under a request; the cause is not known yet. */
-  note(key: LossKey): void {
+  recordLoss(key: LossKey): void {
     this.putOwn(key, false);
   }
 
   /** No other cause was found: the loss is held against the request. */
-  settle(key: LossKey): void {
-    const loss = this.own.of(key.request).get(key.life);
+  confirm(key: LossKey): void {
+    const loss = this.own.lossesOf(key.request).get(key.incarnation);
     if (loss !== undefined) this.own.put({...loss, isSettled: true});
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** The target was lost with its data centre. */
-  noteFall(key: LossKey): void {
+  recordOutage(key: LossKey): void {
     const {request} = key;
     this.dismiss(key);
     const lastMs = this.options.clock.now();
@@ -93,36 +93,37 @@
     const count = (earlier?.count ?? 0) + (isSame ? 0 : 1);
     this.falls.delete(request);
     this.falls.set(request, {count, lastMs});
-    dropOldest({entries: this.falls, most: MAX_REQUESTS});
+    dropOldest({entries: this.falls, maxSize: MAX_REQUESTS});
   }
 
   /**
    * One target has served the whole request: it ends none. Whether that is
    * news to other entries, which hold losses against it.
    */
-  noteServed(request: string): boolean {
+  recordServed(request: string): boolean {
     this.falls.delete(request);
     this.own.removeAll(request);
     const isNews =
       this.isKnownToOthers(request) && !this.ownHarmless.has(request);
     if (isNews) this.ownHarmless.add(request);
-    dropOldest({entries: this.ownHarmless, most: MAX_REQUESTS});
+    dropOldest({entries: this.ownHarmless, maxSize: MAX_REQUESTS});
     return isNews;
   }
 
   /** Entries of whose notes something is known. */
-  get toldBy(): readonly string[] {
+  get knownEntries(): readonly string[] {
     return [...this.othersHarmless.keys()];
   }
 
   /** Takes over what another entry has to tell. */
-  learn(entry: string, notes: LossNotes): void {
+  updateEntry(entry: string, notes: RecordedLosses): void {
     const earlier = this.others.get(entry);
     const nowMs = this.options.clock.now();
     const table = new LossTable();
-    for (const note of notes.losses) {
-      const known = earlier?.of(note.request).get(note.life);
-      table.put({...note, atMs: known?.atMs ?? nowMs});
+    for (const {request, life: incarnation, isSettled} of notes.losses) {
+      const known = earlier?.lossesOf(request).get(incarnation);
+      const atMs = known?.atMs ?? nowMs;
+      table.put({request, incarnation, atMs, isSettled});
     }
     if (table.isEmpty) this.others.delete(entry);
     else this.others.set(entry, table);
@@ -130,24 +131,24 @@
   }
 
   /** An entry's notes are gone. */
-  forget(entry: string): void {
+  removeEntry(entry: string): void {
     this.others.delete(entry);
     this.othersHarmless.delete(entry);
   }
 
   /** Takes over what an earlier life of this entry had told. */
-  adopt(notes: LossNotes): void {
+  restore(notes: RecordedLosses): void {
     for (const {request, life} of notes.losses) {
       // Nobody is left who could look into its cause.
-      this.putOwn({request, life}, true);
+      this.putOwn({request, incarnation: life}, true);
     }
     for (const request of notes.harmless) this.ownHarmless.add(request);
   }
 
   /** A request is known to have ended some lives, so others did not. */
-  explain(request: string, lives: readonly string[]): void {
+  attribute(request: string, lives: readonly string[]): void {
     this.explained.set(request, new Set(lives));
-    dropOldest({entries: this.explained, most: MAX_REQUESTS});
+    dropOldest({entries: this.explained, maxSize: MAX_REQUESTS});
   }
 
   /** A request is let go: what was held against it counts no more. */
@@ -158,17 +159,17 @@
   }
 
   /** What this entry has to tell the others. */
-  toNotes(): LossNotes {
+  toRecordedLosses(): RecordedLosses {
     const losses = [...this.own.all()]
       .filter((loss) => this.isFresh(loss))
-      .map(({request, life, isSettled}): LossNote => {
+      .map(({request, incarnation: life, isSettled}): RecordedLoss => {
         return {request, life, isSettled};
       });
     return {losses, harmless: [...this.ownHarmless]};
   }
 
   /** Lives that were lost under a request, whether looked into or not. */
-  livesOf(request: string): ReadonlySet<string> {
+  incarnationsOf(request: string): ReadonlySet<string> {
     return this.collect(request, () => true);
   }
 
@@ -176,22 +177,22 @@
    * Lives that were lost under a request before a time, and those of which
    * other entries tell: the request may have gone from one to the next.
    */
-  livesBefore(request: string, beforeMs: number): ReadonlySet<string> {
-    const own = this.own.of(request);
+  incarnationsBefore(request: string, beforeMs: number): ReadonlySet<string> {
+    const own = this.own.lossesOf(request);
     return this.collect(request, (loss) => {
-      const isOwn = own.get(loss.life) === loss;
+      const isOwn = own.get(loss.incarnation) === loss;
       return !isOwn || loss.atMs <= beforeMs;
     });
   }
 
   /** Whether a request is to be sent on with care. */
   isSuspect(request: string): boolean {
-    return this.livesOf(request).size >= SUSPECT_LOSSES;
+    return this.incarnationsOf(request).size >= SUSPECT_LOSSES;
   }
 
   /** Whether the causes of a request's losses have to be known first. */
   mayBePoison(request: string): boolean {
-    const isOften = this.livesOf(request).size >= POISON_LOSSES;
+    const isOften = this.incarnationsOf(request).size >= POISON_LOSSES;
     return isOften || this.isPoison(request);
   }
 
@@ -200,15 +201,18 @@
    * targets, either may be the cause, so one more loss is awaited.
    */
   isPoison(request: string): boolean {
-    if ((this.falls.get(request)?.count ?? 0) >= MOST_FALLS) return true;
+    if ((this.falls.get(request)?.count ?? 0) >= MAX_OUTAGES) return true;
     const lives = this.collect(request, ({isSettled}) => isSettled);
     if (lives.size < POISON_LOSSES) return false;
     return lives.size > POISON_LOSSES || !this.hasTwin(request, lives);
   }
 
-  private putOwn({request, life}: LossKey, isSettled: boolean): void {
+  private putOwn(
+    {request, incarnation: life}: LossKey,
+    isSettled: boolean,
+  ): void {
     const atMs = this.options.clock.now();
-    this.own.put({request, life, atMs, isSettled});
+    this.own.put({request, incarnation: life, atMs, isSettled});
   }
 
   private collect(
@@ -218,8 +222,8 @@
     if (this.isEmpty || this.isHarmless(request)) return NONE;
     const lives = new Set<string>();
     for (const table of this.tables()) {
-      for (const loss of table.of(request).values()) {
-        if (this.isHeld(loss) && counts(loss)) lives.add(loss.life);
+      for (const loss of table.lossesOf(request).values()) {
+        if (this.isHeld(loss) && counts(loss)) lives.add(loss.incarnation);
       }
     }
     return lives;
@@ -230,10 +234,10 @@
     const shared = new Map<string, Set<string>>();
     for (const table of this.tables()) {
       for (const loss of table.all()) {
-        const isOther = loss.request !== request && lives.has(loss.life);
+        const isOther = loss.request !== request && lives.has(loss.incarnation);
         if (!isOther || !this.isHeld(loss)) continue;
         const theirs = shared.get(loss.request) ?? new Set<string>();
-        shared.set(loss.request, theirs.add(loss.life));
+        shared.set(loss.request, theirs.add(loss.incarnation));
       }
     }
     return [...shared].some(
@@ -255,7 +259,7 @@
     return this.options.clock.now() - atMs <= MEMORY_MS;
   }
 
-  private isExplained({request, life}: Loss): boolean {
+  private isExplained({request, incarnation: life}: Loss): boolean {
     for (const [culprit, lives] of this.explained) {
       if (culprit !== request && lives.has(life)) return true;
     }
@@ -272,7 +276,7 @@
 
   private isKnownToOthers(request: string): boolean {
     for (const table of this.others.values()) {
-      if (table.of(request).size > 0) return true;
+      if (table.lossesOf(request).size > 0) return true;
     }
     return false;
   }
--- a/src/core/poison/loss-table.ts
+++ b/src/core/poison/loss-table.ts
@@ -5,7 +5,7 @@
 export interface Loss {
   readonly request: string;
   /** Life of the target, as `lifeOf` names it. */
-  readonly life: string;
+  readonly incarnation: string;
   /** When this process learned of it, on its own clock. */
   readonly atMs: number;
   /** No other cause of the loss was found; else it is not known yet. */
@@ -33,24 +33,24 @@
   }
 
   /** The losses under a request, by life. */
-  of(request: string): ReadonlyMap<string, Loss> {
+  lossesOf(request: string): ReadonlyMap<string, Loss> {
     return this.byRequest.get(request) ?? NONE;
   }
 
   /** Adds a loss, or replaces what was known of it. */
   put(loss: Loss): void {
-    const {request, life} = loss;
+    const {request, incarnation: life} = loss;
     const lives = this.byRequest.get(request) ?? new Map<string, Loss>();
     lives.set(life, loss);
     // The newest requests stand last.
     this.byRequest.delete(request);
     this.byRequest.set(request, lives);
-    dropOldest({entries: this.byRequest, most: MAX_REQUESTS});
+    dropOldest({entries: this.byRequest, maxSize: MAX_REQUESTS});
   }
 
-  remove({request, life}: {request: string; life: string}): void {
+  remove({request, incarnation}: {request: string; incarnation: string}): void {
     const lives = this.byRequest.get(request);
-    lives?.delete(life);
+    lives?.delete(incarnation);
     if (lives?.size === 0) this.byRequest.delete(request);
   }
 
--- a/src/core/poison/quarantine.ts
+++ b/src/core/poison/quarantine.ts
@@ -8,14 +8,14 @@
 export const MAX_QUARANTINED = 10_000;
 
 /** What the object store holds of a culprit, under its fingerprint. */
-export const CULPRIT = Codec.interface({
+export const QUARANTINE_RECORD = Codec.interface({
   clientAccount: string,
   /** The crashes that it caused; the others in them are not held against the requests. */
   crashes: array(string),
 });
 
 /** A request that crashed its engines. */
-export type Culprit = GetType<typeof CULPRIT>;
+export type QuarantineRecord = GetType<typeof QUARANTINE_RECORD>;
 
 /**
  * The fingerprints that this process refuses.
@@ -25,9 +25,9 @@
  * quarantine.has(fingerprint);
  */
 export class Quarantine {
-  private readonly culprits = new Map<string, Culprit>();
+  private readonly culprits = new Map<string, QuarantineRecord>();
   private readonly listeners = new Set<
-    (fingerprint: string, culprit: Culprit) => void
+    (fingerprint: string, culprit: QuarantineRecord) => void
   >();
   private readonly removalListeners = new Set<(fingerprint: string) => void>();
 
@@ -40,11 +40,11 @@
   }
 
   /** Adds a culprit and tells the listeners if it is new. */
-  add(options: {fingerprint: string; culprit: Culprit}): void {
-    const {fingerprint, culprit} = options;
+  add(options: {fingerprint: string; record: QuarantineRecord}): void {
+    const {fingerprint, record: culprit} = options;
     if (this.culprits.has(fingerprint)) return;
     this.culprits.set(fingerprint, culprit);
-    dropOldest({entries: this.culprits, most: MAX_QUARANTINED});
+    dropOldest({entries: this.culprits, maxSize: MAX_QUARANTINED});
     for (const listener of [...this.listeners]) listener(fingerprint, culprit);
   }
 
@@ -61,7 +61,7 @@
 
   /** Calls `listener` with each new culprit; the result removes it. */
   subscribe(
-    listener: (fingerprint: string, culprit: Culprit) => void,
+    listener: (fingerprint: string, culprit: QuarantineRecord) => void,
   ): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
--- a/src/core/poison/loss-notes.ts
+++ b/src/core/poison/recorded-losses.ts
@@ -2,7 +2,7 @@
 import {array, boolean, Codec, string} from 'purify-ts';
 import type {GetType} from 'purify-ts';
 
-const LOSS_NOTE = Codec.interface({
+const RECORDED_LOSS = Codec.interface({
   /** Fingerprint of the request. */
   request: string,
   /** Life of the target, as `lifeOf` names it. */
@@ -12,14 +12,14 @@
 });
 
 /** What the object store holds of one entry's losses, under its VM. */
-export const LOSS_NOTES = Codec.interface({
-  losses: array(LOSS_NOTE),
+export const RECORDED_LOSSES = Codec.interface({
+  losses: array(RECORDED_LOSS),
   /** Fingerprints of requests that ended well after others had lost targets. */
   harmless: array(string),
 });
 
 /** One target that was lost under a request. */
-export type LossNote = GetType<typeof LOSS_NOTE>;
+export type RecordedLoss = GetType<typeof RECORDED_LOSS>;
 
 /** All that one entry has to tell. */
-export type LossNotes = GetType<typeof LOSS_NOTES>;
+export type RecordedLosses = GetType<typeof RECORDED_LOSSES>;
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -13,7 +13,7 @@
 import type {Logger} from '../core/logs/index.js';
 import type {Metrics} from '../core/metrics/index.js';
 import {CounterName} from '../core/metrics/index.js';
-import type {Culprit, LossNotes} from '../core/poison/index.js';
+import type {QuarantineRecord, RecordedLosses} from '../core/poison/index.js';
 import {Quarantine} from '../core/poison/index.js';
 import type {AdmittedRequest, RoutingConfig} from '../core/routes/index.js';
 import {
@@ -52,10 +52,10 @@
   readonly random: RandomSource;
   readonly configs: StateSource<RoutingConfig>;
   readonly registrations: StateSource<TargetRecord>;
-  readonly culprits: StateSource<Culprit>;
-  readonly culpritNotes: SharedNotes<Culprit>;
-  readonly losses: StateSource<LossNotes>;
-  readonly lossNotes: SharedNotes<LossNotes>;
+  readonly culprits: StateSource<QuarantineRecord>;
+  readonly culpritNotes: SharedNotes<QuarantineRecord>;
+  readonly losses: StateSource<RecordedLosses>;
+  readonly lossNotes: SharedNotes<RecordedLosses>;
   readonly client: DirectTargets;
   readonly metrics: Metrics;
   readonly logger: Logger;
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -5,7 +5,7 @@
 import type {Metrics} from '../../core/metrics/index.js';
 import {CounterName} from '../../core/metrics/index.js';
 import type {LossLedger, Quarantine} from '../../core/poison/index.js';
-import {dropOldest, fellTogether} from '../../core/poison/index.js';
+import {dropOldest, isDataCentreOutage} from '../../core/poison/index.js';
 import type {Target, TargetSet} from '../../core/targets/index.js';
 import {lifeOf} from '../../core/targets/index.js';
 import {
@@ -91,9 +91,9 @@
     const life = lifeOf(target.record);
     const key = `${request} ${life}`;
     if (this.diagnoses.has(key) || this.isHeld(loss)) return;
-    ledger.note({request, life});
+    ledger.recordLoss({request, incarnation: life});
     this.tell('loss held against request', loss, {
-      held: ledger.livesOf(request).size,
+      held: ledger.incarnationsOf(request).size,
     });
     const end = this.lookInto(loss).finally(() => this.diagnoses.delete(key));
     this.diagnoses.set(key, end);
@@ -127,8 +127,8 @@
       await sleep(this.options.clock, OTHERS_DIAGNOSIS_MS);
     }
     if (!ledger.isPoison(request)) return quarantine.has(request);
-    const crashes = [...ledger.livesOf(request)];
-    quarantine.add({fingerprint: request, culprit: {clientAccount, crashes}});
+    const crashes = [...ledger.incarnationsOf(request)];
+    quarantine.add({fingerprint: request, record: {clientAccount, crashes}});
     return true;
   }
 
@@ -161,7 +161,7 @@
     await sleep(clock, LIFE_CHECK_MS - DIAGNOSIS_MS);
     const hasEnded = !targets.knows(target) && target.lastSeenMs < atMs;
     if (!hasEnded || !this.silent.has(loss)) return;
-    ledger.note({request, life: lifeOf(target.record)});
+    ledger.recordLoss({request, incarnation: lifeOf(target.record)});
     this.close(loss, LossCause.UNEXPLAINED);
   }
 
@@ -190,21 +190,24 @@
     const {request, target, beganMs} = loss;
     const {ledger, targets} = this.options;
     if (target.lastSeenMs > atMs + SEEN_AFTER_MS) return LossCause.TARGET_LIVES;
-    const isFall = fellTogether({
+    const isFall = isDataCentreOutage({
       lost: target,
       lostAtMs: atMs,
       targets: targets.all(),
-      endedBefore: ledger.livesBefore(request, beganMs),
+      crashedBefore: ledger.incarnationsBefore(request, beganMs),
     });
     return isFall ? LossCause.DATA_CENTRE : LossCause.UNEXPLAINED;
   }
 
   private close(loss: LossCase, cause: LossCause): void {
     const {ledger, metrics, onNews} = this.options;
-    const key = {request: loss.request, life: lifeOf(loss.target.record)};
+    const key = {
+      request: loss.request,
+      incarnation: lifeOf(loss.target.record),
+    };
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
     this.tell('cause of loss', loss, {cause});
-    if (cause === LossCause.DATA_CENTRE) ledger.noteFall(key);
+    if (cause === LossCause.DATA_CENTRE) ledger.recordOutage(key);
     else if (cause === LossCause.TARGET_LIVES) ledger.dismiss(key);
     else this.hold(loss);
     onNews();
@@ -215,10 +218,10 @@
   }
 
   private hold({request, clientAccount, target}: LossCase): void {
-    this.options.ledger.settle({request, life: lifeOf(target.record)});
+    this.options.ledger.confirm({request, incarnation: lifeOf(target.record)});
     const targets = this.held.get(request)?.targets ?? new Set<Target>();
     this.held.set(request, {clientAccount, targets: targets.add(target)});
-    dropOldest({entries: this.held, most: MAX_HELD});
+    dropOldest({entries: this.held, maxSize: MAX_HELD});
   }
 
   /** A target that still lives was not ended by the request. */
@@ -233,7 +236,7 @@
       known.map(async (target) => {
         if (!(await prober.showsLifeSince(target, nowMs))) return;
         this.held.get(request)?.targets.delete(target);
-        ledger.dismiss({request, life: lifeOf(target.record)});
+        ledger.dismiss({request, incarnation: lifeOf(target.record)});
       }),
     );
   }
--- a/src/direct/poison/loss-share.ts
+++ b/src/direct/poison/loss-share.ts
@@ -3,7 +3,7 @@
 import type {SharedNotes} from '../../core/edges/shared-notes.js';
 import type {SourceItem, StateSource} from '../../core/edges/state-source.js';
 import type {Logger} from '../../core/logs/index.js';
-import type {LossLedger, LossNotes} from '../../core/poison/index.js';
+import type {LossLedger, RecordedLosses} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
 import {
   LOSS_READ_PACE_MS,
@@ -18,8 +18,8 @@
   /** Name of this entry's VM, under which it leaves its notes. */
   readonly vm: string;
   readonly ledger: LossLedger;
-  readonly notes: SharedNotes<LossNotes>;
-  readonly source: StateSource<LossNotes>;
+  readonly notes: SharedNotes<RecordedLosses>;
+  readonly source: StateSource<RecordedLosses>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -38,7 +38,7 @@
  * share.publish();
  */
 export class LossShare {
-  private readonly follower: Follower<LossNotes>;
+  private readonly follower: Follower<RecordedLosses>;
   private timer?: TimerHandle;
   private waiting: Array<() => void> = [];
   private written = '';
@@ -118,7 +118,7 @@
 
   private async write(): Promise<void> {
     const {vm, ledger, notes, clock, logger} = this.options;
-    const value = ledger.toNotes();
+    const value = ledger.toRecordedLosses();
     const text = JSON.stringify(value);
     if (text === this.written || this.isNothingNew(value)) {
       this.release();
@@ -136,13 +136,13 @@
       return;
     }
     this.written = text;
-    const hasChanged = JSON.stringify(ledger.toNotes()) !== text;
+    const hasChanged = JSON.stringify(ledger.toRecordedLosses()) !== text;
     if (hasChanged) this.publish();
     else this.release();
   }
 
   /** Nothing was ever told, and there is nothing to tell. */
-  private isNothingNew({losses, harmless}: LossNotes): boolean {
+  private isNothingNew({losses, harmless}: RecordedLosses): boolean {
     return this.written === '' && losses.length + harmless.length === 0;
   }
 
@@ -150,11 +150,11 @@
     for (const resolve of this.waiting.splice(0)) resolve();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<LossNotes>>): void {
+  private takeAll(items: ReadonlyArray<SourceItem<RecordedLosses>>): void {
     const {vm, ledger} = this.options;
     const present = new Set(items.map(({name}) => name));
-    for (const name of ledger.toldBy) {
-      if (!present.has(name)) ledger.forget(name);
+    for (const name of ledger.knownEntries) {
+      if (!present.has(name)) ledger.removeEntry(name);
     }
     for (const item of items) this.take(item);
     if (this.hasAdopted) return;
@@ -164,19 +164,19 @@
     this.publish();
   }
 
-  private adopt(own: LossNotes): void {
-    this.options.ledger.adopt(own);
+  private adopt(own: RecordedLosses): void {
+    this.options.ledger.restore(own);
     this.written = JSON.stringify(own);
   }
 
-  private take({name, value}: SourceItem<LossNotes>): void {
+  private take({name, value}: SourceItem<RecordedLosses>): void {
     const {vm, ledger, onLearned} = this.options;
     if (name === vm) return;
     if (value === undefined) {
-      ledger.forget(name);
+      ledger.removeEntry(name);
       return;
     }
-    ledger.learn(name, value);
+    ledger.updateEntry(name, value);
     onLearned(value.losses.map(({request}) => request));
   }
 }
--- a/src/direct/poison/losses.ts
+++ b/src/direct/poison/losses.ts
@@ -35,7 +35,7 @@
       onLearned: (requests) => this.judge(requests),
     });
     quarantine.subscribe((fingerprint, {crashes}) => {
-      this.ledger.explain(fingerprint, crashes);
+      this.ledger.attribute(fingerprint, crashes);
     });
     quarantine.onRemoved((fingerprint) => {
       this.ledger.reset(fingerprint);
--- a/src/direct/poison/poison-watch.ts
+++ b/src/direct/poison/poison-watch.ts
@@ -83,7 +83,7 @@
     const {ledger, diagnosis, share} = this.ctx.losses;
     if (ledger.isEmpty && diagnosis.isIdle) return;
     const request = this.identify();
-    if (ledger.noteServed(request)) share.publish();
+    if (ledger.recordServed(request)) share.publish();
     diagnosis.release(request);
   }
 
--- a/src/direct/poison/quarantine-share.ts
+++ b/src/direct/poison/quarantine-share.ts
@@ -7,7 +7,7 @@
   StateSource,
 } from '../../core/edges/state-source.js';
 import type {Logger} from '../../core/logs/index.js';
-import type {Culprit, Quarantine} from '../../core/poison/index.js';
+import type {QuarantineRecord, Quarantine} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
 import {QUARANTINE_MS, QUARANTINE_WAIT_MS, SHARE_PAUSE_MS} from '../consts.js';
 import {ContactLog} from '../contact-log.js';
@@ -18,8 +18,8 @@
 /** What the entries' common quarantine is made from. */
 export interface QuarantineShareOptions {
   readonly quarantine: Quarantine;
-  readonly notes: SharedNotes<Culprit>;
-  readonly source: StateSource<Culprit>;
+  readonly notes: SharedNotes<QuarantineRecord>;
+  readonly source: StateSource<QuarantineRecord>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -33,7 +33,7 @@
  * new QuarantineShare(options).start();
  */
 export class QuarantineShare {
-  private readonly follower: Follower<Culprit>;
+  private readonly follower: Follower<QuarantineRecord>;
   /** Fingerprints that the store is known to hold. */
   private readonly stored = new Set<string>();
   private readonly timers = new Set<TimerHandle>();
@@ -77,7 +77,7 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<Culprit>>): void {
+  private takeAll(items: ReadonlyArray<SourceItem<QuarantineRecord>>): void {
     const present = new Set(items.map(({name}) => name));
     for (const name of [...this.stored]) {
       if (!present.has(name)) this.release(name);
@@ -85,17 +85,22 @@
     for (const {name, value} of items) this.learn(name, value);
   }
 
-  private takeChanges(changes: ReadonlyArray<SourceChange<Culprit>>): void {
+  private takeChanges(
+    changes: ReadonlyArray<SourceChange<QuarantineRecord>>,
+  ): void {
     for (const {name, value, isDeleted} of changes) {
       if (isDeleted) this.release(name);
       else this.learn(name, value);
     }
   }
 
-  private learn(fingerprint: string, culprit: Culprit | undefined): void {
+  private learn(
+    fingerprint: string,
+    culprit: QuarantineRecord | undefined,
+  ): void {
     if (culprit === undefined || this.stored.has(fingerprint)) return;
     this.stored.add(fingerprint);
-    this.options.quarantine.add({fingerprint, culprit});
+    this.options.quarantine.add({fingerprint, record: culprit});
     // Whoever left the note may be gone when its time is over.
     void this.expire(fingerprint, QUARANTINE_MS * HEARD_FACTOR);
   }
@@ -105,7 +110,10 @@
     this.options.quarantine.remove(fingerprint);
   }
 
-  private async share(fingerprint: string, culprit: Culprit): Promise<void> {
+  private async share(
+    fingerprint: string,
+    culprit: QuarantineRecord,
+  ): Promise<void> {
     const {notes} = this.options;
     await this.insist(() => notes.put(fingerprint, culprit));
     this.stored.add(fingerprint);
@@ -121,7 +129,7 @@
 
   /** Writes until the store takes it. */
   private async insist(
-    write: () => ReturnType<SharedNotes<Culprit>['remove']>,
+    write: () => ReturnType<SharedNotes<QuarantineRecord>['remove']>,
   ): Promise<void> {
     const {logger} = this.options;
     while (!this.isStopped) {
--- a/src/entry/generation/attempt-history.ts
+++ b/src/entry/generation/attempt-history.ts
@@ -1,5 +1,5 @@
 /** What became of the attempts on one answer. */
-import type {Culprit} from '../../core/poison/index.js';
+import type {QuarantineRecord} from '../../core/poison/index.js';
 import {MAX_ATTEMPTS} from '../consts.js';
 import {SHARE_AFTER_MS} from './consts.js';
 
@@ -50,7 +50,7 @@
   }
 
   /** The cause of some crashes is known: it is another request. */
-  acquit(culprit: Culprit): void {
+  acquit(culprit: QuarantineRecord): void {
     this.crashes = this.crashes.filter((id) => !culprit.crashes.includes(id));
   }
 
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -10,7 +10,7 @@
   StepKind,
 } from '../../core/generation/index.js';
 import {CounterName} from '../../core/metrics/index.js';
-import type {Culprit} from '../../core/poison/index.js';
+import type {QuarantineRecord} from '../../core/poison/index.js';
 import type {
   EndMessage,
   FailedMessage,
@@ -106,7 +106,7 @@
   }
 
   /** Takes note of a request that was found to crash engines. */
-  noteCulprit(poisonKey: string, culprit: Culprit): void {
+  noteCulprit(poisonKey: string, culprit: QuarantineRecord): void {
     if (poisonKey === this.order.poisonKey) {
       this.giveUp(refusals.poisonFound());
       return;
@@ -246,7 +246,7 @@
     const {clientAccount, poisonKey} = this.order;
     const culprit = {clientAccount, crashes: this.history.crashes};
     this.giveUp(refusals.poisonFound());
-    this.parts.quarantine.add({fingerprint: poisonKey, culprit});
+    this.parts.quarantine.add({fingerprint: poisonKey, record: culprit});
   }
 
   private takeRefusal(attemptId: string, message: RefusedMessage): void {
--- a/src/entry/generation/quarantine-watch.ts
+++ b/src/entry/generation/quarantine-watch.ts
@@ -7,8 +7,8 @@
 } from '../../core/edges/index.js';
 import {ObjectKind, StoreErrorKind} from '../../core/edges/index.js';
 import type {Logger} from '../../core/logs/index.js';
-import type {Culprit, Quarantine} from '../../core/poison/index.js';
-import {CULPRIT} from '../../core/poison/index.js';
+import type {QuarantineRecord, Quarantine} from '../../core/poison/index.js';
+import {QUARANTINE_RECORD} from '../../core/poison/index.js';
 import {QUARANTINE_RETRY_MS} from './consts.js';
 
 const KIND = ObjectKind.QUARANTINE;
@@ -71,13 +71,13 @@
       return;
     }
     this.stored.add(fingerprint);
-    CULPRIT.decode(value).ifRight((culprit) =>
-      this.options.quarantine.add({fingerprint, culprit}),
+    QUARANTINE_RECORD.decode(value).ifRight((culprit) =>
+      this.options.quarantine.add({fingerprint, record: culprit}),
     );
   }
 
   /** Writes until the store holds it; a lost answer is written again. */
-  private share(name: string, culprit: Culprit): void {
+  private share(name: string, culprit: QuarantineRecord): void {
     if (this.closed) return;
     void this.options.store.create({kind: KIND, name, value: culprit}).match(
       () => void this.stored.add(name),
--- a/test/core/poison/culprits.test.ts
+++ b/test/core/poison/crash-causes.test.ts
@@ -3,7 +3,10 @@
 
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import type {Suspect} from '../../../src/core/poison/index.js';
-import {findCulprits, isApart} from '../../../src/core/poison/index.js';
+import {
+  findCrashCauses,
+  sharesNoCrash,
+} from '../../../src/core/poison/index.js';
 
 const SEED = 20261204;
 
@@ -37,7 +40,7 @@
       id,
       crashes,
     }));
-    expect(findCulprits(list)).toEqual(culprits);
+    expect(findCrashCauses(list)).toEqual(culprits);
   });
 
   it(`names the one culprit in two crashes (seed ${SEED})`, () => {
@@ -61,14 +64,15 @@
   for (let crashes = 1; crashes < 5; crashes++) {
     const crashed = engines.findIndex((e) => e.some(({id}) => id === 'r0'));
     const batch = engines[crashed]!;
-    const named = findCulprits(batch);
+    const named = findCrashCauses(batch);
     if (named.length > 0) return {named, crashes};
     engines[crashed] = [];
     for (const {id, crashes: before} of batch) {
       const suspect = {id, crashes: [...before, `c${crashes}`]};
       const apart = engines.filter(
         (beside, i) =>
-          i !== crashed && isApart({crashes: suspect.crashes, beside}),
+          i !== crashed &&
+          sharesNoCrash({crashes: suspect.crashes, others: beside}),
       );
       apart[random.below(apart.length)]!.push(suspect);
     }
--- a/test/core/poison/common-cause.test.ts
+++ b/test/core/poison/data-centre-outage.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
-import {fellTogether} from '../../../src/core/poison/index.js';
+import {isDataCentreOutage} from '../../../src/core/poison/index.js';
 import {lifeOf, Target} from '../../../src/core/targets/index.js';
 
 const ENGINES = 'engines';
@@ -96,11 +96,11 @@
       target.pause();
     }
     const ended = others.filter((_, i) => beside[i]!.wasEnded === true);
-    const answer = fellTogether({
+    const answer = isDataCentreOutage({
       lost,
       lostAtMs: LOST_MS,
       targets: [lost, ...others],
-      endedBefore: new Set(ended.map(({record}) => lifeOf(record))),
+      crashedBefore: new Set(ended.map(({record}) => lifeOf(record))),
     });
     expect(answer).toBe(isFall);
   });
--- a/test/core/poison/loss-ledger.test.ts
+++ b/test/core/poison/loss-ledger.test.ts
@@ -3,7 +3,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
-import type {LossNotes} from '../../../src/core/poison/index.js';
+import type {RecordedLosses} from '../../../src/core/poison/index.js';
 import {LossLedger, POISON_LOSSES} from '../../../src/core/poison/index.js';
 
 const REQUEST = 'a request';
@@ -26,15 +26,18 @@
   });
 
   const lose = (life: string, request = REQUEST) => {
-    ledger.note({request, life});
-    ledger.settle({request, life});
+    ledger.recordLoss({request, incarnation: life});
+    ledger.confirm({request, incarnation: life});
   };
 
   const loseAll = (request = REQUEST) => {
     for (const life of LIVES) lose(life, request);
   };
 
-  const notesOf = (lives: readonly string[], isSettled = true): LossNotes => ({
+  const notesOf = (
+    lives: readonly string[],
+    isSettled = true,
+  ): RecordedLosses => ({
     losses: lives.map((life) => ({request: REQUEST, life, isSettled})),
     harmless: [],
   });
@@ -46,7 +49,8 @@
   });
 
   it('waits until the causes are looked into', () => {
-    for (const life of LIVES) ledger.note({request: REQUEST, life});
+    for (const life of LIVES)
+      ledger.recordLoss({request: REQUEST, incarnation: life});
     expect(ledger.mayBePoison(REQUEST)).toBe(true);
     expect(ledger.isPoison(REQUEST)).toBe(false);
   });
@@ -63,28 +67,29 @@
 
   it('counts what other entries saw, each life once', () => {
     lose(LIVES[0]!);
-    ledger.learn('entry-2', notesOf([LIVES[0]!, LIVES[1]!]));
+    ledger.updateEntry('entry-2', notesOf([LIVES[0]!, LIVES[1]!]));
     expect(ledger.isPoison(REQUEST)).toBe(false);
-    ledger.learn('entry-3', notesOf([LIVES[2]!]));
+    ledger.updateEntry('entry-3', notesOf([LIVES[2]!]));
     expect(ledger.isPoison(REQUEST)).toBe(true);
   });
 
   it.each([
     {
       name: 'it was served',
-      act: () => ledger.noteServed(REQUEST),
+      act: () => ledger.recordServed(REQUEST),
     },
     {
       name: 'one loss had another cause',
-      act: () => ledger.dismiss({request: REQUEST, life: LIVES[0]!}),
+      act: () => ledger.dismiss({request: REQUEST, incarnation: LIVES[0]!}),
     },
     {
       name: 'a target fell with its data centre',
-      act: () => ledger.noteFall({request: REQUEST, life: LIVES[0]!}),
+      act: () =>
+        ledger.recordOutage({request: REQUEST, incarnation: LIVES[0]!}),
     },
     {
       name: 'another is known to have ended its targets',
-      act: () => ledger.explain('another', LIVES),
+      act: () => ledger.attribute('another', LIVES),
     },
     {name: 'it was released', act: () => ledger.reset(REQUEST)},
     {name: 'it was long ago', act: () => clock.advance(LONG_MS)},
@@ -96,20 +101,20 @@
   });
 
   it('lets a request go that another entry served, and tells the others', () => {
-    ledger.learn('entry-2', notesOf(LIVES));
-    ledger.noteServed(REQUEST);
+    ledger.updateEntry('entry-2', notesOf(LIVES));
+    ledger.recordServed(REQUEST);
     expect(ledger.isPoison(REQUEST)).toBe(false);
     const third = new LossLedger({clock});
-    third.learn('entry-2', notesOf(LIVES));
-    third.learn('entry-1', ledger.toNotes());
+    third.updateEntry('entry-2', notesOf(LIVES));
+    third.updateEntry('entry-1', ledger.toRecordedLosses());
     expect(third.isPoison(REQUEST)).toBe(false);
   });
 
   it('has news for the others only where they hold what was served', () => {
-    expect(ledger.noteServed(REQUEST)).toBe(false);
-    ledger.learn('entry-2', notesOf(LIVES));
-    expect(ledger.noteServed(REQUEST)).toBe(true);
-    expect(ledger.noteServed(REQUEST)).toBe(false);
+    expect(ledger.recordServed(REQUEST)).toBe(false);
+    ledger.updateEntry('entry-2', notesOf(LIVES));
+    expect(ledger.recordServed(REQUEST)).toBe(true);
+    expect(ledger.recordServed(REQUEST)).toBe(false);
   });
 
   it('awaits one more loss where another request lost the same targets', () => {
@@ -118,7 +123,7 @@
     expect(ledger.isPoison(REQUEST)).toBe(false);
     lose('i-9@1000');
     expect(ledger.isPoison(REQUEST)).toBe(true);
-    ledger.explain(REQUEST, [...ledger.livesOf(REQUEST)]);
+    ledger.attribute(REQUEST, [...ledger.incarnationsOf(REQUEST)]);
     expect(ledger.isPoison('beside it')).toBe(false);
     expect(ledger.mayBePoison('beside it')).toBe(false);
   });
@@ -126,7 +131,7 @@
   it('does not take falls of data centres for chance for ever', () => {
     const fall = (i: number) => {
       clock.advance(BETWEEN_FALLS_MS);
-      ledger.noteFall({request: REQUEST, life: `i-${i}@1`});
+      ledger.recordOutage({request: REQUEST, incarnation: `i-${i}@1`});
     };
     for (const i of [1, 2, 3, 4]) fall(i);
     expect(ledger.isPoison(REQUEST)).toBe(false);
@@ -136,11 +141,11 @@
 
   it('goes on where an earlier life of the entry ended', () => {
     lose(LIVES[0]!);
-    ledger.note({request: REQUEST, life: LIVES[1]!});
+    ledger.recordLoss({request: REQUEST, incarnation: LIVES[1]!});
     const next = new LossLedger({clock});
-    next.adopt(ledger.toNotes());
-    next.note({request: REQUEST, life: LIVES[2]!});
-    next.settle({request: REQUEST, life: LIVES[2]!});
+    next.restore(ledger.toRecordedLosses());
+    next.recordLoss({request: REQUEST, incarnation: LIVES[2]!});
+    next.confirm({request: REQUEST, incarnation: LIVES[2]!});
     expect(next.isPoison(REQUEST)).toBe(true);
   });
 
@@ -158,21 +163,21 @@
         for (const entry of [0, 1, 2, 3]) {
           const seen = all.filter((loss) => loss.entry === entry);
           for (const {request, life} of entry === 0 ? seen : []) {
-            spread.note({request, life});
-            spread.settle({request, life});
+            spread.recordLoss({request, incarnation: life});
+            spread.confirm({request, incarnation: life});
           }
           const notes = seen.map(({request, life}) => {
             return {request, life, isSettled: true};
           });
           if (entry > 0) {
-            spread.learn(`entry-${entry}`, {losses: notes, harmless: []});
+            spread.updateEntry(`entry-${entry}`, {losses: notes, harmless: []});
           }
         }
         for (const request of ['p', 'q', 'r']) {
           const lives = new Set(
             all.filter((l) => l.request === request).map((l) => l.life),
           );
-          expect(new Set(spread.livesOf(request))).toEqual(lives);
+          expect(new Set(spread.incarnationsOf(request))).toEqual(lives);
           // Beyond one more loss no twin is an explanation.
           if (lives.size > POISON_LOSSES) {
             expect(spread.isPoison(request)).toBe(true);
--- a/test/direct/loss-share.test.ts
+++ b/test/direct/loss-share.test.ts
@@ -10,7 +10,7 @@
 } from '../../src/core/edges/state-source.js';
 import {SourceErrorKind} from '../../src/core/edges/state-source.js';
 import {SILENT_LOGGER} from '../../src/core/logs/index.js';
-import type {LossNotes} from '../../src/core/poison/index.js';
+import type {RecordedLosses} from '../../src/core/poison/index.js';
 import {LossLedger} from '../../src/core/poison/index.js';
 import {LossShare} from '../../src/direct/poison/loss-share.js';
 
@@ -19,21 +19,25 @@
 const REQUEST = 'a request';
 const LIFE = 'i-1@1000';
 
-const notesOf = (...lives: string[]): LossNotes => ({
+const notesOf = (...lives: string[]): RecordedLosses => ({
   losses: lives.map((life) => ({request: REQUEST, life, isSettled: true})),
   harmless: [],
 });
 
 /** Lists what it is given, when it is told to. */
-class Source implements StateSource<LossNotes> {
-  private waiting: Array<(items: Array<SourceItem<LossNotes>>) => void> = [];
+class Source implements StateSource<RecordedLosses> {
+  private waiting: Array<(items: Array<SourceItem<RecordedLosses>>) => void> =
+    [];
 
   list() {
-    const items = new Promise<Array<SourceItem<LossNotes>>>((resolve) => {
+    const items = new Promise<Array<SourceItem<RecordedLosses>>>((resolve) => {
       this.waiting.push(resolve);
     });
     return ResultAsync.fromSafePromise(
-      items.then((all): Snapshot<LossNotes> => ({items: all, revision: 1})),
+      items.then((all): Snapshot<RecordedLosses> => ({
+        items: all,
+        revision: 1,
+      })),
     );
   }
 
@@ -42,7 +46,7 @@
     return errAsync({kind, detail: 'status 410'});
   }
 
-  async answer(items: Record<string, LossNotes>): Promise<void> {
+  async answer(items: Record<string, RecordedLosses>): Promise<void> {
     const all = Object.entries(items).map(([name, value]) => ({name, value}));
     for (const resolve of this.waiting.splice(0)) resolve(all);
     await turns();
@@ -57,7 +61,7 @@
   let clock: ManualClock;
   let ledger: LossLedger;
   let source: Source;
-  let written: LossNotes[];
+  let written: RecordedLosses[];
   let share: LossShare;
 
   beforeEach(async () => {
@@ -87,8 +91,8 @@
   });
 
   const lose = (life: string) => {
-    ledger.note({request: REQUEST, life});
-    ledger.settle({request: REQUEST, life});
+    ledger.recordLoss({request: REQUEST, incarnation: life});
+    ledger.confirm({request: REQUEST, incarnation: life});
     share.publish();
   };
 
@@ -110,9 +114,9 @@
 
   it('forgets what an entry told whose notes are gone', async () => {
     await source.answer({[OTHER]: notesOf(LIFE)});
-    expect(ledger.livesOf(REQUEST).size).toBe(1);
+    expect(ledger.incarnationsOf(REQUEST).size).toBe(1);
     await source.answer({});
-    expect(ledger.livesOf(REQUEST).size).toBe(0);
+    expect(ledger.incarnationsOf(REQUEST).size).toBe(0);
   });
 
   it('writes nothing where nothing is lost', async () => {
