--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -68,12 +68,12 @@
     this.crash = crash;
     this.failureError = err;
     this.stream?.cancel();
-    this.journal.break();
+    this.journal.markBroken();
   }
 
   cancel(): void {
     this.stream?.cancel();
-    this.journal.break();
+    this.journal.markBroken();
   }
 
   addReader(): void {
--- a/src/core/generation/assembly.ts
+++ b/src/core/generation/assembly.ts
@@ -1,6 +1,6 @@
 /** Puts one answer together from the words of its attempts. */
 import type {FinishReason, GenerationSpec, Token} from '../edges/index.js';
-import {EndVerdict, judgeEnd} from './judge-end.js';
+import {EndVerdict, validateEnd} from './validate-end.js';
 import type {TokenLog} from './token-log.js';
 import {LogState} from './token-log.js';
 
@@ -62,11 +62,11 @@
   }
 
   /** From now on no attempt's words count. */
-  drop(): void {
+  clearAttempt(): void {
     this.currentId = '';
   }
 
-  takeTokens(options: {
+  receiveTokens(options: {
     attemptId: string;
     position: number;
     tokens: readonly Token[];
@@ -81,7 +81,7 @@
     return {kind: StepKind.APPENDED, appended};
   }
 
-  takeEnd(options: {
+  receiveEnd(options: {
     attemptId: string;
     length: number;
     finishReason: FinishReason;
@@ -89,7 +89,7 @@
     const {attemptId, length, finishReason} = options;
     if (!this.counts(attemptId)) return IGNORED;
     const {log, spec} = this.options;
-    const verdict = judgeEnd({
+    const verdict = validateEnd({
       end: {length, finishReason},
       spec,
       tokens: log.slice({from: 0}),
--- a/src/core/generation/known-finish.ts
+++ b/src/core/generation/detect-finish.ts
@@ -10,7 +10,7 @@
  * @example
  * resolveKnownFinish({spec, tokens}) ?? startNextAttempt();
  */
-export function resolveKnownFinish(options: {
+export function detectFinish(options: {
   spec: Pick<GenerationSpec, 'maxTokens' | 'stop'>;
   tokens: readonly Token[];
 }): FinishReason | undefined {
--- a/src/core/generation/token-log.ts
+++ b/src/core/generation/token-log.ts
@@ -80,7 +80,7 @@
   }
 
   /** Ends the log without a whole answer. */
-  break(): void {
+  markBroken(): void {
     if (this.current !== LogState.RUNNING) return;
     this.current = LogState.BROKEN;
     this.notify();
--- a/src/core/generation/judge-end.ts
+++ b/src/core/generation/validate-end.ts
@@ -1,7 +1,7 @@
 /** Whether an engine's word that an answer is over can be taken. */
 import type {GenerationSpec, Token} from '../edges/engine-driver.js';
 import {FinishReason} from '../edges/engine-driver.js';
-import {resolveKnownFinish} from './known-finish.js';
+import {detectFinish} from './detect-finish.js';
 
 /** Tokens after a resume within which an end is confirmed elsewhere. */
 export const EARLY_END_WINDOW = 16;
@@ -30,7 +30,7 @@
  * @example
  * judgeEnd({end, spec, tokens, resumedAt: 120});
  */
-export function judgeEnd(options: {
+export function validateEnd(options: {
   end: ReportedEnd;
   spec: Pick<GenerationSpec, 'maxTokens' | 'stop'>;
   /** The answer as it was received. */
@@ -40,7 +40,7 @@
 }): EndVerdict {
   const {end, spec, tokens, resumedAt} = options;
   if (end.length !== tokens.length) return EndVerdict.BROKEN;
-  const known = resolveKnownFinish({spec, tokens});
+  const known = detectFinish({spec, tokens});
   if (known === end.finishReason) return EndVerdict.ACCEPT;
   if (end.finishReason === FinishReason.LENGTH) return EndVerdict.BROKEN;
   const added = tokens.length - resumedAt;
--- a/src/entry/generation/answer-copy.ts
+++ b/src/entry/generation/answer-copy.ts
@@ -130,7 +130,7 @@
 
   giveUp(refusal: Refusal): void {
     this.givenUp = refusal;
-    this.log.break();
+    this.log.markBroken();
   }
 
   /** Opens a reader that begins at a position. */
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -6,7 +6,7 @@
 import {
   Assembly,
   LogState,
-  resolveKnownFinish,
+  detectFinish,
   StepKind,
 } from '../../core/generation/index.js';
 import {CounterName} from '../../core/metrics/index.js';
@@ -182,7 +182,7 @@
     const {position} = message;
     const isNew = position + tokens.length > this.copy.log.length;
     if (isNew && this.isHedge(attemptId)) this.promoteHedge();
-    const step = this.assembly.takeTokens({attemptId, position, tokens});
+    const step = this.assembly.receiveTokens({attemptId, position, tokens});
     this.follow(attemptId, step, RetryReason.ENGINE_DIED);
     if (step.kind === StepKind.IGNORED && tokens.length > 0) {
       this.parts.metrics.count(CounterName.TOKENS_DROPPED);
@@ -200,7 +200,7 @@
   private takeEnd(attemptId: string, message: EndMessage): void {
     if (this.isHedge(attemptId)) this.promoteHedge();
     const {length, finishReason} = message;
-    const step = this.assembly.takeEnd({attemptId, length, finishReason});
+    const step = this.assembly.receiveEnd({attemptId, length, finishReason});
     this.follow(attemptId, step, RetryReason.END_EARLY);
   }
 
@@ -349,7 +349,7 @@
 
   /** No word of the present attempt is taken from now on. */
   private dropCurrent(): void {
-    this.assembly.drop();
+    this.assembly.clearAttempt();
     if (this.current !== undefined) cancelAttempt(this.current);
     this.current = undefined;
   }
@@ -368,7 +368,7 @@
   private finishIfKnown(): boolean {
     const tokens = this.copy.log.slice({from: 0});
     const {spec} = this.order;
-    const reason = resolveKnownFinish({spec, tokens});
+    const reason = detectFinish({spec, tokens});
     if (tokens.length === 0 || reason === undefined) return false;
     this.copy.log.finish(reason);
     this.finish();
--- a/test/core/generation/assembly.test.ts
+++ b/test/core/generation/assembly.test.ts
@@ -148,10 +148,10 @@
     const {attemptId, position: length, finish: finishReason} = word;
     const step =
       finishReason === undefined
-        ? assembly.takeTokens(word)
-        : assembly.takeEnd({attemptId, length, finishReason});
-    if (step.kind === StepKind.BROKEN) assembly.drop();
-    if (step.kind === StepKind.UNCONFIRMED) assembly.drop();
+        ? assembly.receiveTokens(word)
+        : assembly.receiveEnd({attemptId, length, finishReason});
+    if (step.kind === StepKind.BROKEN) assembly.clearAttempt();
+    if (step.kind === StepKind.UNCONFIRMED) assembly.clearAttempt();
     if (step.kind === StepKind.FINISHED) finishes++;
     naive.take(word);
   }
--- a/test/core/generation/judge-end.test.ts
+++ b/test/core/generation/validate-end.test.ts
@@ -5,8 +5,8 @@
 import {
   EARLY_END_WINDOW,
   EndVerdict,
-  judgeEnd,
-  resolveKnownFinish,
+  validateEnd,
+  detectFinish,
 } from '../../../src/core/generation/index.js';
 
 function tokensOf(...texts: string[]): Token[] {
@@ -51,7 +51,7 @@
 describe('resolveKnownFinish', () => {
   it.each(KNOWN)('knows $name', ({texts, maxTokens, stop, finish}) => {
     const tokens = tokensOf(...texts);
-    const found = resolveKnownFinish({spec: {maxTokens, stop}, tokens});
+    const found = detectFinish({spec: {maxTokens, stop}, tokens});
     expect(found).toBe(finish);
   });
 });
@@ -110,7 +110,7 @@
 describe('judgeEnd', () => {
   it.each(ENDS)('judges $name', (row) => {
     const {reason, maxTokens = 99, length = 40, resumedAt = 0} = row;
-    const verdict = judgeEnd({
+    const verdict = validateEnd({
       end: {finishReason: reason, length},
       spec: {maxTokens, stop: row.stop ?? []},
       tokens: MANY,
