--- a/src/core/routes/admit-request.ts
+++ b/src/core/routes/admit-request.ts
@@ -11,7 +11,7 @@
 const OTHER_ENTRY_MS = 150;
 
 /** What is known of a request when it arrives. */
-export interface AdmissionFacts {
+export interface AdmissionInput {
   /** Undefined before a configuration is known. */
   readonly table?: RouteTable;
   /** Whether the configuration is confirmed to be recent. */
@@ -36,7 +36,7 @@
  * const admitted = admitRequest({table, isTrusted: true, host, path, key});
  */
 export function admitRequest(
-  facts: AdmissionFacts,
+  facts: AdmissionInput,
 ): Result<AdmittedRequest, OwnAnswer> {
   const {table, isTrusted, host, path, key} = facts;
   if (table === undefined) return err(later(RefusalReason.NOT_READY));
--- a/src/core/routes/check-routing.ts
+++ b/src/core/routes/check-routing.ts
@@ -9,7 +9,7 @@
   BAD_SHARE = 'bad_share',
   BAD_PREFIX = 'bad_prefix',
   BAD_TIMEOUT = 'bad_timeout',
-  SAME_PLACE = 'same_place',
+  DUPLICATE_ROUTE = 'same_place',
   SHARED_KEY = 'shared_key',
   NOT_A_STREAM = 'not_a_stream',
 }
@@ -78,7 +78,7 @@
       firstAt.set(place, route);
       return [];
     }
-    const kind = RoutingProblemKind.SAME_PLACE;
+    const kind = RoutingProblemKind.DUPLICATE_ROUTE;
     const detail = `hidden by "${first.name}"`;
     return [{kind, subject: route.name, detail}];
   });
--- a/src/core/routes/index.ts
+++ b/src/core/routes/index.ts
@@ -12,5 +12,5 @@
 export {OperationKind} from './types.js';
 export type {RoutingProblem} from './check-routing.js';
 export {findRoutingProblems, RoutingProblemKind} from './check-routing.js';
-export type {AdmissionFacts, AdmittedRequest} from './admit-request.js';
+export type {AdmissionInput, AdmittedRequest} from './admit-request.js';
 export {admitRequest} from './admit-request.js';
--- a/src/core/routes/types.ts
+++ b/src/core/routes/types.ts
@@ -28,7 +28,7 @@
   /** Longest time in which a request is worked on. */
   readonly timeoutMs: number;
   /** Time within which an answer, or its first event, is on time. */
-  readonly objectiveMs: number;
+  readonly latencyObjectiveMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** Targets to which one request may be sent. */
@@ -46,7 +46,7 @@
   /** Requests that an engine works on at once. */
   readonly slots: number;
   /** Tokens that an engine's memory holds. */
-  readonly memoryTokens: number;
+  readonly kvCapacityTokens: number;
   /** Tokens in one event of a stream. */
   readonly tokensPerEvent: number;
   /** Whether an engine copies a run's memory to another while it runs. */
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -80,7 +80,8 @@
   }
 
   private noteLate(): void {
-    const {objectiveMs, maxPauseMs = Infinity} = this.work.admitted.route;
+    const {latencyObjectiveMs: objectiveMs, maxPauseMs = Infinity} =
+      this.work.admitted.route;
     const isOnTime =
       this.firstMs <= objectiveMs && this.longestPauseMs <= maxPauseMs;
     if (isOnTime) return;
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -98,7 +98,7 @@
     return {
       targets: ctx.targets.ofService(work.service.name),
       tokens,
-      memoryTokens: work.service.engine?.memoryTokens ?? Infinity,
+      memoryTokens: work.service.engine?.kvCapacityTokens ?? Infinity,
       excluded: this.excluded,
       avoided: this.doubtful,
       random: ctx.random,
--- a/test/core/routes/check-routing.test.ts
+++ b/test/core/routes/check-routing.test.ts
@@ -14,7 +14,7 @@
   operation: OperationKind.STREAM,
   shares: [{service: 'writers', weight: 1}],
   timeoutMs: 1_000,
-  objectiveMs: 100,
+  latencyObjectiveMs: 100,
   priority: 1,
   maxAttempts: 2,
   isPublic: false,
@@ -76,7 +76,7 @@
   },
   {
     config: {...CONFIG, routes: [ROUTE, {...ROUTE, name: 'again'}]},
-    kind: RoutingProblemKind.SAME_PLACE,
+    kind: RoutingProblemKind.DUPLICATE_ROUTE,
     subject: 'again',
   },
   {
--- a/test/core/routes/route-table.test.ts
+++ b/test/core/routes/route-table.test.ts
@@ -20,7 +20,7 @@
     operation: OperationKind.SAFE,
     shares: [{service: 's', weight: 1}],
     timeoutMs: 1_000,
-    objectiveMs: 100,
+    latencyObjectiveMs: 100,
     priority: 1,
     maxAttempts: 2,
     isPublic: false,
