--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -98,7 +98,7 @@
     return {
       targets: ctx.targets.ofService(work.service.name),
       tokens,
-      kvCapacityTokens: work.service.engine?.memoryTokens ?? Infinity,
+      kvCapacityTokens: work.service.engine?.kvCapacityTokens ?? Infinity,
       excluded: this.excluded,
       avoidedDataCentres: this.doubtful,
       random: ctx.random,
