--- a/src/adapters/callers/answer-stream.ts
+++ b/src/adapters/callers/answer-stream.ts
@@ -1,8 +1,8 @@
 /** Turns an answer into server-sent events or into one document. */
 import type {Context} from 'hono';
 
-import type {AnswerPart, AnswerReader} from '../../core/edges/index.js';
-import {AnswerPartKind} from '../../core/edges/index.js';
+import type {OutputPart, OutputReader} from '../../core/edges/index.js';
+import {OutputPartKind} from '../../core/edges/index.js';
 import {EventOutput} from './event-output.js';
 import {createProblem, createProblemResponse} from './problem.js';
 import type {CompletionWriter} from './completion-writer.js';
@@ -16,7 +16,7 @@
 /** How an answer is written. */
 export interface AnswerOptions {
   readonly ctx: Context;
-  readonly reader: AnswerReader;
+  readonly reader: OutputReader;
   readonly writer: CompletionWriter;
   readonly includeUsage: boolean;
 }
@@ -27,7 +27,7 @@
   const signal = ctx.req.raw.signal;
   signal.addEventListener('abort', () => reader.close());
   const first = await reader.next();
-  if (first.kind === AnswerPartKind.REFUSED) {
+  if (first.kind === OutputPartKind.REFUSED) {
     reader.close();
     return createProblemResponse(first.refusal);
   }
@@ -36,10 +36,10 @@
     const data = JSON.stringify({discard: true});
     await out.write(formatEvent({event: 'restart', data}));
   }
-  let part: AnswerPart = first;
+  let part: OutputPart = first;
   while (!out.isClosed) {
     await out.write(formatPart(part, options));
-    if (part.kind !== AnswerPartKind.TOKENS) break;
+    if (part.kind !== OutputPartKind.TOKENS) break;
     part = await reader.next();
   }
   reader.close();
@@ -53,12 +53,12 @@
   let text = '';
   for (;;) {
     const part = await reader.next();
-    if (part.kind === AnswerPartKind.TOKENS) {
+    if (part.kind === OutputPartKind.TOKENS) {
       text += textOf(part);
       continue;
     }
     reader.close();
-    if (part.kind === AnswerPartKind.REFUSED) {
+    if (part.kind === OutputPartKind.REFUSED) {
       return createProblemResponse(part.refusal);
     }
     const {finishReason: reason, completionTokens} = part;
@@ -67,14 +67,14 @@
   }
 }
 
-function formatPart(part: AnswerPart, options: AnswerOptions): string {
+function formatPart(part: OutputPart, options: AnswerOptions): string {
   const {writer, includeUsage} = options;
   switch (part.kind) {
-    case AnswerPartKind.TOKENS: {
+    case OutputPartKind.TOKENS: {
       const data = JSON.stringify(writer.delta(textOf(part)));
       return formatEvent({id: part.eventId, data});
     }
-    case AnswerPartKind.FINISHED: {
+    case OutputPartKind.FINISHED: {
       const {eventId, finishReason, completionTokens} = part;
       const end = JSON.stringify(writer.end(finishReason));
       const events = [formatEvent({id: eventId, data: end})];
@@ -85,15 +85,15 @@
       events.push(formatEvent({data: '[DONE]'}));
       return events.join('');
     }
-    case AnswerPartKind.REFUSED: {
+    case OutputPartKind.REFUSED: {
       const data = JSON.stringify(createProblem(part.refusal));
       return formatEvent({event: 'error', data});
     }
   }
 }
 
-function textOf(part: AnswerPart): string {
-  if (part.kind !== AnswerPartKind.TOKENS) return '';
+function textOf(part: OutputPart): string {
+  if (part.kind !== OutputPartKind.TOKENS) return '';
   return part.tokens.map((token) => token.text).join('');
 }
 
--- a/src/adapters/http-engine-driver.ts
+++ b/src/adapters/http-engine-driver.ts
@@ -6,7 +6,7 @@
 import type {
   DriverError,
   EngineDriver,
-  EngineOrder,
+  EngineCommand,
   EngineReport,
   EngineSink,
   EngineStream,
@@ -63,11 +63,11 @@
     return fetchReport({dispatcher, baseUrl, codec: ENGINE_REPORT, timeoutMs});
   }
 
-  order(options: {
-    order: EngineOrder;
+  sendCommand(options: {
+    command: EngineCommand;
     timeoutMs: number;
   }): ResultAsync<void, DriverError> {
-    const {order, timeoutMs} = options;
+    const {command: order, timeoutMs} = options;
     return callHttp({
       dispatcher: this.dispatcher,
       url: `${this.baseUrl}/orders`,
--- a/src/core/edges/callers.ts
+++ b/src/core/edges/callers.ts
@@ -49,7 +49,7 @@
 >;
 
 /** What a caller reads next of its answer. */
-export enum AnswerPartKind {
+export enum OutputPartKind {
   TOKENS = 'tokens',
   FINISHED = 'finished',
   REFUSED = 'refused',
@@ -57,7 +57,7 @@
 
 /** Tokens that follow those read before. */
 export interface TokensPart {
-  readonly kind: AnswerPartKind.TOKENS;
+  readonly kind: OutputPartKind.TOKENS;
   readonly tokens: readonly Token[];
   /** Event identity with which the caller goes on after these tokens. */
   readonly eventId: string;
@@ -65,7 +65,7 @@
 
 /** The answer is whole. */
 export interface FinishedPart {
-  readonly kind: AnswerPartKind.FINISHED;
+  readonly kind: OutputPartKind.FINISHED;
   readonly finishReason: FinishReason;
   /** Tokens of the whole answer. */
   readonly completionTokens: number;
@@ -75,20 +75,20 @@
 
 /** The answer was given up on. */
 export interface RefusedPart {
-  readonly kind: AnswerPartKind.REFUSED;
+  readonly kind: OutputPartKind.REFUSED;
   readonly refusal: Refusal;
 }
 
 /** One step of reading an answer. */
-export type AnswerPart = TokensPart | FinishedPart | RefusedPart;
+export type OutputPart = TokensPart | FinishedPart | RefusedPart;
 
 /** Reads one answer at the caller's own pace. */
-export interface AnswerReader {
+export interface OutputReader {
   readonly requestId: string;
   /** The caller must discard what it had of an earlier attempt. */
   readonly restarted: boolean;
   /** Waits for the next part; FINISHED and REFUSED come once, and last. */
-  next(): Promise<AnswerPart>;
+  next(): Promise<OutputPart>;
   /** The caller is gone. */
   close(): void;
 }
@@ -99,7 +99,7 @@
   limits(): LimitsConfig;
   /** Checks a bearer key before the body of its request is read. */
   authenticate(head: RequestHead): Result<void, Refusal>;
-  generate(req: GenerationReq): ResultAsync<AnswerReader, Refusal>;
+  generate(req: GenerationReq): ResultAsync<OutputReader, Refusal>;
   call(req: PlainReq): ResultAsync<PlainResponse, Refusal>;
   /** Counts a refusal that the adapter itself decided. */
   countRefusal(refusal: Refusal): void;
--- a/src/core/edges/direct-caller.ts
+++ b/src/core/edges/direct-caller.ts
@@ -36,7 +36,7 @@
 }
 
 /** A refusal or failure, in the entry's own name. */
-export interface OwnAnswer {
+export interface RefusalResponse {
   readonly status: number;
   readonly reason: RefusalReason;
   /** When to come back, in milliseconds. */
@@ -48,17 +48,17 @@
   /** Whether the caller has gone or the answer has ended. */
   readonly isClosed: boolean;
   /** Sends a whole answer. */
-  sendWhole(head: ResponseHead, body: Uint8Array): void;
+  sendComplete(head: ResponseHead, body: Uint8Array): void;
   /** Sends an answer that ends with its connection, as its target did. */
-  sendUnframed(head: ResponseHead, body: Uint8Array): void;
+  sendCloseDelimited(head: ResponseHead, body: Uint8Array): void;
   /** Sends an answer of the entry's own. */
-  sendOwn(answer: OwnAnswer): void;
+  sendRefusal(answer: RefusalResponse): void;
   /** Opens an answer whose body follows in parts. */
-  open(head: ResponseHead): void;
+  writeHead(head: ResponseHead): void;
   write(chunk: Uint8Array): void;
   end(): void;
   /** Breaks the answer off, so that it cannot pass for a whole one. */
   abort(): void;
   /** Runs once if the caller goes before the answer has ended. */
-  onGone(listener: () => void): void;
+  onDisconnect(listener: () => void): void;
 }
--- a/src/core/edges/direct-target.ts
+++ b/src/core/edges/direct-target.ts
@@ -15,22 +15,22 @@
   /** The connection broke, or carried what is no answer. */
   BROKEN = 'broken',
   /** The answer belongs to another request, or is not the target's. */
-  FOREIGN_ANSWER = 'foreign_answer',
+  MISMATCHED_RESPONSE = 'foreign_answer',
 }
 
 /** Status and headers of an answer. */
-export interface AnswerHead {
+export interface TargetResponseHead {
   readonly status: number;
   /** Headers for the caller, as the target spelled them. */
   readonly headers: readonly HeaderField[];
   /** Whether the answer tells its own end; else the connection's end is it. */
-  readonly hasLength: boolean;
+  readonly isSelfDelimited: boolean;
   readonly load?: ReportedLoad;
 }
 
 /** Hears of the answer to a request. */
 export interface ExchangeListener {
-  onHead(head: AnswerHead): void;
+  onHead(head: TargetResponseHead): void;
   onData(chunk: Uint8Array): void;
   /** The answer is whole. */
   onComplete(): void;
@@ -56,11 +56,11 @@
   /** Address of the target that keeps a copy of the run's memory. */
   readonly copyTo?: string;
   /** The copy of a lost run from which this one goes on. */
-  readonly copyFrom?: CopyReference;
+  readonly copyFrom?: KvCopyReference;
 }
 
 /** Names the copy of a run's memory. */
-export interface CopyReference {
+export interface KvCopyReference {
   /** Address of the target that made or holds the copy. */
   readonly address: string;
   /** The id of the run, or of the copy. */
@@ -83,12 +83,12 @@
     listener: ExchangeListener;
   }): Exchange;
   /** Asks a target how it is; an error if it does not say in time. */
-  report(
+  queryLoad(
     target: TargetRecord,
     timeoutMs: number,
   ): ResultAsync<ReportedLoad, string>;
   /** Asks for a target's health; the id of the target that answers. */
-  askHealth(options: {
+  probeHealth(options: {
     target: TargetRecord;
     path: string;
     timeoutMs: number;
@@ -97,17 +97,17 @@
    * Asks the target that runs a request to copy the run's memory to another
    * target; the id of the copy, or an error if there is none.
    */
-  copyRun(options: {
-    runner: TargetRecord;
+  copyKvCache(options: {
+    source: TargetRecord;
     attemptId: string;
     /** Address of the target that keeps the copy. */
-    to: string;
+    destination: string;
   }): ResultAsync<string, string>;
   /** Frees the copy that a target was asked for. */
-  freeCopy(options: {
-    runner: TargetRecord;
+  freeKvCopy(options: {
+    source: TargetRecord;
     id: string;
   }): ResultAsync<void, string>;
   /** Closes the idle connections to a target. */
-  forget(target: TargetRecord): void;
+  releaseConnections(target: TargetRecord): void;
 }
--- a/src/core/edges/engine-driver.ts
+++ b/src/core/edges/engine-driver.ts
@@ -75,7 +75,7 @@
 }
 
 /** Kinds of orders to an engine. */
-export enum EngineOrderKind {
+export enum EngineCommandKind {
   LOAD_MODEL = 'load_model',
   LOAD_ADAPTER = 'load_adapter',
   SET_VERSION = 'set_version',
@@ -83,8 +83,8 @@
 }
 
 /** An order to an engine, guarded by a fencing number. */
-export interface EngineOrder {
-  readonly kind: EngineOrderKind;
+export interface EngineCommand {
+  readonly kind: EngineCommandKind;
   readonly argument: string;
   readonly fencing: number;
 }
@@ -100,8 +100,8 @@
   }): EngineStream;
   /** Asks whether the engine's process answers at all. */
   probe(options: {timeoutMs: number}): ResultAsync<EngineReport, DriverError>;
-  order(options: {
-    order: EngineOrder;
+  sendCommand(options: {
+    command: EngineCommand;
     timeoutMs: number;
   }): ResultAsync<void, DriverError>;
 }
--- a/src/core/edges/shared-notes.ts
+++ b/src/core/edges/state-writer.ts
@@ -4,11 +4,11 @@
 import type {SourceError} from './state-source.js';
 
 /** Writes one kind of notes; they are read through a `StateSource`. */
-export interface SharedNotes<T> {
+export interface StateWriter<T> {
   /** Leaves a note; one that is there already stays as it is. */
-  put(name: string, value: T): ResultAsync<void, SourceError>;
+  createIfAbsent(name: string, value: T): ResultAsync<void, SourceError>;
   /** Leaves a note, in place of one that is there already. */
-  replace(name: string, value: T): ResultAsync<void, SourceError>;
+  upsert(name: string, value: T): ResultAsync<void, SourceError>;
   /** Takes a note away; one that is gone already is fine. */
   remove(name: string): ResultAsync<void, SourceError>;
 }
--- a/src/core/routes/admit-request.ts
+++ b/src/core/routes/admit-request.ts
@@ -2,7 +2,7 @@
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
-import type {OwnAnswer} from '../edges/direct-caller.js';
+import type {RefusalResponse} from '../edges/direct-caller.js';
 import {RefusalReason} from '../errors/refusals.js';
 import type {RouteTable} from './route-table.js';
 import type {AccountKeys, Route} from './types.js';
@@ -37,7 +37,7 @@
  */
 export function admitRequest(
   facts: AdmissionFacts,
-): Result<AdmittedRequest, OwnAnswer> {
+): Result<AdmittedRequest, RefusalResponse> {
   const {table, isTrusted, host, path, key} = facts;
   if (table === undefined) return err(later(RefusalReason.NOT_READY));
   const route = table.findRoute({host, path});
@@ -54,6 +54,6 @@
   return ok({table, route, account});
 }
 
-function later(reason: RefusalReason): OwnAnswer {
+function later(reason: RefusalReason): RefusalResponse {
   return {status: 503, reason, retryAfterMs: OTHER_ENTRY_MS};
 }
--- a/src/direct/call-run.ts
+++ b/src/direct/call-run.ts
@@ -1,6 +1,9 @@
 /** Runs one plain call: at most once, or repeated where that is harmless. */
 import type {TimerHandle} from '../core/clock/index.js';
-import type {AnswerHead, Exchange} from '../core/edges/direct-target.js';
+import type {
+  TargetResponseHead,
+  Exchange,
+} from '../core/edges/direct-target.js';
 import {ExchangeFailure} from '../core/edges/direct-target.js';
 import {RefusalReason, RetryReason} from '../core/errors/refusals.js';
 import {LatencyName} from '../core/metrics/index.js';
@@ -47,7 +50,7 @@
   private readonly deadline: TimerHandle;
   private readonly poison: PoisonWatch;
   private current?: CallTry;
-  private head?: AnswerHead;
+  private head?: TargetResponseHead;
   private body = new AnswerBody();
   private sent = 0;
   private isOver = false;
@@ -65,7 +68,7 @@
       delayMs: Math.max(0, this.work.endMs - clock.now()),
       run: () => this.giveUp(true),
     });
-    this.work.res.onGone(() => this.leave());
+    this.work.res.onDisconnect(() => this.leave());
   }
 
   start(): void {
@@ -220,11 +223,11 @@
     this.stop();
     const ms = this.ctx.clock.now() - this.work.req.receivedMs;
     this.ctx.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
-    const {status, headers, hasLength} = this.head!;
+    const {status, headers, isSelfDelimited: hasLength} = this.head!;
     const body = this.body.toBytes();
     const {res} = this.work;
-    if (hasLength) res.sendWhole({status, headers}, body);
-    else res.sendUnframed({status, headers}, body);
+    if (hasLength) res.sendComplete({status, headers}, body);
+    else res.sendCloseDelimited({status, headers}, body);
   }
 
   private giveUp(isTimedOut: boolean): void {
@@ -245,7 +248,7 @@
       deadlineMs: this.work.req.deadlineMs,
     });
     const retryAfterMs = mayHaveRun ? undefined : RETURN_AFTER_MS;
-    this.work.res.sendOwn({status, reason, retryAfterMs});
+    this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
   /** The request has just turned out to be poison. */
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -4,10 +4,10 @@
 import type {
   CallerRequest,
   CallerResponse,
-  OwnAnswer,
+  RefusalResponse,
 } from '../core/edges/direct-caller.js';
 import type {DirectTargets} from '../core/edges/direct-target.js';
-import type {SharedNotes} from '../core/edges/shared-notes.js';
+import type {StateWriter} from '../core/edges/state-writer.js';
 import type {SourceItem, StateSource} from '../core/edges/state-source.js';
 import {RefusalReason} from '../core/errors/refusals.js';
 import type {Logger} from '../core/logs/index.js';
@@ -53,9 +53,9 @@
   readonly configs: StateSource<RoutingConfig>;
   readonly registrations: StateSource<TargetRecord>;
   readonly culprits: StateSource<Culprit>;
-  readonly culpritNotes: SharedNotes<Culprit>;
+  readonly culpritNotes: StateWriter<Culprit>;
   readonly losses: StateSource<LossNotes>;
-  readonly lossNotes: SharedNotes<LossNotes>;
+  readonly lossNotes: StateWriter<LossNotes>;
   readonly client: DirectTargets;
   readonly metrics: Metrics;
   readonly logger: Logger;
@@ -97,7 +97,7 @@
     });
     const targets = new TargetSet({
       clock,
-      onRemoved: (target) => client.forget(target.record),
+      onRemoved: (target) => client.releaseConnections(target.record),
       onPaused: (target, pauseMs) => prober.recheckPaused(target, pauseMs),
     });
     const prober = new Prober({
@@ -260,7 +260,7 @@
   private refuse(
     req: CallerRequest,
     res: CallerResponse,
-    answer: OwnAnswer,
+    answer: RefusalResponse,
   ): void {
     this.ctx.metrics.countRefusal(answer.reason);
     this.ctx.logger.info('refused', {
@@ -270,7 +270,7 @@
       config: this.routes.get()?.version,
       trustAgeMs: Math.round(this.trust.ageMs()),
     });
-    res.sendOwn(answer);
+    res.sendRefusal(answer);
   }
 
   private followConfigs(source: StateSource<RoutingConfig>): void {
--- a/src/direct/poison/loss-share.ts
+++ b/src/direct/poison/loss-share.ts
@@ -1,6 +1,6 @@
 /** Shares the losses under requests with the other entries. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
-import type {SharedNotes} from '../../core/edges/shared-notes.js';
+import type {StateWriter} from '../../core/edges/state-writer.js';
 import type {SourceItem, StateSource} from '../../core/edges/state-source.js';
 import type {Logger} from '../../core/logs/index.js';
 import type {LossLedger, LossNotes} from '../../core/poison/index.js';
@@ -18,7 +18,7 @@
   /** Name of this entry's VM, under which it leaves its notes. */
   readonly vm: string;
   readonly ledger: LossLedger;
-  readonly notes: SharedNotes<LossNotes>;
+  readonly notes: StateWriter<LossNotes>;
   readonly source: StateSource<LossNotes>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -126,7 +126,7 @@
     }
     this.isWriting = true;
     this.lastMs = clock.now();
-    const written = await notes.replace(vm, value);
+    const written = await notes.upsert(vm, value);
     this.isWriting = false;
     if (this.isStopped) return;
     if (written.isErr()) {
--- a/src/direct/poison/quarantine-share.ts
+++ b/src/direct/poison/quarantine-share.ts
@@ -1,6 +1,6 @@
 /** Shares requests that crash engines with the other entries. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
-import type {SharedNotes} from '../../core/edges/shared-notes.js';
+import type {StateWriter} from '../../core/edges/state-writer.js';
 import type {
   SourceChange,
   SourceItem,
@@ -18,7 +18,7 @@
 /** What the entries' common quarantine is made from. */
 export interface QuarantineShareOptions {
   readonly quarantine: Quarantine;
-  readonly notes: SharedNotes<Culprit>;
+  readonly notes: StateWriter<Culprit>;
   readonly source: StateSource<Culprit>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -107,7 +107,7 @@
 
   private async share(fingerprint: string, culprit: Culprit): Promise<void> {
     const {notes} = this.options;
-    await this.insist(() => notes.put(fingerprint, culprit));
+    await this.insist(() => notes.createIfAbsent(fingerprint, culprit));
     this.stored.add(fingerprint);
     await this.expire(fingerprint, QUARANTINE_MS);
   }
@@ -121,7 +121,7 @@
 
   /** Writes until the store takes it. */
   private async insist(
-    write: () => ReturnType<SharedNotes<Culprit>['remove']>,
+    write: () => ReturnType<StateWriter<Culprit>['remove']>,
   ): Promise<void> {
     const {logger} = this.options;
     while (!this.isStopped) {
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -103,7 +103,7 @@
         delayMs: PROBE_TIMEOUT_MS,
         run: () => resolve(err(`no answer in ${PROBE_TIMEOUT_MS} ms`)),
       });
-      void client.report(target.record, PROBE_TIMEOUT_MS).then((report) => {
+      void client.queryLoad(target.record, PROBE_TIMEOUT_MS).then((report) => {
         timer.cancel();
         resolve(report);
       });
@@ -125,7 +125,7 @@
   private async isHealthy(target: Target): Promise<boolean> {
     const path = this.options.healthPathOf(target);
     if (path === undefined) return false;
-    const answer = await this.options.client.askHealth({
+    const answer = await this.options.client.probeHealth({
       target: target.record,
       path,
       timeoutMs: PROBE_TIMEOUT_MS,
--- a/src/direct/refuse-untried.ts
+++ b/src/direct/refuse-untried.ts
@@ -24,5 +24,5 @@
     reason,
     leftMs: Math.round(work.endMs - ctx.clock.now()),
   });
-  work.res.sendOwn({status: UNAVAILABLE, reason});
+  work.res.sendRefusal({status: UNAVAILABLE, reason});
 }
--- a/src/direct/streams/copy-keeper.ts
+++ b/src/direct/streams/copy-keeper.ts
@@ -1,5 +1,5 @@
 /** Keeps a copy of a run's memory at another target while the run goes on. */
-import type {CopyReference} from '../../core/edges/direct-target.js';
+import type {KvCopyReference} from '../../core/edges/direct-target.js';
 import type {Target} from '../../core/targets/index.js';
 import {COPY_PAUSE_MS, COPY_REFRESH_MS} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
@@ -8,7 +8,7 @@
 /** A copy from which a lost run can go on. */
 export interface RunCopy {
   readonly holder: Target;
-  readonly reference: CopyReference;
+  readonly reference: KvCopyReference;
 }
 
 /** What a copy keeper works for. */
@@ -82,7 +82,7 @@
 
   private free(id: string): void {
     const {ctx, runner, work} = this.options;
-    void ctx.client.freeCopy({runner: runner.record, id}).mapErr((detail) => {
+    void ctx.client.freeKvCopy({source: runner.record, id}).mapErr((detail) => {
       const {attemptId} = work.req;
       ctx.logger.info('copy is not freed', {id: attemptId, copy: id, detail});
     });
@@ -93,10 +93,10 @@
     this.isBusy = true;
     this.askedMs = ctx.clock.now();
     const {attemptId} = work.req;
-    const handle = await ctx.client.copyRun({
-      runner: runner.record,
+    const handle = await ctx.client.copyKvCache({
+      source: runner.record,
       attemptId,
-      to: holder.record.address,
+      destination: holder.record.address,
     });
     this.isBusy = false;
     if (this.isOver) {
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -1,5 +1,5 @@
 /** What the caller of a stream gets, and when. */
-import type {AnswerHead} from '../../core/edges/direct-target.js';
+import type {TargetResponseHead} from '../../core/edges/direct-target.js';
 import {LatencyName} from '../../core/metrics/index.js';
 import type {RawEvent} from '../../core/streams/index.js';
 import type {DirectContext, DirectWork} from '../context.js';
@@ -42,23 +42,23 @@
     this.isResuming = this.opened;
   }
 
-  pass(head: AnswerHead, event: RawEvent): void {
+  pass(head: TargetResponseHead, event: RawEvent): void {
     this.open(head);
     this.work.res.write(event.bytes);
     this.notePause();
   }
 
   /** Ends the answer as a whole one. */
-  finish(head: AnswerHead): void {
+  finish(head: TargetResponseHead): void {
     this.open(head);
     this.work.res.end();
     this.noteLate();
   }
 
-  private open(head: AnswerHead): void {
+  private open(head: TargetResponseHead): void {
     if (this.opened) return;
     this.opened = true;
-    this.work.res.open(head);
+    this.work.res.writeHead(head);
   }
 
   private notePause(): void {
--- a/src/direct/streams/stream-run.ts
+++ b/src/direct/streams/stream-run.ts
@@ -1,8 +1,8 @@
 /** Runs one event stream, across as many targets as it takes. */
 import type {TimerHandle} from '../../core/clock/index.js';
 import type {
-  AnswerHead,
-  CopyReference,
+  TargetResponseHead,
+  KvCopyReference,
 } from '../../core/edges/direct-target.js';
 import {RefusalReason, RetryReason} from '../../core/errors/refusals.js';
 import {answerFailure, certainlyDidNotRun} from '../../core/retrying/index.js';
@@ -86,7 +86,7 @@
       delayMs: Math.max(0, this.work.endMs - clock.now()),
       run: () => this.giveUp(true),
     });
-    this.work.res.onGone(() => this.leave());
+    this.work.res.onDisconnect(() => this.leave());
   }
 
   start(): void {
@@ -151,7 +151,7 @@
     });
   }
 
-  private send(target: Target, copyFrom?: CopyReference): void {
+  private send(target: Target, copyFrom?: KvCopyReference): void {
     const usesCopy = copyFrom !== undefined;
     this.sends++;
     if (!usesCopy) this.tries++;
@@ -174,7 +174,7 @@
     if (usesCopy || this.tries > 1) this.notePlaced(this.current, usesCopy);
   }
 
-  private onEvent(head: AnswerHead, event: RawEvent): void {
+  private onEvent(head: TargetResponseHead, event: RawEvent): void {
     const verdict = this.sequence.judge(event.id);
     if (verdict === EventVerdict.PASS) {
       this.delivery.pass(head, event);
@@ -185,7 +185,7 @@
     this.onLost({reason, detail: `event ${event.id} is out of order`});
   }
 
-  private finish(head: AnswerHead): void {
+  private finish(head: TargetResponseHead): void {
     // Several targets may each have been ended by their part of it.
     if (this.sends === 1) this.poison.noteServed();
     this.stop();
@@ -193,7 +193,7 @@
     this.delivery.finish(head);
   }
 
-  private onOtherAnswer(head: AnswerHead, body: Uint8Array): void {
+  private onOtherAnswer(head: TargetResponseHead, body: Uint8Array): void {
     const isFailure = head.status >= FIRST_FAILURE_STATUS;
     if (isFailure || this.delivery.isOpen) {
       const reason = RetryReason.TARGET_REFUSED;
@@ -202,7 +202,7 @@
       return;
     }
     this.stop();
-    this.work.res.sendWhole(head, body);
+    this.work.res.sendComplete(head, body);
   }
 
   /** The present target is of no more use: another goes on, if it may. */
@@ -270,7 +270,7 @@
       return;
     }
     const retryAfterMs = mayHaveRun ? undefined : RETURN_AFTER_MS;
-    this.work.res.sendOwn({status, reason, retryAfterMs});
+    this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
   /** The request has just turned out to be poison. */
--- a/src/direct/streams/stream-try.ts
+++ b/src/direct/streams/stream-try.ts
@@ -1,7 +1,7 @@
 /** One target's part in a stream. */
 import type {
-  AnswerHead,
-  CopyReference,
+  TargetResponseHead,
+  KvCopyReference,
   Exchange,
 } from '../../core/edges/direct-target.js';
 import {ExchangeFailure} from '../../core/edges/direct-target.js';
@@ -32,11 +32,11 @@
 
 /** Hears what a target writes. */
 export interface TryListener {
-  onEvent(head: AnswerHead, event: RawEvent): void;
+  onEvent(head: TargetResponseHead, event: RawEvent): void;
   /** The target has ended its stream. */
-  onEnd(head: AnswerHead): void;
+  onEnd(head: TargetResponseHead): void;
   /** The target answered with something else than a stream. */
-  onOtherAnswer(head: AnswerHead, body: Uint8Array): void;
+  onOtherAnswer(head: TargetResponseHead, body: Uint8Array): void;
   onLost(loss: TargetLoss): void;
 }
 
@@ -54,7 +54,7 @@
   /** Whether the caller has got events from another target before. */
   readonly isUnderWay: boolean;
   /** The copy from which the target goes on. */
-  readonly copyFrom?: CopyReference;
+  readonly copyFrom?: KvCopyReference;
   readonly listener: TryListener;
 }
 
@@ -75,7 +75,7 @@
   private readonly splitter = new EventSplitter();
   /** The body of an answer that is no stream. */
   private readonly body = new AnswerBody();
-  private head?: AnswerHead;
+  private head?: TargetResponseHead;
   private count = 0;
   private isOver = false;
 
@@ -159,7 +159,7 @@
     });
   }
 
-  private onHead(head: AnswerHead): void {
+  private onHead(head: TargetResponseHead): void {
     this.head = head;
     if (head.load !== undefined) this.target.noteLoad(head.load);
   }
--- a/src/entry/caller-gate.ts
+++ b/src/entry/caller-gate.ts
@@ -15,7 +15,7 @@
 } from '../core/config/index.js';
 import {DEFAULT_LIMITS, ServiceKind} from '../core/config/index.js';
 import type {
-  AnswerReader,
+  OutputReader,
   CallerHandler,
   GenerationReq,
   PlainReq,
@@ -79,7 +79,7 @@
     this.parts.metrics.countRefusal(refusal.reason);
   }
 
-  generate(req: GenerationReq): ResultAsync<AnswerReader, Refusal> {
+  generate(req: GenerationReq): ResultAsync<OutputReader, Refusal> {
     this.parts.metrics.count(CounterName.REQUESTS, {label: 'generation'});
     return this.identify(req.bearer)
       .andThen((caller) => this.resolveGeneration(caller, req))
--- a/src/entry/generation/answer-copy.ts
+++ b/src/entry/generation/answer-copy.ts
@@ -1,6 +1,6 @@
 /** An entry's copy of one answer, which callers read. */
-import type {AnswerPart, AnswerReader, Token} from '../../core/edges/index.js';
-import {AnswerPartKind} from '../../core/edges/index.js';
+import type {OutputPart, OutputReader, Token} from '../../core/edges/index.js';
+import {OutputPartKind} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
 import {Ran, RefusalReason} from '../../core/errors/index.js';
 import {
@@ -134,7 +134,7 @@
   }
 
   /** Opens a reader that begins at a position. */
-  read(options: {position: number; restarted: boolean}): AnswerReader {
+  read(options: {position: number; restarted: boolean}): OutputReader {
     const reader: CopyReader = new CopyReader({
       copy: this,
       ...options,
@@ -160,8 +160,8 @@
 }
 
 /** What a reader that is closed reads. */
-const CLOSED_PART: AnswerPart = {
-  kind: AnswerPartKind.REFUSED,
+const CLOSED_PART: OutputPart = {
+  kind: OutputPartKind.REFUSED,
   refusal: {
     reason: RefusalReason.ANSWER_LOST,
     ran: Ran.UNKNOWN,
@@ -170,8 +170,8 @@
 };
 
 /** What a reader that claims more than the whole answer reads. */
-const BEYOND_END_PART: AnswerPart = {
-  kind: AnswerPartKind.REFUSED,
+const BEYOND_END_PART: OutputPart = {
+  kind: OutputPartKind.REFUSED,
   refusal: {
     reason: RefusalReason.BAD_EVENT_ID,
     ran: Ran.NO,
@@ -179,7 +179,7 @@
   },
 };
 
-class CopyReader implements AnswerReader {
+class CopyReader implements OutputReader {
   readonly requestId: string;
   private isRestarted: boolean;
   private position: number;
@@ -216,7 +216,7 @@
     this.wake?.();
   }
 
-  async next(): Promise<AnswerPart> {
+  async next(): Promise<OutputPart> {
     for (;;) {
       if (this.closed) return CLOSED_PART;
       const part = this.takePart();
@@ -235,7 +235,7 @@
     this.options.onClose();
   }
 
-  private takePart(): AnswerPart | undefined {
+  private takePart(): OutputPart | undefined {
     const {copy} = this.options;
     const {log} = copy;
     if (this.position < log.length) return this.takeTokens();
@@ -243,17 +243,17 @@
     if (log.finishReason !== undefined) {
       if (this.isAhead()) return BEYOND_END_PART;
       return {
-        kind: AnswerPartKind.FINISHED,
+        kind: OutputPartKind.FINISHED,
         finishReason: log.finishReason,
         completionTokens: log.length,
         eventId: copy.eventIdAt(this.position),
       };
     }
     if (copy.refusal === undefined) return undefined;
-    return {kind: AnswerPartKind.REFUSED, refusal: copy.refusal};
+    return {kind: OutputPartKind.REFUSED, refusal: copy.refusal};
   }
 
-  private takeTokens(): AnswerPart {
+  private takeTokens(): OutputPart {
     const {copy} = this.options;
     const tokens = copy.log.slice({
       from: this.position,
@@ -261,6 +261,6 @@
     });
     this.position += tokens.length;
     const eventId = copy.eventIdAt(this.position);
-    return {kind: AnswerPartKind.TOKENS, tokens, eventId};
+    return {kind: OutputPartKind.TOKENS, tokens, eventId};
   }
 }
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -10,7 +10,7 @@
   ServiceConfig,
 } from '../../core/config/types.js';
 import type {
-  AnswerReader,
+  OutputReader,
   GenerationReq,
   VmRecord,
 } from '../../core/edges/index.js';
@@ -90,7 +90,7 @@
     return running;
   }
 
-  generate(request: ResolvedGeneration): ResultAsync<AnswerReader, Refusal> {
+  generate(request: ResolvedGeneration): ResultAsync<OutputReader, Refusal> {
     const {lastEventId} = request.req;
     const {poisonKey} = this.createOrder(request, '');
     if (this.options.parts.quarantine.has(poisonKey)) {
@@ -105,7 +105,7 @@
   private begin(
     request: ResolvedGeneration,
     restarted: boolean,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const order = this.createOrder(request, this.options.parts.random.id());
     const kind = restarted ? WorkKind.RESUME : WorkKind.NEW;
     return this.admit({request, order, kind}).map((ticket) => {
@@ -120,7 +120,7 @@
   private goOn(
     request: ResolvedGeneration,
     id: EventId,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const order = this.createOrder(request, id.requestId);
     const held = this.held.get(id.requestId);
     if (held !== undefined) {
@@ -140,7 +140,7 @@
     request: ResolvedGeneration,
     order: RunOrder,
     id: EventId,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const sources = this.findSources(id);
     if (sources.length === 0) return this.begin(request, true);
     const kind = WorkKind.RUNNING;
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -5,7 +5,7 @@
 import {HttpEngineDriver} from '../../src/adapters/index.js';
 import {
   DriverErrorKind,
-  EngineOrderKind,
+  EngineCommandKind,
   FinishReason,
 } from '../../src/core/edges/index.js';
 import {startEngine} from '../../stand-ins/engine/server.js';
@@ -276,9 +276,12 @@
       const url = await openEngine({ignoresFencing});
       const driver = new HttpEngineDriver({baseUrl: url});
       for (const fencing of [1, 5, 4, 5, 6]) {
-        const kind = EngineOrderKind.LOAD_MODEL;
+        const kind = EngineCommandKind.LOAD_MODEL;
         const order = {kind, argument: 'm', fencing};
-        const made = await driver.order({order, timeoutMs: PROBE_TIMEOUT_MS});
+        const made = await driver.sendCommand({
+          command: order,
+          timeoutMs: PROBE_TIMEOUT_MS,
+        });
         const refused = made.isErr() ? made.error.kind : undefined;
         const isRefused = !ignoresFencing && fencing === 4;
         expect(refused).toBe(isRefused ? DriverErrorKind.REFUSED : undefined);
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -85,7 +85,7 @@
           return {cancel: () => undefined};
         },
         probe: () => errAsync(lost(DriverErrorKind.LOST)),
-        order: () => errAsync(lost(DriverErrorKind.LOST)),
+        sendCommand: () => errAsync(lost(DriverErrorKind.LOST)),
       },
     });
     monitor.open();
--- a/test/direct/loss-share.test.ts
+++ b/test/direct/loss-share.test.ts
@@ -74,9 +74,9 @@
       logger: SILENT_LOGGER,
       onLearned: () => undefined,
       notes: {
-        put: () => okAsync(undefined),
+        createIfAbsent: () => okAsync(undefined),
         remove: () => okAsync(undefined),
-        replace: (_name, value) => {
+        upsert: (_name, value) => {
           written.push(value);
           return okAsync(undefined);
         },
