--- a/src/adapters/callers/completion-codec.ts
+++ b/src/adapters/callers/completion-codec.ts
@@ -16,7 +16,7 @@
 
 import type {GenerationSpec} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 
 const DEFAULT_MAX_TOKENS = 256;
 const DEFAULT_TEMPERATURE = 1;
@@ -148,5 +148,5 @@
 }
 
 function badRequest(detail: string): Refusal {
-  return {reason: RefusalReason.BAD_REQUEST, ran: Ran.NO, detail};
+  return {reason: RefusalReason.BAD_REQUEST, ran: Executed.NO, detail};
 }
--- a/src/adapters/callers/read-body.ts
+++ b/src/adapters/callers/read-body.ts
@@ -4,7 +4,7 @@
 
 import type {LimitsConfig} from '../../core/config/types.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 
 /**
  * Reads a whole body, or refuses it as too large or too slow.
@@ -77,5 +77,5 @@
 }
 
 function refuse(reason: RefusalReason, detail: string): Refusal {
-  return {reason, ran: Ran.NO, detail};
+  return {reason, ran: Executed.NO, detail};
 }
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -11,7 +11,7 @@
   LAST_EVENT_ID_HEADER,
 } from '../core/edges/index.js';
 import type {Refusal} from '../core/errors/index.js';
-import {Ran, RefusalReason} from '../core/errors/index.js';
+import {Executed, RefusalReason} from '../core/errors/index.js';
 import {sendAnswer, streamAnswer} from './callers/answer-stream.js';
 import type {CompletionAsk} from './callers/completion-codec.js';
 import {decodeChat, decodeCompletion} from './callers/completion-codec.js';
@@ -212,7 +212,7 @@
 /** An answer of a service that HTTP cannot carry on. */
 function unservable(err: Error): Refusal {
   const detail = `the answer cannot be passed on: ${err.message}`;
-  return {reason: RefusalReason.TARGET_FAILED, ran: Ran.UNKNOWN, detail};
+  return {reason: RefusalReason.TARGET_FAILED, ran: Executed.UNKNOWN, detail};
 }
 
 function refuse(
@@ -220,7 +220,7 @@
   reason: RefusalReason,
   detail: string,
 ): Response {
-  return sendRefusal(handler, {reason, ran: Ran.NO, detail});
+  return sendRefusal(handler, {reason, ran: Executed.NO, detail});
 }
 
 function sendRefusal(handler: CallerHandler, refusal: Refusal): Response {
--- a/src/adapters/http-server.ts
+++ b/src/adapters/http-server.ts
@@ -12,7 +12,7 @@
 import type {Hono} from 'hono';
 
 import type {Refusal} from '../core/errors/index.js';
-import {Ran, RefusalReason} from '../core/errors/index.js';
+import {Executed, RefusalReason} from '../core/errors/index.js';
 import {
   createProblem,
   createProblemResponse,
@@ -155,7 +155,7 @@
 }
 
 function createRefusal(reason: RefusalReason, detail: string): Refusal {
-  return {reason, ran: Ran.NO, detail};
+  return {reason, ran: Executed.NO, detail};
 }
 
 function closeServer(server: Server): void {
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -7,7 +7,7 @@
 } from '../core/edges/index.js';
 import {DriverErrorKind, FinishReason} from '../core/edges/index.js';
 import type {Refusal} from '../core/errors/index.js';
-import {Layer, Ran, RefusalReason} from '../core/errors/index.js';
+import {Layer, Executed, RefusalReason} from '../core/errors/index.js';
 import {LogState} from '../core/generation/index.js';
 import {CounterName} from '../core/metrics/index.js';
 import type {Metrics} from '../core/metrics/index.js';
@@ -175,7 +175,7 @@
 }
 
 function refuse(reason: RefusalReason, detail: string): Refusal {
-  return {reason, ran: Ran.NO, detail};
+  return {reason, ran: Executed.NO, detail};
 }
 
 /** An engine that stops at a length which was not reached is not believed. */
--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -8,14 +8,14 @@
 } from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
 import type {Refusal} from '../core/errors/index.js';
-import {Ran, RefusalReason} from '../core/errors/index.js';
+import {Executed, RefusalReason} from '../core/errors/index.js';
 import type {
   AskKeyMessage,
   CallMessage,
   Message,
 } from '../core/protocol/index.js';
 import {
-  createRefused,
+  createRefusedMessage,
   KeyPhase,
   MessageType,
   TargetPhase,
@@ -144,7 +144,7 @@
   private runIdempotent(call: CallMessage, respond: Respond): void {
     if (this.options.board.leaving.get()) {
       const detail = 'this target is leaving';
-      const refusal = refuse(RefusalReason.LEAVING, Ran.NO, detail);
+      const refusal = refuse(RefusalReason.LEAVING, Executed.NO, detail);
       respond(refused(call.callId, refusal));
       return;
     }
@@ -200,13 +200,16 @@
     if (record.phase === KeyPhase.PROMISED_NEVER) {
       const detail = 'the call did not run and never will under this key';
       respond(
-        refused(callId, refuse(RefusalReason.CLAIM_VOIDED, Ran.NO, detail)),
+        refused(
+          callId,
+          refuse(RefusalReason.CLAIM_VOIDED, Executed.NO, detail),
+        ),
       );
       return;
     }
     const detail = 'the target gave no whole answer';
     const reason = RefusalReason.OUTCOME_UNKNOWN;
-    respond(refused(callId, refuse(reason, Ran.UNKNOWN, detail)));
+    respond(refused(callId, refuse(reason, Executed.UNKNOWN, detail)));
   }
 }
 
@@ -221,36 +224,36 @@
 const REFUSED_ACTIONS: Readonly<Partial<Record<KeyAction, Refusal>>> = {
   [KeyAction.REFUSE_OTHER_BODY]: {
     reason: RefusalReason.KEY_REUSED,
-    ran: Ran.NO,
+    ran: Executed.NO,
     detail: 'this key came with another body before',
   },
   [KeyAction.REFUSE_FULL]: {
     reason: RefusalReason.OVERLOADED,
-    ran: Ran.NO,
+    ran: Executed.NO,
     detail: 'this agent remembers as many keys as it can',
   },
 };
 
 function notAdmitted(): Refusal {
   const detail = 'the claim names another incarnation';
-  return refuse(RefusalReason.NO_TARGET, Ran.NO, detail);
+  return refuse(RefusalReason.NO_TARGET, Executed.NO, detail);
 }
 
 function refusalOf(err: DriverError): Refusal {
   if (err.kind === DriverErrorKind.TOO_LARGE) {
-    return refuse(RefusalReason.RESPONSE_TOO_LARGE, Ran.YES, err.detail);
+    return refuse(RefusalReason.RESPONSE_TOO_LARGE, Executed.YES, err.detail);
   }
   const sent = err.kind !== DriverErrorKind.NOT_SENT;
-  const ran = sent ? Ran.UNKNOWN : Ran.NO;
+  const ran = sent ? Executed.UNKNOWN : Executed.NO;
   return refuse(RefusalReason.TARGET_FAILED, ran, err.detail);
 }
 
-function refuse(reason: RefusalReason, ran: Ran, detail: string): Refusal {
+function refuse(reason: RefusalReason, ran: Executed, detail: string): Refusal {
   return {reason, ran, detail};
 }
 
 function refused(id: string, refusal: Refusal): Message {
-  return createRefused({id, refusal});
+  return createRefusedMessage({id, refusal});
 }
 
 function reply(callId: string, res: PlainResponse): Message {
--- a/src/agent/config-receiver.ts
+++ b/src/agent/config-receiver.ts
@@ -34,7 +34,7 @@
   }
 
   private createConfig(): ConfigMessage {
-    const {version, value} = this.holder.news;
+    const {version, value} = this.holder.latest;
     return {type: MessageType.CONFIG, version, value, ageMs: this.ageMs()};
   }
 }
--- a/src/agent/entry-session.ts
+++ b/src/agent/entry-session.ts
@@ -1,7 +1,7 @@
 /** One entry's connection at an agent. */
 import type {Clock, TimerHandle} from '../core/clock/index.js';
 import type {Refusal} from '../core/errors/index.js';
-import {Ran, RefusalReason} from '../core/errors/index.js';
+import {Executed, RefusalReason} from '../core/errors/index.js';
 import {CounterName} from '../core/metrics/index.js';
 import type {Metrics} from '../core/metrics/index.js';
 import type {
@@ -13,7 +13,7 @@
   StartMessage,
   TransportError,
 } from '../core/protocol/index.js';
-import {createRefused, MessageType} from '../core/protocol/index.js';
+import {createRefusedMessage, MessageType} from '../core/protocol/index.js';
 import type {AgentBoard} from './agent-board.js';
 import type {AttemptTable} from './attempt-table.js';
 import type {Attempt} from './attempt.js';
@@ -146,7 +146,7 @@
     if (attempt === undefined || !known) {
       const detail = 'this attempt is not known here';
       const reason = RefusalReason.ANSWER_LOST;
-      this.refuse(attach.attemptId, {reason, ran: Ran.UNKNOWN, detail});
+      this.refuse(attach.attemptId, {reason, ran: Executed.UNKNOWN, detail});
       return;
     }
     this.read(attempt, attach.position);
@@ -172,7 +172,7 @@
   }
 
   private refuse(id: string, refusal: Refusal): void {
-    this.connection().send(createRefused({id, refusal}));
+    this.connection().send(createRefusedMessage({id, refusal}));
   }
 
   private beatIfDue(): void {
@@ -210,5 +210,5 @@
 
 function noEngine(): Refusal {
   const detail = 'no engine runs beside this agent';
-  return {reason: RefusalReason.NO_TARGET, ran: Ran.NO, detail};
+  return {reason: RefusalReason.NO_TARGET, ran: Executed.NO, detail};
 }
--- a/src/cli/commands/apply/config-writer.ts
+++ b/src/cli/commands/apply/config-writer.ts
@@ -6,10 +6,7 @@
 import type {Clock, RandomSource} from '../../../core/clock/index.js';
 import {sleep} from '../../../core/clock/index.js';
 import type {StoredConfig} from '../../../core/config/index.js';
-import {
-  CONFIG_OBJECT,
-  resolveStoredConfig,
-} from '../../../core/config/index.js';
+import {CONFIG_OBJECT, parseStoredConfig} from '../../../core/config/index.js';
 import type {ObjectStore, StoreError} from '../../../core/edges/index.js';
 import {StoreErrorKind} from '../../../core/edges/index.js';
 import type {BackoffRange} from '../../backoff.js';
@@ -144,9 +141,7 @@
     return err(read.error);
   }
   const version = read.value.map((object) => object.version).orDefault(0);
-  const stored = read.value.chain((object) =>
-    resolveStoredConfig(object.value),
-  );
+  const stored = read.value.chain((object) => parseStoredConfig(object.value));
   return ok({version, stored: version === 0 ? Nothing : stored});
 }
 
--- a/src/cli/commands/call/run-call.ts
+++ b/src/cli/commands/call/run-call.ts
@@ -3,7 +3,7 @@
   DEADLINE_HEADER,
   IDEMPOTENCY_KEY_HEADER,
 } from '../../../core/edges/index.js';
-import {ENTRY_UNREACHABLE, Ran} from '../../../core/errors/index.js';
+import {ENTRY_UNREACHABLE, Executed} from '../../../core/errors/index.js';
 import {SERVICES_PATH} from '../../consts.js';
 import type {HttpAnswer, HttpError} from '../../http/index.js';
 import {callHttp, formatRefusal, HttpErrorKind} from '../../http/index.js';
@@ -79,7 +79,8 @@
 }
 
 function reportFailure(ctx: CliContext, error: HttpError): ExitStatus {
-  const ran = error.kind === HttpErrorKind.NOT_SENT ? Ran.NO : Ran.UNKNOWN;
+  const ran =
+    error.kind === HttpErrorKind.NOT_SENT ? Executed.NO : Executed.UNKNOWN;
   reportError(ctx, ENTRY_UNREACHABLE, `${error.detail} (ran: ${ran})`);
   return ExitStatus.FAILED;
 }
--- a/src/cli/commands/explain/run-explain.ts
+++ b/src/cli/commands/explain/run-explain.ts
@@ -1,8 +1,8 @@
 import {readFile} from 'node:fs/promises';
 import {text} from 'node:stream/consumers';
 
-import type {LogLine, StoryLine} from '../../../core/story/index.js';
-import {parseLogLine, tellStory} from '../../../core/story/index.js';
+import type {LogLine, RelatedLine} from '../../../core/timeline/index.js';
+import {parseLogLine, buildTimeline} from '../../../core/timeline/index.js';
 import type {CliContext} from '../../types.js';
 import {ExitStatus} from '../../types.js';
 import type {ExplainOptions} from './types.js';
@@ -20,7 +20,7 @@
     ctx.err(`${e instanceof Error ? e.message : String(e)}\n`);
     return ExitStatus.BAD_INPUT;
   }
-  const story = tellStory({lines, id});
+  const story = buildTimeline({lines, id});
   if (story.length === 0) {
     ctx.err(`no line names the request ${id}\n`);
     return ExitStatus.BAD_INPUT;
@@ -39,7 +39,7 @@
   return content.split('\n').flatMap((line) => parseLogLine(line) ?? []);
 }
 
-function formatLine({relation, line}: StoryLine): string {
+function formatLine({relation, line}: RelatedLine): string {
   const {timestamp, vm, message, fields} = line;
   const facts = Object.entries(fields)
     .filter(([name]) => name !== 'id' && name !== 'role')
--- a/src/cli/commands/generate/read-stream.ts
+++ b/src/cli/commands/generate/read-stream.ts
@@ -7,7 +7,7 @@
   DEADLINE_HEADER,
   LAST_EVENT_ID_HEADER,
 } from '../../../core/edges/index.js';
-import {Ran} from '../../../core/errors/index.js';
+import {Executed} from '../../../core/errors/index.js';
 import type {ProblemDocument} from '../../http/index.js';
 import {
   createHttpError,
@@ -118,5 +118,5 @@
 
 /** Stands for a refusal that comes from something else than an entry. */
 function createUnnamedProblem(status: number, detail: string): ProblemDocument {
-  return {status, title: '', detail, reason: 'unnamed', ran: Ran.UNKNOWN};
+  return {status, title: '', detail, reason: 'unnamed', ran: Executed.UNKNOWN};
 }
--- a/src/cli/commands/generate/run-generate.ts
+++ b/src/cli/commands/generate/run-generate.ts
@@ -1,7 +1,7 @@
 import {sleep} from '../../../core/clock/index.js';
 import {
   ENTRY_UNREACHABLE,
-  Ran,
+  Executed,
   RefusalReason,
 } from '../../../core/errors/index.js';
 import type {BackoffRange} from '../../backoff.js';
@@ -86,7 +86,7 @@
 
   private canRetry(end: StreamEnd & {kind: StreamEndKind.REFUSED}): boolean {
     const {problem, retryAfterMs} = end;
-    if (problem.ran !== Ran.NO) {
+    if (problem.ran !== Executed.NO) {
       return false;
     }
     const isResume = this.answer.lastEventId !== undefined;
--- a/src/cli/http/problem-document.ts
+++ b/src/cli/http/problem-document.ts
@@ -1,7 +1,7 @@
 import type {Maybe} from 'purify-ts';
 import {Codec, Maybe as MaybeOf, enumeration, number, string} from 'purify-ts';
 
-import {Ran} from '../../core/errors/index.js';
+import {Executed} from '../../core/errors/index.js';
 import type {ProblemDocument} from './types.js';
 
 /** Media type of problem documents (RFC 9457). */
@@ -14,7 +14,7 @@
   title: string,
   detail: string,
   reason: string,
-  ran: enumeration(Ran),
+  ran: enumeration(Executed),
 });
 
 /** Header fields as the HTTP client gives them. */
--- a/src/cli/http/types.ts
+++ b/src/cli/http/types.ts
@@ -1,4 +1,4 @@
-import type {Layer, LayerError, Ran} from '../../core/errors/index.js';
+import type {Layer, LayerError, Executed} from '../../core/errors/index.js';
 
 /** Why a call of the tool got no answer. */
 export enum HttpErrorKind {
@@ -19,7 +19,7 @@
   readonly title: string;
   readonly detail: string;
   readonly reason: string;
-  readonly ran: Ran;
+  readonly ran: Executed;
 }
 
 /** An answer that was read whole. */
--- a/src/core/admission/fair-admission.ts
+++ b/src/core/admission/fair-admission.ts
@@ -5,7 +5,7 @@
 import {DEFAULT_LIMITS} from '../config/consts.js';
 import type {SiteConfig} from '../config/types.js';
 import type {Refusal} from '../errors/refusals.js';
-import {Ran, RefusalReason} from '../errors/refusals.js';
+import {Executed, RefusalReason} from '../errors/refusals.js';
 import {splitLimit} from './capacity.js';
 import type {LastInLine, PoolRequest} from './service-pool.js';
 import {ServicePool} from './service-pool.js';
@@ -197,7 +197,7 @@
 function callerGone(request: PoolRequest): Refusal {
   return {
     reason: RefusalReason.CALLER_GONE,
-    ran: request.kind === WorkKind.NEW ? Ran.NO : Ran.UNKNOWN,
+    ran: request.kind === WorkKind.NEW ? Executed.NO : Executed.UNKNOWN,
     detail: 'the caller went away while its request waited',
   };
 }
@@ -211,7 +211,7 @@
   const isNew = (query.kind ?? WorkKind.NEW) === WorkKind.NEW;
   return {
     reason: RefusalReason.ACCOUNT_LIMIT,
-    ran: isNew ? Ran.NO : Ran.UNKNOWN,
+    ran: isNew ? Executed.NO : Executed.UNKNOWN,
     detail: `${open} requests of this account are open at this entry`,
     retryAfterMs: pool.retryAfterMs(),
   };
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -2,7 +2,7 @@
 import type {Clock, RandomSource} from '../clock/index.js';
 import {PriorityClass} from '../config/types.js';
 import type {Refusal} from '../errors/refusals.js';
-import {Ran, RefusalReason} from '../errors/refusals.js';
+import {Executed, RefusalReason} from '../errors/refusals.js';
 import {NO_SLOTS_GRACE_MS, TURN_MS} from './consts.js';
 import {DrainRate} from './drain-rate.js';
 import type {FairItem} from './fair-queue.js';
@@ -177,7 +177,7 @@
     request.onRefuse({
       reason,
       // A part of the answer that a resume continues was computed before.
-      ran: request.kind === WorkKind.NEW ? Ran.NO : Ran.UNKNOWN,
+      ran: request.kind === WorkKind.NEW ? Executed.NO : Executed.UNKNOWN,
       detail: `${this.waiting} requests wait for ${this.slots} slots`,
       retryAfterMs: this.retryAfterMs(),
     });
--- a/src/core/booking/decide-ran.ts
+++ b/src/core/booking/decide-ran.ts
@@ -2,7 +2,7 @@
  * Whether a refused booking ran: one pure function over typed evidence.
  * `no` is said only for a reason that nothing can undo later.
  */
-import {Ran, RefusalReason} from '../errors/refusals.js';
+import {Executed, RefusalReason} from '../errors/refusals.js';
 
 /** What an entry knows at the end of a booking that has no outcome. */
 export enum EvidenceKind {
@@ -39,7 +39,7 @@
 
 /** What a refusal says, and why. */
 export interface Verdict {
-  readonly ran: Ran;
+  readonly ran: Executed;
   readonly reason: RefusalReason;
   readonly detail: string;
   /** Whether it is of use to repeat the same key later. */
@@ -58,37 +58,37 @@
 
 const VERDICTS: Readonly<Record<EvidenceKind, Verdict>> = {
   [EvidenceKind.OTHER_BODY]: {
-    ran: Ran.NO,
+    ran: Executed.NO,
     reason: RefusalReason.KEY_REUSED,
     detail: 'this key came with another request before; this one did not run',
     comeBack: false,
   },
   [EvidenceKind.VOIDED_NO_TARGET]: {
-    ran: Ran.NO,
+    ran: Executed.NO,
     reason: RefusalReason.NO_TARGET,
     detail: 'no target could be reached; the key is void, use a new one',
     comeBack: true,
   },
   [EvidenceKind.VOIDED_LATE]: {
-    ran: Ran.NO,
+    ran: Executed.NO,
     reason: RefusalReason.DEADLINE_EXCEEDED,
     detail: 'not sent in time; the key is void, use a new one',
     comeBack: true,
   },
   [EvidenceKind.VOIDED_BEFORE]: {
-    ran: Ran.NO,
+    ran: Executed.NO,
     reason: RefusalReason.CLAIM_VOIDED,
     detail: 'the key did not run and never will; use a new one',
     comeBack: false,
   },
   [EvidenceKind.NOT_CLAIMED_FIRST_USE]: {
-    ran: Ran.NO,
+    ran: Executed.NO,
     reason: RefusalReason.STORE_UNAVAILABLE,
     detail: 'the platform does not answer; no new booking starts',
     comeBack: true,
   },
   [EvidenceKind.NOT_CLAIMED]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.STORE_UNAVAILABLE,
     detail:
       'the platform does not answer; this request started nothing, an ' +
@@ -96,37 +96,37 @@
     comeBack: true,
   },
   [EvidenceKind.CLAIM_IN_DOUBT]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'it is not known whether the claim was written; nothing was sent',
     comeBack: true,
   },
   [EvidenceKind.HELD_BY_OTHER]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'another request holds this key at the moment',
     comeBack: true,
   },
   [EvidenceKind.VOID_IN_DOUBT]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.CLAIM_UNCERTAIN,
     detail: 'not sent, but another request may still run this key',
     comeBack: true,
   },
   [EvidenceKind.NO_ANSWER]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'sent; no answer came before the deadline',
     comeBack: true,
   },
   [EvidenceKind.TARGET_BROKE_OFF]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'the target broke off while it ran the booking',
     comeBack: false,
   },
   [EvidenceKind.AGENT_GONE]: {
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     reason: RefusalReason.OUTCOME_UNKNOWN,
     detail: 'the agent that was sent the booking is gone',
     comeBack: false,
--- a/src/core/config/check-deployment.ts
+++ b/src/core/config/check-deployment.ts
@@ -7,10 +7,10 @@
   createProblem,
   loadYaml,
   mergeNodes,
-  resolvePlain,
+  toPlainValue,
 } from '../yaml-check/index.js';
-import {checkSiteAgreement} from './check-site-agreement.js';
-import {createInvalidConfig} from './config-error.js';
+import {checkSiteConsistency} from './check-site-consistency.js';
+import {createInvalidConfigError} from './config-error.js';
 import type {LoadedOverlay} from './load-overlay.js';
 import {loadOverlay} from './load-overlay.js';
 import {SITE_CONFIG_SCHEMA} from './schema.js';
@@ -43,7 +43,7 @@
   const deployment = check.run(options.baseFile, options.overlayFiles);
   return check.problems.length === 0 && deployment !== undefined
     ? ok(deployment)
-    : err(createInvalidConfig(check.problems));
+    : err(createInvalidConfigError(check.problems));
 }
 
 /** Collects the problems of one deployment. */
@@ -84,7 +84,7 @@
 
   private checkSite(base: SourceNode, overlay: LoadedOverlay): CheckedSite[] {
     const merged = mergeNodes({base, overlay: overlay.node});
-    this.problems.push(...checkSiteAgreement({base, merged}));
+    this.problems.push(...checkSiteConsistency({base, merged}));
     const config = this.collect(
       checkNode({node: merged, schema: SITE_CONFIG_SCHEMA}),
     );
@@ -105,10 +105,10 @@
   overlays: readonly LoadedOverlay[],
 ): ConfigDocument {
   return {
-    base: resolvePlain(base),
+    base: toPlainValue(base),
     overlays: overlays.map(({site, node}) => ({
       site,
-      content: resolvePlain(node),
+      content: toPlainValue(node),
     })),
   };
 }
--- a/src/core/config/check-site-agreement.ts
+++ b/src/core/config/check-site-consistency.ts
@@ -9,7 +9,7 @@
  * deployment's name, and which services exist as idempotent or not. A call
  * may be retried at another site, which must not take it for a repeatable one.
  */
-export function checkSiteAgreement(options: {
+export function checkSiteConsistency(options: {
   base: SourceNode;
   merged: SourceNode;
 }): Problem[] {
--- a/src/core/config/config-error.ts
+++ b/src/core/config/config-error.ts
@@ -5,7 +5,9 @@
 import {ConfigErrorKind} from './types.js';
 
 /** Builds the error of a configuration with problems. */
-export function createInvalidConfig(problems: readonly Problem[]): ConfigError {
+export function createInvalidConfigError(
+  problems: readonly Problem[],
+): ConfigError {
   const unique = uniqueProblems(problems);
   return {
     layer: Layer.CONFIG,
@@ -16,7 +18,7 @@
 }
 
 /** Builds the error of a site that has no overlay. */
-export function createUnknownSite(
+export function createUnknownSiteError(
   site: string,
   known: readonly string[],
 ): ConfigError {
--- a/src/core/config/distribution/config-holder.ts
+++ b/src/core/config/distribution/config-holder.ts
@@ -1,4 +1,4 @@
-import type {ConfigNews} from './types.js';
+import type {ConfigUpdate} from './types.js';
 import {ExchangeStep} from './types.js';
 
 /**
@@ -11,18 +11,18 @@
  * holder.offer({version: 3, value}); // false
  */
 export class ConfigHolder {
-  private held: ConfigNews = {version: 0, value: null};
+  private held: ConfigUpdate = {version: 0, value: null};
 
   get version(): number {
     return this.held.version;
   }
 
-  get news(): ConfigNews {
+  get latest(): ConfigUpdate {
     return this.held;
   }
 
   /** Holds what is newer and whole; returns whether it was. */
-  offer(news: ConfigNews): boolean {
+  offer(news: ConfigUpdate): boolean {
     if (this.resolveStep(news) !== ExchangeStep.TAKE) return false;
     this.held = news;
     return true;
@@ -32,7 +32,7 @@
    * What to do about a peer's word. Two processes that follow it hold the
    * same version after at most three messages, and no step makes a loop.
    */
-  resolveStep({version, value}: ConfigNews): ExchangeStep {
+  resolveStep({version, value}: ConfigUpdate): ExchangeStep {
     if (version < this.version) return ExchangeStep.SEND;
     if (version === this.version) return ExchangeStep.AGREE;
     return value === null ? ExchangeStep.ASK : ExchangeStep.TAKE;
--- a/src/core/config/distribution/consts.ts
+++ b/src/core/config/distribution/consts.ts
@@ -2,4 +2,4 @@
 export const WATCHERS_PER_DATA_CENTRE = 2;
 
 /** Entries of other data centres whom an entry hears as well. */
-export const DISTANT_PEERS = 1;
+export const REMOTE_PEERS = 1;
--- a/src/core/config/distribution/elect-watchers.ts
+++ b/src/core/config/distribution/elect-watchers.ts
@@ -1,5 +1,5 @@
 import {rankByRendezvous} from '../../membership/rendezvous.js';
-import {DISTANT_PEERS, WATCHERS_PER_DATA_CENTRE} from './consts.js';
+import {REMOTE_PEERS, WATCHERS_PER_DATA_CENTRE} from './consts.js';
 import type {ConfigMember} from './types.js';
 
 /**
@@ -41,7 +41,7 @@
     members: distant.map(vmOf),
   });
   const near = watchers.filter((vm) => vm !== self.vm);
-  return [...near, ...ranked.slice(0, DISTANT_PEERS)];
+  return [...near, ...ranked.slice(0, REMOTE_PEERS)];
 }
 
 function vmOf({vm}: ConfigMember): string {
--- a/src/core/config/distribution/types.ts
+++ b/src/core/config/distribution/types.ts
@@ -1,5 +1,5 @@
 /** A version of the configuration as one process hears it of another. */
-export interface ConfigNews {
+export interface ConfigUpdate {
   readonly version: number;
   /** The stored value; null where only the version is told. */
   readonly value: unknown;
--- a/src/core/config/merge-overlay.ts
+++ b/src/core/config/merge-overlay.ts
@@ -1,7 +1,7 @@
-import {createNode, mergeNodes, resolvePlain} from '../yaml-check/index.js';
+import {createNode, mergeNodes, toPlainValue} from '../yaml-check/index.js';
 
 /** Plain values have no position. */
-const NOWHERE = {file: '', line: 0, column: 0};
+const NO_POSITION = {file: '', line: 0, column: 0};
 
 /**
  * Lays an overlay over a base: maps merge deep, scalars and lists replace, and
@@ -15,7 +15,7 @@
   base: unknown;
   overlay: unknown;
 }): unknown {
-  const base = createNode({value: options.base, position: NOWHERE});
-  const overlay = createNode({value: options.overlay, position: NOWHERE});
-  return resolvePlain(mergeNodes({base, overlay}));
+  const base = createNode({value: options.base, position: NO_POSITION});
+  const overlay = createNode({value: options.overlay, position: NO_POSITION});
+  return toPlainValue(mergeNodes({base, overlay}));
 }
--- a/src/core/config/resolve-site-config.ts
+++ b/src/core/config/resolve-site-config.ts
@@ -2,7 +2,10 @@
 import {err} from 'neverthrow';
 
 import {checkNode, createNode, mergeNodes} from '../yaml-check/index.js';
-import {createInvalidConfig, createUnknownSite} from './config-error.js';
+import {
+  createInvalidConfigError,
+  createUnknownSiteError,
+} from './config-error.js';
 import {SITE_CONFIG_SCHEMA} from './schema.js';
 import type {ConfigDocument, ConfigError, SiteConfig} from './types.js';
 
@@ -20,13 +23,13 @@
   const found = document.overlays.find((overlay) => overlay.site === site);
   if (found === undefined) {
     const known = document.overlays.map((overlay) => overlay.site);
-    return err(createUnknownSite(site, known));
+    return err(createUnknownSiteError(site, known));
   }
   const base = createPlainNode(document.base, 'base');
   const overlay = createPlainNode(found.content, `overlays/${site}`);
   const node = mergeNodes({base, overlay});
   return checkNode({node, schema: SITE_CONFIG_SCHEMA}).mapErr(
-    createInvalidConfig,
+    createInvalidConfigError,
   );
 }
 
--- a/src/core/config/rules.ts
+++ b/src/core/config/rules.ts
@@ -50,7 +50,7 @@
 }
 
 /** Each model belongs to one service, once. */
-export function checkModelsServedOnce(
+export function checkModelsUnique(
   services: readonly Named<ServiceBody>[],
   ctx: RuleContext,
 ): void {
@@ -71,7 +71,7 @@
 }
 
 /** A key identifies one client account. */
-export function checkKeysDiffer(
+export function checkKeysUnique(
   accounts: readonly Named<ClientAccountBody>[],
   ctx: RuleContext,
 ): void {
--- a/src/core/config/schema.ts
+++ b/src/core/config/schema.ts
@@ -25,18 +25,18 @@
 } from './consts.js';
 import type {ClientAccountBody, ServiceBody} from './rules.js';
 import {
-  checkKeysDiffer,
-  checkModelsServedOnce,
+  checkKeysUnique,
+  checkModelsUnique,
   checkNotEmpty,
   checkServiceKind,
 } from './rules.js';
 import type {LimitsConfig, RecoveryConfig, SiteConfig} from './types.js';
-import {PriorityClass, ServiceKind, Weigh} from './types.js';
+import {PriorityClass, ServiceKind, RecoveryGoal} from './types.js';
 
 const SHA256_HEX = /^[0-9a-f]{64}$/;
 
 const RECOVERY = new ObjectSchema<RecoveryConfig>({
-  fields: {weigh: requiredField(new EnumSchema(Weigh))},
+  fields: {weigh: requiredField(new EnumSchema(RecoveryGoal))},
 });
 
 const SERVICE = new ObjectSchema<ServiceBody>({
@@ -116,11 +116,11 @@
     services: requiredField(
       new NamedMapSchema({
         item: SERVICE,
-        rules: [checkNotEmpty, checkModelsServedOnce],
+        rules: [checkNotEmpty, checkModelsUnique],
       }),
     ),
     clientAccounts: requiredField(
-      new NamedMapSchema({item: CLIENT_ACCOUNT, rules: [checkKeysDiffer]}),
+      new NamedMapSchema({item: CLIENT_ACCOUNT, rules: [checkKeysUnique]}),
     ),
     limits: defaultField<LimitsConfig>(LIMITS, DEFAULT_LIMITS),
   },
--- a/src/core/config/stored-config.ts
+++ b/src/core/config/stored-config.ts
@@ -10,7 +10,7 @@
  * @example
  * resolveStoredConfig(stored.value).map(({document}) => document);
  */
-export function resolveStoredConfig(value: unknown): Maybe<StoredConfig> {
+export function parseStoredConfig(value: unknown): Maybe<StoredConfig> {
   if (!isRecord(value)) {
     return Nothing;
   }
--- a/src/core/config/types.ts
+++ b/src/core/config/types.ts
@@ -3,7 +3,7 @@
 import type {Problem} from '../yaml-check/index.js';
 
 /** What a deployment weighs when it recovers from a loss. */
-export enum Weigh {
+export enum RecoveryGoal {
   LATENCY = 'latency',
   RESOURCES = 'resources',
 }
@@ -60,7 +60,7 @@
 
 /** How losses are recovered from. */
 export interface RecoveryConfig {
-  readonly weigh: Weigh;
+  readonly weigh: RecoveryGoal;
 }
 
 /** A deployment's configuration as it holds at one site. */
--- a/src/core/errors/refusals.ts
+++ b/src/core/errors/refusals.ts
@@ -1,7 +1,7 @@
 /** Refusals: what a caller is told when a request is not served. */
 
 /** Whether the refused request had any effect at its target. */
-export enum Ran {
+export enum Executed {
   NO = 'no',
   YES = 'yes',
   UNKNOWN = 'unknown',
@@ -65,7 +65,7 @@
 /** A refusal on its way to the caller. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  readonly ran: Ran;
+  readonly ran: Executed;
   readonly detail: string;
   /** When to come back, in milliseconds; absent where coming back is vain. */
   readonly retryAfterMs?: number;
--- a/src/core/generation/recovery-policy.ts
+++ b/src/core/generation/recovery-policy.ts
@@ -1,5 +1,5 @@
 /** How losses are recovered from, by what a deployment weighs. */
-import {Weigh} from '../config/types.js';
+import {RecoveryGoal} from '../config/types.js';
 
 /** Thresholds of a deployment's recovery. */
 export interface RecoveryPolicy {
@@ -30,6 +30,6 @@
  * @example
  * resolveRecoveryPolicy(cfg.recovery.weigh).prefersCached;
  */
-export function resolveRecoveryPolicy(weigh: Weigh): RecoveryPolicy {
-  return weigh === Weigh.RESOURCES ? RESOURCES : LATENCY;
+export function resolveRecoveryPolicy(weigh: RecoveryGoal): RecoveryPolicy {
+  return weigh === RecoveryGoal.RESOURCES ? RESOURCES : LATENCY;
 }
--- a/src/core/membership/consts.ts
+++ b/src/core/membership/consts.ts
@@ -1,4 +1,4 @@
-import {Weigh} from '../config/types.js';
+import {RecoveryGoal} from '../config/types.js';
 import type {SuspicionBounds} from './types.js';
 
 /** Gaps that the threshold remembers. */
@@ -8,9 +8,9 @@
 export const GAP_FACTOR = 3;
 
 /** Bounds while work runs at the peer, by what the deployment weighs. */
-export const BUSY_BOUNDS: Readonly<Record<Weigh, SuspicionBounds>> = {
-  [Weigh.LATENCY]: {floorMs: 450, ceilingMs: 1_500},
-  [Weigh.RESOURCES]: {floorMs: 1_200, ceilingMs: 1_800},
+export const BUSY_BOUNDS: Readonly<Record<RecoveryGoal, SuspicionBounds>> = {
+  [RecoveryGoal.LATENCY]: {floorMs: 450, ceilingMs: 1_500},
+  [RecoveryGoal.RESOURCES]: {floorMs: 1_200, ceilingMs: 1_800},
 };
 
 /** Bounds while no work runs there. */
--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -67,7 +67,7 @@
   }
 
   /** Sets a gauge. */
-  gauge(options: {name: string; value: number}): void {
+  setGauge(options: {name: string; value: number}): void {
     let gauge = this.gauges.get(options.name);
     if (gauge === undefined) {
       const name = METRIC_PREFIX + options.name;
--- a/src/core/protocol/messages.ts
+++ b/src/core/protocol/messages.ts
@@ -16,7 +16,7 @@
 } from 'purify-ts';
 
 import {FinishReason} from '../edges/engine-driver.js';
-import {Ran, RefusalReason, RetryReason} from '../errors/refusals.js';
+import {Executed, RefusalReason, RetryReason} from '../errors/refusals.js';
 import {byteString} from './byte-codec.js';
 
 /** Discriminates the messages. */
@@ -184,7 +184,7 @@
   /** The attempt or call that was refused. */
   id: string,
   reason: enumeration(RefusalReason),
-  ran: enumeration(Ran),
+  ran: enumeration(Executed),
   detail: string,
   retryAfterMs: optional(number),
 });
--- a/src/core/protocol/refused-message.ts
+++ b/src/core/protocol/refused-message.ts
@@ -8,7 +8,7 @@
  * @example
  * connection.send(createRefused({id: callId, refusal}));
  */
-export function createRefused(options: {
+export function createRefusedMessage(options: {
   id: string;
   refusal: Refusal;
 }): RefusedMessage {
--- a/src/core/settings/direct-settings.ts
+++ b/src/core/settings/direct-settings.ts
@@ -26,10 +26,10 @@
   readonly readiness: ListenAddress;
   readonly storeUrl: string;
   /** Time between the signal to stop and the forced end. */
-  readonly stopGraceMs: number;
+  readonly shutdownGraceMs: number;
   /** Time after which a target that leaves must get no new work. */
-  readonly targetLeaveMs: number;
+  readonly targetDrainMs: number;
   /** Time after which a key that was taken away must not serve any more. */
-  readonly keyTrustMs?: number;
+  readonly keyRevocationMs?: number;
   readonly retryBudget: RetryBudgetSettings;
 }
--- a/src/core/settings/load-daemon-settings.ts
+++ b/src/core/settings/load-daemon-settings.ts
@@ -37,7 +37,7 @@
   const layers = [
     ...paths.map(loadFile),
     ...overrides.map((text, index) =>
-      loadOverride({text, index}).mapErr(createInvalidSettings),
+      loadOverride({text, index}).mapErr(createInvalidSettingsError),
     ),
   ];
   return Result.combineWithAllErrors(layers)
@@ -47,7 +47,7 @@
 
 function loadFile(file: string): Result<SourceNode, SettingsError> {
   return readText(file).andThen((text) =>
-    loadYaml({file, text}).mapErr(createInvalidSettings),
+    loadYaml({file, text}).mapErr(createInvalidSettingsError),
   );
 }
 
@@ -69,11 +69,13 @@
 ): Result<DaemonSettings, SettingsError> {
   const node = layers.reduce((base, overlay) => mergeNodes({base, overlay}));
   return checkNode({node, schema: DAEMON_SETTINGS_SCHEMA}).mapErr(
-    createInvalidSettings,
+    createInvalidSettingsError,
   );
 }
 
-function createInvalidSettings(problems: readonly Problem[]): SettingsError {
+function createInvalidSettingsError(
+  problems: readonly Problem[],
+): SettingsError {
   return {
     layer: Layer.SETTINGS,
     kind: SettingsErrorKind.INVALID,
--- a/src/core/settings/schema.ts
+++ b/src/core/settings/schema.ts
@@ -80,7 +80,7 @@
   }
 }
 
-const checkListenersDiffer: ObjectRule<DaemonSettings> = (settings, ctx) => {
+const checkListenersDistinct: ObjectRule<DaemonSettings> = (settings, ctx) => {
   const owners = new Map<string, string>();
   for (const name of LISTENERS) {
     const listen = settings[name];
@@ -115,5 +115,5 @@
     callers: optionalField(LISTEN),
     target: optionalField(TARGET),
   },
-  rules: [checkRole, checkListenersDiffer],
+  rules: [checkRole, checkListenersDistinct],
 });
--- a/src/core/sync/follower.ts
+++ b/src/core/sync/follower.ts
@@ -10,9 +10,9 @@
 import {SourceErrorKind} from '../edges/state-source.js';
 import type {Confirmation} from './key-trust.js';
 import {
-  DEAF_MS,
-  FIRST_BACKOFF_MS,
-  LAST_BACKOFF_MS,
+  MAX_CHANGE_DELAY_MS,
+  MIN_BACKOFF_MS,
+  MAX_BACKOFF_MS,
   REFRESH_DELAY_MS,
 } from './consts.js';
 
@@ -23,7 +23,7 @@
   onChanges(changes: ReadonlyArray<SourceChange<T>>): void;
   /** What is known was complete at a time. */
   onConfirmed(confirmation: Confirmation): void;
-  onLost(err: SourceError): void;
+  onError(err: SourceError): void;
 }
 
 /**
@@ -49,7 +49,7 @@
       /** Longest wait for a change, in milliseconds. */
       waitMs: number;
       /** Least time between two calls that bring changes, in milliseconds. */
-      paceMs?: number;
+      minIntervalMs?: number;
     },
   ) {}
 
@@ -105,7 +105,7 @@
       if (changes.length > 0) listener.onChanges(changes);
       const waited = clock.now() - startedMs >= waitMs;
       const isQuiet = changes.length === 0 && waited;
-      const quietMs = Math.max(0, waitMs - DEAF_MS);
+      const quietMs = Math.max(0, waitMs - MAX_CHANGE_DELAY_MS);
       const atMs = isQuiet ? startedMs + quietMs : startedMs;
       listener.onConfirmed({atMs, startedMs});
       if (changes.length > 0) await this.keepPace(startedMs);
@@ -114,7 +114,7 @@
 
   private async loseTrack(err: SourceError): Promise<void> {
     if (err.kind === SourceErrorKind.HISTORY_LOST) {
-      this.options.listener.onLost(err);
+      this.options.listener.onError(err);
       return;
     }
     await this.fail(err);
@@ -122,23 +122,23 @@
 
   private async fail(err: SourceError): Promise<void> {
     this.wasLost = true;
-    this.options.listener.onLost(err);
+    this.options.listener.onError(err);
     await this.backOff();
   }
 
   /** Lets changes gather where one follows the other. */
   private async keepPace(startedMs: number): Promise<void> {
-    const {clock, paceMs = 0} = this.options;
+    const {clock, minIntervalMs: paceMs = 0} = this.options;
     const leftMs = startedMs + paceMs - clock.now();
     if (leftMs > 0) await sleep(this.options.clock, leftMs);
   }
 
   private backOff(): Promise<void> {
     const {random} = this.options;
-    const limitMs = FIRST_BACKOFF_MS * 2 ** this.failures;
+    const limitMs = MIN_BACKOFF_MS * 2 ** this.failures;
     this.failures = Math.min(this.failures + 1, 10);
     const delayMs =
-      Math.min(limitMs, LAST_BACKOFF_MS) * (0.5 + random.float() / 2);
+      Math.min(limitMs, MAX_BACKOFF_MS) * (0.5 + random.float() / 2);
     return sleep(this.options.clock, delayMs);
   }
 }
--- a/src/core/sync/key-trust.ts
+++ b/src/core/sync/key-trust.ts
@@ -8,7 +8,7 @@
 const CLOCK_TOLERANCE_MS = 150;
 
 /** A call that starts in the same tick as a suspension ends is not trusted. */
-const CLOCK_GRAIN_MS = 1;
+const CLOCK_RESOLUTION_MS = 1;
 
 /** Proof that the configuration was current. */
 export interface Confirmation {
@@ -60,7 +60,7 @@
    * suspension proves nothing: how long ago it was is not known.
    */
   confirm({atMs, startedMs}: Confirmation): void {
-    if (this.hasClockMoved()) this.distrust();
+    if (this.hasClockJumped()) this.distrust();
     if (startedMs < this.distrustedMs) return;
     this.wallOffsetMs = this.currentOffset();
     this.confirmedMs = Math.max(this.confirmedMs, atMs);
@@ -71,21 +71,21 @@
     return this.options.clock.now() - this.confirmedMs;
   }
 
-  isSound(): boolean {
+  isTrusted(): boolean {
     const {boundMs} = this;
     if (boundMs === undefined) return true;
-    if (this.hasClockMoved()) this.distrust();
+    if (this.hasClockJumped()) this.distrust();
     return this.ageMs() <= boundMs * TRUSTED_SHARE;
   }
 
   private distrust(): void {
     this.wallOffsetMs = this.currentOffset();
     this.confirmedMs = Number.NEGATIVE_INFINITY;
-    this.distrustedMs = this.options.clock.now() + CLOCK_GRAIN_MS;
+    this.distrustedMs = this.options.clock.now() + CLOCK_RESOLUTION_MS;
     this.options.onDistrusted?.();
   }
 
-  private hasClockMoved(): boolean {
+  private hasClockJumped(): boolean {
     const movedMs = Math.abs(this.currentOffset() - this.wallOffsetMs);
     return movedMs > CLOCK_TOLERANCE_MS;
   }
--- a/src/core/story/tell-story.ts
+++ b/src/core/timeline/build-timeline.ts
@@ -18,11 +18,11 @@
   /** It tells of a target that the request was at. */
   TARGET = 'target',
   /** It tells what the entry believed at the time. */
-  BELIEF = 'belief',
+  ENTRY_STATE = 'belief',
 }
 
 /** A line with its part in the story. */
-export interface StoryLine {
+export interface RelatedLine {
   readonly relation: Relation;
   readonly line: LogLine;
 }
@@ -40,10 +40,10 @@
  * @example
  * const story = tellStory({lines, id: '9c41d07be2a35f68'});
  */
-export function tellStory(options: {
+export function buildTimeline(options: {
   lines: readonly LogLine[];
   id: string;
-}): StoryLine[] {
+}): RelatedLine[] {
   const {lines, id} = options;
   const own = lines.filter((line) => line.fields['id'] === id);
   const vms = new Set(own.map((line) => line.vm));
@@ -51,7 +51,7 @@
   const times = own.map(timeOf);
   const fromMs = Math.min(...times) - CONTEXT_MS;
   const untilMs = Math.max(...times) + CONTEXT_MS;
-  const story: StoryLine[] = [];
+  const story: RelatedLine[] = [];
   for (const line of lines) {
     const isNear = timeOf(line) >= fromMs && timeOf(line) <= untilMs;
     const isOwn = line.fields['id'] === id;
@@ -69,7 +69,7 @@
   // Lines of other requests are their own stories.
   if (line.fields['id'] !== undefined) return undefined;
   const named = targetsOf(line);
-  if (named.length === 0) return Relation.BELIEF;
+  if (named.length === 0) return Relation.ENTRY_STATE;
   return named.some((name) => targets.has(name)) ? Relation.TARGET : undefined;
 }
 
--- a/src/core/yaml-check/nearest-key.ts
+++ b/src/core/yaml-check/nearest-key.ts
@@ -9,7 +9,7 @@
  * @example
  * resolveNearestKey('wieght', ['weight', 'models']); // Just('weight')
  */
-export function resolveNearestKey(
+export function findNearestKey(
   key: string,
   known: readonly string[],
 ): Maybe<string> {
--- a/src/core/yaml-check/nodes.ts
+++ b/src/core/yaml-check/nodes.ts
@@ -45,10 +45,10 @@
     );
     return createMapNode({position, entries});
   }
-  return {kind: NodeKind.SCALAR, position, value: resolveScalar(value)};
+  return {kind: NodeKind.SCALAR, position, value: toScalar(value)};
 }
 
-function resolveScalar(value: unknown): string | number | boolean | null {
+function toScalar(value: unknown): string | number | boolean | null {
   switch (typeof value) {
     case 'string':
     case 'number':
@@ -60,24 +60,24 @@
 }
 
 /** Returns the plain JSON value of a node. */
-export function resolvePlain(node: SourceNode): unknown {
+export function toPlainValue(node: SourceNode): unknown {
   switch (node.kind) {
     case NodeKind.SCALAR:
       return node.value;
     case NodeKind.LIST:
-      return node.items.map(resolvePlain);
+      return node.items.map(toPlainValue);
     case NodeKind.MAP:
       return Object.fromEntries(
         [...node.entries].map(([key, entry]) => [
           key,
-          resolvePlain(entry.node),
+          toPlainValue(entry.node),
         ]),
       );
   }
 }
 
 /** Returns the position of the deepest part of `path` that exists. */
-export function resolvePosition(
+export function findPosition(
   node: SourceNode,
   path: readonly PathSegment[],
 ): SourcePosition {
@@ -87,13 +87,11 @@
   }
   if (node.kind === NodeKind.LIST) {
     const item = node.items[Number(head)];
-    return item === undefined ? node.position : resolvePosition(item, rest);
+    return item === undefined ? node.position : findPosition(item, rest);
   }
   const entry = node.entries.get(String(head));
   if (entry === undefined) {
     return node.removed.get(String(head)) ?? node.position;
   }
-  return rest.length === 0
-    ? entry.keyPosition
-    : resolvePosition(entry.node, rest);
+  return rest.length === 0 ? entry.keyPosition : findPosition(entry.node, rest);
 }
--- a/src/core/yaml-check/schemas/object-schema.ts
+++ b/src/core/yaml-check/schemas/object-schema.ts
@@ -1,6 +1,6 @@
 import {createProblem} from '../format.js';
-import {resolveNearestKey} from '../nearest-key.js';
-import {resolvePosition} from '../nodes.js';
+import {findNearestKey} from '../nearest-key.js';
+import {findPosition} from '../nodes.js';
 import type {
   CheckContext,
   MapNode,
@@ -81,7 +81,7 @@
       if (known.includes(key)) {
         continue;
       }
-      const expected = resolveNearestKey(key, known)
+      const expected = findNearestKey(key, known)
         .map((nearest) => `a known key (did you mean "${nearest}"?)`)
         .orDefault(`a known key (${known.join(', ')})`);
       const path = [...ctx.path, key];
@@ -115,7 +115,7 @@
       return field.schema.check(entry.node, {...ctx, path});
     }
     if (field.isRequired) {
-      const position = resolvePosition(node, [key]);
+      const position = findPosition(node, [key]);
       const expected = field.schema.description;
       const found = 'nothing';
       ctx.problems.push(createProblem({position, path, expected, found}));
--- a/src/core/yaml-check/schemas/report.ts
+++ b/src/core/yaml-check/schemas/report.ts
@@ -1,5 +1,5 @@
 import {createProblem, describeNode} from '../format.js';
-import {resolvePosition} from '../nodes.js';
+import {findPosition} from '../nodes.js';
 import type {CheckContext, RuleContext, SourceNode} from '../types.js';
 import {NodeKind} from '../types.js';
 
@@ -23,7 +23,7 @@
   return {
     isPresent: (key) => node.kind === NodeKind.MAP && node.entries.has(key),
     report: ({path, expected, found}) => {
-      const position = resolvePosition(node, path);
+      const position = findPosition(node, path);
       const full = [...ctx.path, ...path];
       ctx.problems.push(createProblem({position, path: full, expected, found}));
     },
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -118,7 +118,7 @@
     clock,
     logger,
     listener: server,
-    graceMs: settings.stopGraceMs,
+    graceMs: settings.shutdownGraceMs,
     // The last log lines are written in the background.
     onStopped: () => setTimeout(() => process.exit(0), LAST_LINES_MS),
   });
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -89,7 +89,7 @@
     this.settings = settings;
     this.trust = new KeyTrust({
       clock,
-      boundMs: settings.keyTrustMs,
+      boundMs: settings.keyRevocationMs,
       onDistrusted: () => {
         logger.warn('keys are distrusted: the clocks have parted');
         this.configs?.refresh();
@@ -160,13 +160,13 @@
   /** Takes over settings that may change while the process runs. */
   applySettings(settings: DirectSettings): void {
     this.settings = settings;
-    this.trust.setBound(settings.keyTrustMs);
+    this.trust.setBound(settings.keyRevocationMs);
   }
 
   /** Begins a planned stop. */
   leave(): void {
     const {clock} = this.options;
-    this.killedAtMs = clock.now() + this.settings.stopGraceMs;
+    this.killedAtMs = clock.now() + this.settings.shutdownGraceMs;
     this.leaving.set(true);
   }
 
@@ -188,7 +188,7 @@
   isReady(): boolean {
     const isConfigured = this.routes.get() !== undefined && this.knowsTargets;
     const isInformed = isConfigured && this.knowsLosses();
-    return isInformed && !this.leaving.get() && this.trust.isSound();
+    return isInformed && !this.leaving.get() && this.trust.isTrusted();
   }
 
   /** What was lost before this process began is waited for, but not long. */
@@ -201,7 +201,7 @@
   handle(req: CallerRequest, res: CallerResponse): void {
     const admitted = admitRequest({
       table: this.routes.get(),
-      isTrusted: this.trust.isSound(),
+      isTrusted: this.trust.isTrusted(),
       host: req.host,
       path: req.path,
       key: req.key,
@@ -254,7 +254,7 @@
       operation === OperationKind.STREAM
         ? STREAM_GRACE_SHARE
         : CALL_GRACE_SHARE;
-    return leftMs >= this.settings.stopGraceMs * share;
+    return leftMs >= this.settings.shutdownGraceMs * share;
   }
 
   private refuse(
@@ -293,7 +293,7 @@
           this.trust.confirm(confirmation);
           contact.noteHeard();
         },
-        onLost: (err) => contact.noteLost(err),
+        onError: (err) => contact.noteLost(err),
       },
     });
     this.configs = follower;
@@ -303,7 +303,7 @@
 
   /** Two waits in a row must fit into the time for which keys are trusted. */
   private configWaitMs(): number {
-    const {keyTrustMs = Infinity} = this.settings;
+    const {keyRevocationMs: keyTrustMs = Infinity} = this.settings;
     return Math.min(CONFIG_WAIT_MS, Math.floor(keyTrustMs * WAIT_SHARE));
   }
 
@@ -316,7 +316,7 @@
       clock,
       random,
       waitMs: TARGETS_WAIT_MS,
-      paceMs: this.settings.targetLeaveMs * TARGETS_PACE_SHARE,
+      minIntervalMs: this.settings.targetDrainMs * TARGETS_PACE_SHARE,
       listener: {
         onSnapshot: (items, afterOutage) => {
           targets.replaceAll(items, afterOutage);
@@ -324,7 +324,7 @@
         },
         onChanges: (changes) => targets.applyChanges(changes),
         onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onError: (err) => contact.noteLost(err),
       },
     });
     this.followers.push(follower);
--- a/src/direct/poison/loss-share.ts
+++ b/src/direct/poison/loss-share.ts
@@ -55,12 +55,12 @@
       clock,
       random,
       waitMs: QUARANTINE_WAIT_MS,
-      paceMs: LOSS_READ_PACE_MS,
+      minIntervalMs: LOSS_READ_PACE_MS,
       listener: {
         onSnapshot: (items) => this.takeAll(items),
         onChanges: (changes) => changes.forEach((change) => this.take(change)),
         onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onError: (err) => contact.noteLost(err),
       },
     });
   }
--- a/src/direct/poison/quarantine-share.ts
+++ b/src/direct/poison/quarantine-share.ts
@@ -51,7 +51,7 @@
         onSnapshot: (items) => this.takeAll(items),
         onChanges: (changes) => this.takeChanges(changes),
         onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onError: (err) => contact.noteLost(err),
       },
     });
   }
--- a/src/entry/caller-gate.ts
+++ b/src/entry/caller-gate.ts
@@ -23,7 +23,7 @@
   RequestHead,
 } from '../core/edges/index.js';
 import type {Refusal} from '../core/errors/index.js';
-import {Ran, RefusalReason} from '../core/errors/index.js';
+import {Executed, RefusalReason} from '../core/errors/index.js';
 import {fingerprintOf} from '../core/generation/index.js';
 import type {Metrics} from '../core/metrics/index.js';
 import {CounterName, LatencyName} from '../core/metrics/index.js';
@@ -232,15 +232,15 @@
 function leaving(): Refusal {
   const reason = RefusalReason.LEAVING;
   const detail = 'this entry is leaving';
-  return {reason, ran: Ran.NO, detail, retryAfterMs: RETRY_AFTER_MS};
+  return {reason, ran: Executed.NO, detail, retryAfterMs: RETRY_AFTER_MS};
 }
 
 function notReady(): Refusal {
   const reason = RefusalReason.NOT_READY;
   const detail = 'no configuration is in force yet';
-  return {reason, ran: Ran.NO, detail, retryAfterMs: RETRY_AFTER_MS};
+  return {reason, ran: Executed.NO, detail, retryAfterMs: RETRY_AFTER_MS};
 }
 
 function refuse(reason: RefusalReason, detail: string): Refusal {
-  return {reason, ran: Ran.NO, detail};
+  return {reason, ran: Executed.NO, detail};
 }
--- a/src/entry/calls/plain-service.ts
+++ b/src/entry/calls/plain-service.ts
@@ -7,7 +7,7 @@
 import {sleep} from '../../core/clock/index.js';
 import type {PlainResponse} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason, RetryReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason, RetryReason} from '../../core/errors/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import type {
   FailureWatch,
@@ -53,7 +53,7 @@
     const tried: string[] = [];
     const budget = this.parts.retryBudgets.of(request.service);
     budget.noteFirstTry();
-    let ran = Ran.NO;
+    let ran = Executed.NO;
     while (tried.length < MAX_TRIES) {
       const leftMs = request.deadlineAtMs - this.parts.clock.now();
       if (leftMs <= 0) return err(deadlineExceeded(ran));
@@ -69,8 +69,8 @@
         return ok(answer.value.response);
       }
       const refusal = answer.isErr() ? answer.error.refusal : undefined;
-      if (refusal?.ran === Ran.YES) return err(refusal);
-      if (answer.isErr() && mayHaveRun(answer.error)) ran = Ran.UNKNOWN;
+      if (refusal?.ran === Executed.YES) return err(refusal);
+      if (answer.isErr() && mayHaveRun(answer.error)) ran = Executed.UNKNOWN;
       tried.push(target.vm);
       if (tried.length === MAX_TRIES) break;
       if (!budget.tryRetry()) return err(budgetSpent(ran));
@@ -127,10 +127,10 @@
 
 function mayHaveRun(error: CallError): boolean {
   if (error.kind === CallErrorKind.NOT_SENT) return false;
-  return error.refusal?.ran !== Ran.NO;
+  return error.refusal?.ran !== Executed.NO;
 }
 
-function deadlineExceeded(ran: Ran): Refusal {
+function deadlineExceeded(ran: Executed): Refusal {
   return {
     reason: RefusalReason.DEADLINE_EXCEEDED,
     ran,
@@ -139,7 +139,7 @@
   };
 }
 
-function budgetSpent(ran: Ran): Refusal {
+function budgetSpent(ran: Executed): Refusal {
   return {
     reason: RefusalReason.RETRY_BUDGET_SPENT,
     ran,
@@ -148,7 +148,7 @@
   };
 }
 
-function targetsFailed(ran: Ran): Refusal {
+function targetsFailed(ran: Executed): Refusal {
   return {
     reason: RefusalReason.TARGET_FAILED,
     ran,
--- a/src/entry/calls/tell-of-key.ts
+++ b/src/entry/calls/tell-of-key.ts
@@ -1,7 +1,7 @@
 /** Refusals of bookings whose key has not been looked up. */
 import type {RequestHead} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import {FIRST_USE_HEADER} from '../consts.js';
 
 /** Reasons that say nothing of an earlier request with the same key. */
@@ -33,5 +33,5 @@
 export function tellOfKey(req: RequestHead, refusal: Refusal): Refusal {
   const looked = !SPEAKS_OF_REQUEST.has(refusal.reason);
   if (req.idempotencyKey === '' || looked || isFirstUse(req)) return refusal;
-  return {...refusal, ran: Ran.UNKNOWN};
+  return {...refusal, ran: Executed.UNKNOWN};
 }
--- a/src/entry/config/config-control.ts
+++ b/src/entry/config/config-control.ts
@@ -2,7 +2,7 @@
 import type {Clock, RandomSource} from '../../core/clock/index.js';
 import type {
   ConfigMember,
-  ConfigNews,
+  ConfigUpdate,
 } from '../../core/config/distribution/index.js';
 import type {ObjectStore, PeerStatus} from '../../core/edges/index.js';
 import type {Logger} from '../../core/logs/index.js';
@@ -62,13 +62,13 @@
   }
 
   /** What an agent says it holds, over its link. */
-  takeFromAgent(news: ConfigNews, ageMs: number): void {
+  takeFromAgent(news: ConfigUpdate, ageMs: number): void {
     this.force.takeFromPeer(news, ageMs);
   }
 
   /** The highest version that this entry holds. */
-  held(): ConfigNews {
-    return this.force.holder.news;
+  held(): ConfigUpdate {
+    return this.force.holder.latest;
   }
 
   /** Time since the platform last confirmed it, in milliseconds. */
--- a/src/entry/config/config-exchange.ts
+++ b/src/entry/config/config-exchange.ts
@@ -105,7 +105,7 @@
   }
 
   private createConfig(): ConfigMessage {
-    const {version, value} = this.options.force.holder.news;
+    const {version, value} = this.options.force.holder.latest;
     const ageMs = this.options.force.ageMs();
     return {type: MessageType.CONFIG, version, value, ageMs};
   }
--- a/src/entry/config/config-force.ts
+++ b/src/entry/config/config-force.ts
@@ -2,12 +2,9 @@
 import {Just} from 'purify-ts';
 
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
-import type {ConfigNews} from '../../core/config/distribution/index.js';
+import type {ConfigUpdate} from '../../core/config/distribution/index.js';
 import {ConfigHolder} from '../../core/config/distribution/index.js';
-import {
-  resolveSiteConfig,
-  resolveStoredConfig,
-} from '../../core/config/index.js';
+import {resolveSiteConfig, parseStoredConfig} from '../../core/config/index.js';
 import type {Logger} from '../../core/logs/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import {CounterName} from '../../core/metrics/index.js';
@@ -52,7 +49,7 @@
   }
 
   /** The platform's word: it confirms what this entry holds. */
-  takeFromPlatform(news: ConfigNews): void {
+  takeFromPlatform(news: ConfigUpdate): void {
     const isNew = this.holder.offer(news);
     if (news.version >= this.holder.version) this.noteHeard(0);
     this.openDoors();
@@ -60,7 +57,7 @@
   }
 
   /** A peer's word, and how old its own news is. */
-  takeFromPeer(news: ConfigNews, ageMs: number): void {
+  takeFromPeer(news: ConfigUpdate, ageMs: number): void {
     const isNew = this.holder.offer(news);
     if (news.version >= this.holder.version) this.noteHeard(ageMs);
     if (isNew && this.open) this.bringIntoForce();
@@ -82,10 +79,10 @@
 
   private bringIntoForce(): void {
     const {board, site, logger, metrics} = this.options;
-    const {version, value} = this.holder.news;
+    const {version, value} = this.holder.latest;
     const before = board.config.get().extract()?.version ?? 0;
     if (version <= before) return;
-    const stored = resolveStoredConfig(value).extract();
+    const stored = parseStoredConfig(value).extract();
     if (stored === undefined) {
       logger.error('configuration of unknown shape', {version});
       return;
--- a/src/entry/generation/answer-copy.ts
+++ b/src/entry/generation/answer-copy.ts
@@ -2,7 +2,7 @@
 import type {OutputPart, OutputReader, Token} from '../../core/edges/index.js';
 import {OutputPartKind} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import {
   encodeEventId,
   LogState,
@@ -164,7 +164,7 @@
   kind: OutputPartKind.REFUSED,
   refusal: {
     reason: RefusalReason.ANSWER_LOST,
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     detail: 'the reader is closed',
   },
 };
@@ -174,7 +174,7 @@
   kind: OutputPartKind.REFUSED,
   refusal: {
     reason: RefusalReason.BAD_EVENT_ID,
-    ran: Ran.NO,
+    ran: Executed.NO,
     detail: 'the answer is shorter than this position',
   },
 };
--- a/src/entry/generation/copy-server.ts
+++ b/src/entry/generation/copy-server.ts
@@ -1,13 +1,13 @@
 /** Sends this entry's copies to entries that ask for them. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import {LogState} from '../../core/generation/index.js';
 import type {
   AttachMessage,
   MessageRouter,
   PeerConnection,
 } from '../../core/protocol/index.js';
-import {createRefused, MessageType} from '../../core/protocol/index.js';
+import {createRefusedMessage, MessageType} from '../../core/protocol/index.js';
 import type {AnswerCopy} from './answer-copy.js';
 import {COPY_BEAT_MS, TOKENS_PER_MESSAGE} from './consts.js';
 
@@ -37,8 +37,8 @@
     if (copy === undefined || !usable) {
       const reason = RefusalReason.ANSWER_LOST;
       const detail = 'this answer is not known here';
-      const refusal = {reason, ran: Ran.UNKNOWN, detail};
-      connection.send(createRefused({id: attach.attemptId, refusal}));
+      const refusal = {reason, ran: Executed.UNKNOWN, detail};
+      connection.send(createRefusedMessage({id: attach.attemptId, refusal}));
       return;
     }
     const {clock} = this.options;
@@ -149,10 +149,10 @@
     } else {
       const refusal = copy.refusal ?? {
         reason: RefusalReason.ANSWER_LOST,
-        ran: Ran.UNKNOWN,
+        ran: Executed.UNKNOWN,
         detail: 'the answer was abandoned',
       };
-      connection.send(createRefused({id: attemptId, refusal}));
+      connection.send(createRefusedMessage({id: attemptId, refusal}));
     }
     this.close();
   }
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -16,7 +16,7 @@
 } from '../../core/edges/index.js';
 import {VmRole} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import type {EventId} from '../../core/generation/index.js';
 import {
   decodeEventId,
@@ -250,5 +250,5 @@
 }
 
 function badEventId(detail: string): Refusal {
-  return {reason: RefusalReason.BAD_EVENT_ID, ran: Ran.NO, detail};
+  return {reason: RefusalReason.BAD_EVENT_ID, ran: Executed.NO, detail};
 }
--- a/src/entry/generation/run-refusals.ts
+++ b/src/entry/generation/run-refusals.ts
@@ -1,13 +1,13 @@
 /** What callers are told when a generation is given up. */
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import {RETRY_AFTER_MS} from '../consts.js';
 
 /** The deadline came before the end. */
 export function deadlineExceeded(started: boolean): Refusal {
   return {
     reason: RefusalReason.DEADLINE_EXCEEDED,
-    ran: started ? Ran.UNKNOWN : Ran.NO,
+    ran: started ? Executed.UNKNOWN : Executed.NO,
     detail: 'the answer was not whole in time',
     retryAfterMs: RETRY_AFTER_MS,
   };
@@ -17,7 +17,7 @@
 export function tooManyAttempts(attempts: number): Refusal {
   return {
     reason: RefusalReason.TARGET_FAILED,
-    ran: Ran.UNKNOWN,
+    ran: Executed.UNKNOWN,
     detail: `${attempts} attempts in a row brought no token`,
     retryAfterMs: RETRY_AFTER_MS,
   };
@@ -26,26 +26,26 @@
 /** The request crashed its engines. */
 export function poisonFound(): Refusal {
   const detail = 'this request crashed the engines that ran it';
-  return {reason: RefusalReason.POISON, ran: Ran.YES, detail};
+  return {reason: RefusalReason.POISON, ran: Executed.YES, detail};
 }
 
 /** The request is known to crash engines, and was not sent to one. */
 export function poisonKnown(): Refusal {
   const detail = 'this request is known to crash engines';
-  return {reason: RefusalReason.POISON, ran: Ran.NO, detail};
+  return {reason: RefusalReason.POISON, ran: Executed.NO, detail};
 }
 
 /** Nobody reads the answer any more, or it is replaced. */
 export function answerAbandoned(): Refusal {
   const detail = 'the answer is no longer kept here';
-  return {reason: RefusalReason.ANSWER_LOST, ran: Ran.UNKNOWN, detail};
+  return {reason: RefusalReason.ANSWER_LOST, ran: Executed.UNKNOWN, detail};
 }
 
 /** A target refused, and the service may not try again elsewhere. */
 export function retryBudgetSpent(): Refusal {
   return {
     reason: RefusalReason.RETRY_BUDGET_SPENT,
-    ran: Ran.NO,
+    ran: Executed.NO,
     detail: 'the target refused and the service has no retries left',
     retryAfterMs: RETRY_AFTER_MS,
   };
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -1,6 +1,6 @@
 /** An entry's connection to one agent, shared by all its requests. */
 import type {Clock, RandomSource} from '../../core/clock/index.js';
-import {Weigh} from '../../core/config/index.js';
+import {RecoveryGoal} from '../../core/config/index.js';
 import type {VmRecord} from '../../core/edges/index.js';
 import {VmState} from '../../core/edges/index.js';
 import {RetryReason} from '../../core/errors/index.js';
@@ -50,7 +50,9 @@
   private suspected = false;
   private unlisted = false;
   private toldLeave = false;
-  private readonly busyGaps = new GapThreshold(BUSY_BOUNDS[Weigh.LATENCY]);
+  private readonly busyGaps = new GapThreshold(
+    BUSY_BOUNDS[RecoveryGoal.LATENCY],
+  );
   private readonly idleGaps = new GapThreshold(IDLE_BOUNDS);
   private offeredVersion = 0;
   private configDueAtMs = 0;
@@ -92,7 +94,7 @@
   }
 
   /** Takes over what the deployment weighs in recovery. */
-  setWeigh(weigh: Weigh): void {
+  setWeigh(weigh: RecoveryGoal): void {
     this.busyGaps.setBounds(BUSY_BOUNDS[weigh]);
   }
 
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -2,7 +2,7 @@
 import type {Maybe} from 'purify-ts';
 
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
-import {Weigh} from '../../core/config/index.js';
+import {RecoveryGoal} from '../../core/config/index.js';
 import type {PeerStatus, VmRecord} from '../../core/edges/index.js';
 import {VmRole, VmState} from '../../core/edges/index.js';
 import type {RecoveryPolicy} from '../../core/generation/index.js';
@@ -80,10 +80,10 @@
 
   /** The policy of the configuration in force. */
   policy(): RecoveryPolicy {
-    return resolveRecoveryPolicy(this.weigh().orDefault(Weigh.LATENCY));
+    return resolveRecoveryPolicy(this.weigh().orDefault(RecoveryGoal.LATENCY));
   }
 
-  private weigh(): Maybe<Weigh> {
+  private weigh(): Maybe<RecoveryGoal> {
     const inForce = this.options.board.config.get();
     return inForce.map(({cfg}) => cfg.recovery.weigh);
   }
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -1,5 +1,5 @@
 /** What an agent's connection tells to those who use it. */
-import type {ConfigNews} from '../../core/config/distribution/index.js';
+import type {ConfigUpdate} from '../../core/config/distribution/index.js';
 import type {RetryReason} from '../../core/errors/index.js';
 import type {
   EndMessage,
@@ -31,7 +31,7 @@
 
 /** The configuration that an entry shares with its agents. */
 export interface AgentConfig {
-  held(): ConfigNews;
+  held(): ConfigUpdate;
   ageMs(): number;
-  takeFromAgent(news: ConfigNews, ageMs: number): void;
+  takeFromAgent(news: ConfigUpdate, ageMs: number): void;
 }
--- a/src/entry/load-controller.ts
+++ b/src/entry/load-controller.ts
@@ -7,7 +7,7 @@
   ServiceConfig,
   SiteConfig,
 } from '../core/config/index.js';
-import {ServiceKind, Weigh} from '../core/config/index.js';
+import {ServiceKind, RecoveryGoal} from '../core/config/index.js';
 import type {VmRecord} from '../core/edges/index.js';
 import {VmRole, VmState} from '../core/edges/index.js';
 import type {TargetView} from '../core/routing/index.js';
@@ -105,7 +105,7 @@
 }): number {
   const {service, recovery} = options;
   if (service.kind === ServiceKind.PLAIN) return 0;
-  return recovery.weigh === Weigh.LATENCY ? RESUME_SHARE : 0;
+  return recovery.weigh === RecoveryGoal.LATENCY ? RESUME_SHARE : 0;
 }
 
 function isLiveEntry(vm: VmRecord): boolean {
--- a/test/core/admission/fair-admission.test.ts
+++ b/test/core/admission/fair-admission.test.ts
@@ -8,7 +8,7 @@
 } from '../../../src/core/admission/index.js';
 import {ManualClock, SeededRandom} from '../../../src/core/clock/index.js';
 import {PriorityClass} from '../../../src/core/config/index.js';
-import {Ran, RefusalReason} from '../../../src/core/errors/index.js';
+import {Executed, RefusalReason} from '../../../src/core/errors/index.js';
 import type {Arrival} from './lib.js';
 import {
   accountOf,
@@ -67,7 +67,7 @@
             // Either it ran and ended, or it was refused and never ran.
             expect(endedAtMs !== undefined).toBe(startedAtMs !== undefined);
             expect(refusal === undefined).toBe(startedAtMs !== undefined);
-            if (refusal !== undefined) expect(refusal.ran).toBe(Ran.NO);
+            if (refusal !== undefined) expect(refusal.ran).toBe(Executed.NO);
           }
         },
       ),
@@ -292,7 +292,7 @@
     resize(0);
     const refusal = (await waiting)._unsafeUnwrapErr();
     expect(refusal.reason).toBe(RefusalReason.NO_TARGET);
-    expect(refusal.ran).toBe(Ran.NO);
+    expect(refusal.ran).toBe(Executed.NO);
   });
 
   it('spreads the return of refused callers over the rate it drains at', async () => {
--- a/test/core/booking/interleavings.test.ts
+++ b/test/core/booking/interleavings.test.ts
@@ -4,7 +4,7 @@
  */
 import {expect, it} from 'vitest';
 
-import {Ran} from '../../../src/core/errors/index.js';
+import {Executed} from '../../../src/core/errors/index.js';
 import {findViolation} from './lib/check-world.js';
 import {Simulator} from './lib/simulator.js';
 import type {World, WorldLimits} from './lib/world.js';
@@ -26,14 +26,14 @@
 interface Found {
   readonly states: number;
   readonly violation?: string;
-  readonly told: ReadonlySet<Ran>;
+  readonly told: ReadonlySet<Executed>;
 }
 
 /** Visits each state that can be reached once. */
 function explore(limits: WorldLimits): Found {
   const simulator = new Simulator(limits);
   const seen = new Set<string>();
-  const told = new Set<Ran>();
+  const told = new Set<Executed>();
   const open = [keyOf({world: createWorld(limits), faults: 0})];
   while (open.length > 0) {
     for (const node of childrenOf(simulator, open.pop()!)) {
@@ -79,6 +79,8 @@
   const limits = {agents: 1, requests: 2, bodies: ['a'], restarts: 1};
   const found = explore(limits);
   expect(found.violation).toBeUndefined();
-  expect([...found.told].sort()).toEqual([Ran.NO, Ran.UNKNOWN, Ran.YES].sort());
+  expect([...found.told].sort()).toEqual(
+    [Executed.NO, Executed.UNKNOWN, Executed.YES].sort(),
+  );
   expect(found.states).toBeGreaterThan(1_000);
 });
--- a/test/core/booking/lib/behaviour.ts
+++ b/test/core/booking/lib/behaviour.ts
@@ -16,7 +16,7 @@
   KeyAction,
   WriteOutcome,
 } from '../../../../src/core/booking/index.js';
-import {Ran} from '../../../../src/core/errors/index.js';
+import {Executed} from '../../../../src/core/errors/index.js';
 import {KeyPhase} from '../../../../src/core/protocol/index.js';
 import type {
   Action,
@@ -83,7 +83,8 @@
   effect: FinishEffect,
 ): void {
   const {response, evidence} = effect;
-  request.told = response === undefined ? decideRan(evidence!).ran : Ran.YES;
+  request.told =
+    response === undefined ? decideRan(evidence!).ran : Executed.YES;
   request.evidence = evidence?.kind;
   request.execution = response?.status ?? 0;
   abandonFlights(world, request);
--- a/test/core/booking/lib/simulator.ts
+++ b/test/core/booking/lib/simulator.ts
@@ -21,7 +21,7 @@
   stepBooking,
   WriteOutcome,
 } from '../../../../src/core/booking/index.js';
-import {Ran} from '../../../../src/core/errors/index.js';
+import {Executed} from '../../../../src/core/errors/index.js';
 import {KeyPhase} from '../../../../src/core/protocol/index.js';
 import {
   applyWrite,
@@ -132,7 +132,7 @@
   private addStarts(world: World, add: Adder): void {
     if (world.requests.length >= this.limits.requests) return;
     // A caller that was told `no` does not ask again with the key.
-    if (world.requests.some((request) => request.told === Ran.NO)) return;
+    if (world.requests.some((request) => request.told === Executed.NO)) return;
     // One that vouches for a new key sends no other before it has an answer.
     if (world.requests.some((request) => isAwaited(world, request))) return;
     const first = world.requests.length === 0;
--- a/test/core/booking/lib/world.ts
+++ b/test/core/booking/lib/world.ts
@@ -6,7 +6,7 @@
   EvidenceKind,
   StoredClaim,
 } from '../../../../src/core/booking/index.js';
-import type {Ran} from '../../../../src/core/errors/index.js';
+import type {Executed} from '../../../../src/core/errors/index.js';
 import type {KeyPhase} from '../../../../src/core/protocol/index.js';
 
 /** One agent; only what concerns the one key. */
@@ -29,7 +29,7 @@
   /** Its caller waits no longer and hears no answer. */
   hungUp: boolean;
   /** Answered to the caller: no, yes, unknown. */
-  told?: Ran;
+  told?: Executed;
   evidence?: EvidenceKind;
   /** Executions of its body when it was answered. */
   ranWhenTold: number;
--- a/test/core/booking/schedules.test.ts
+++ b/test/core/booking/schedules.test.ts
@@ -7,7 +7,7 @@
   StepContext,
 } from '../../../src/core/booking/index.js';
 import {decideCall, stepBooking} from '../../../src/core/booking/index.js';
-import {Ran} from '../../../src/core/errors/index.js';
+import {Executed} from '../../../src/core/errors/index.js';
 import {KeyPhase} from '../../../src/core/protocol/index.js';
 import {outerFaults} from './lib/behaviour.js';
 import {findViolation} from './lib/check-world.js';
@@ -53,7 +53,7 @@
   return world;
 }
 
-function search(decisions: Decisions, numRuns: number, seen?: Set<Ran>) {
+function search(decisions: Decisions, numRuns: number, seen?: Set<Executed>) {
   const schedule = fc.array(fc.nat(MAX_PICK), {
     minLength: 4,
     maxLength: MAX_STEPS,
@@ -112,10 +112,12 @@
 
 describe('schedules of entries, agents, store and network', () => {
   it(`holds over ${SCHEDULES} schedules, seed ${SEED}`, () => {
-    const seen = new Set<Ran>();
+    const seen = new Set<Executed>();
     const result = search(REAL_DECISIONS, SCHEDULES, seen);
     expect(result.errorInstance, fc.defaultReportMessage(result)).toBeNull();
-    expect([...seen].sort()).toEqual([Ran.NO, Ran.UNKNOWN, Ran.YES].sort());
+    expect([...seen].sort()).toEqual(
+      [Executed.NO, Executed.UNKNOWN, Executed.YES].sort(),
+    );
   });
 
   it.each(PLANTED)('finds the planted fault: $name', ({decisions}) => {
--- a/test/core/config/check-deployment.test.ts
+++ b/test/core/config/check-deployment.test.ts
@@ -4,7 +4,7 @@
   checkDeployment,
   ConfigErrorKind,
   resolveSiteConfig,
-  resolveStoredConfig,
+  parseStoredConfig,
 } from '../../../src/core/config/index.js';
 import {formatProblem} from '../../../src/core/yaml-check/index.js';
 
@@ -203,6 +203,6 @@
       value: {nonce: 'n', operator: 'a', document: {base: {}, overlays: [1]}},
     },
   ])('reads no stored configuration from $name', ({value}) => {
-    expect(resolveStoredConfig(value).isNothing()).toBe(true);
+    expect(parseStoredConfig(value).isNothing()).toBe(true);
   });
 });
--- a/test/core/config/distribution.test.ts
+++ b/test/core/config/distribution.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
-import type {ConfigNews} from '../../../src/core/config/distribution/index.js';
+import type {ConfigUpdate} from '../../../src/core/config/distribution/index.js';
 import {
   ConfigHolder,
   electWatchers,
@@ -34,7 +34,7 @@
           () => new ConfigHolder(),
         );
         const highest = holders.map(() => 0);
-        const said: ConfigNews[] = [{version: 0, value: null}];
+        const said: ConfigUpdate[] = [{version: 0, value: null}];
         let accepted = 0;
         for (const {from, to, named, stale, accepts, restarts} of deliveries) {
           if (accepts) accepted++;
@@ -45,7 +45,7 @@
           const present =
             from === PLATFORM
               ? {version: accepted, value: `v${accepted}`}
-              : holders[from]!.news;
+              : holders[from]!.latest;
           said.push(present);
           const word = said[Math.max(0, said.length - 1 - stale)]!;
           const news = named ? {...word, value: null} : word;
@@ -56,7 +56,7 @@
           }
           expect(holders[to]!.version).toBeGreaterThanOrEqual(before);
           expect(holders[to]!.version).toBe(highest[to]);
-          const {version, value} = holders[to]!.news;
+          const {version, value} = holders[to]!.latest;
           if (version > 0) expect(value).toBe(`v${version}`);
         }
       }),
@@ -71,12 +71,12 @@
         first.offer({version: a, value: 'a'});
         second.offer({version: b, value: 'b'});
         let [speaker, hearer] = [first, second];
-        let word: ConfigNews | undefined = {version: a, value: null};
+        let word: ConfigUpdate | undefined = {version: a, value: null};
         for (let i = 0; i < 3 && word !== undefined; i++) {
           const step = hearer.resolveStep(word);
           hearer.offer(word);
           [speaker, hearer] = [hearer, speaker];
-          if (step === ExchangeStep.SEND) word = speaker.news;
+          if (step === ExchangeStep.SEND) word = speaker.latest;
           else if (step === ExchangeStep.ASK) {
             word = {version: speaker.version, value: null};
           } else word = undefined;
--- a/test/core/config/examples.test.ts
+++ b/test/core/config/examples.test.ts
@@ -3,13 +3,18 @@
 
 import {describe, expect, it} from 'vitest';
 
-import {checkDeployment, Weigh} from '../../../src/core/config/index.js';
+import {checkDeployment, RecoveryGoal} from '../../../src/core/config/index.js';
 import {loadDaemonSettings} from '../../../src/core/settings/index.js';
 
 const EXAMPLES = [
-  {name: 'pumeks-worki', sites: 4, accounts: 10, weigh: Weigh.LATENCY},
-  {name: 'cerclerie-kerandel', sites: 3, accounts: 10, weigh: Weigh.RESOURCES},
-  {name: 'quickstart', sites: 2, accounts: 1, weigh: Weigh.LATENCY},
+  {name: 'pumeks-worki', sites: 4, accounts: 10, weigh: RecoveryGoal.LATENCY},
+  {
+    name: 'cerclerie-kerandel',
+    sites: 3,
+    accounts: 10,
+    weigh: RecoveryGoal.RESOURCES,
+  },
+  {name: 'quickstart', sites: 2, accounts: 1, weigh: RecoveryGoal.LATENCY},
 ];
 
 function readSource(file: string): {file: string; text: string} {
--- a/test/core/sync/follower.test.ts
+++ b/test/core/sync/follower.test.ts
@@ -68,7 +68,7 @@
     clock,
     random: new SeededRandom(1),
     waitMs: WAIT_MS,
-    paceMs: PACE_MS,
+    minIntervalMs: PACE_MS,
     listener: {
       onSnapshot: (items, afterOutage) => {
         values.push(...items.map((item) => item.value!));
@@ -76,7 +76,7 @@
       },
       onChanges: (changes) => values.push(...changes.map((c) => c.value!)),
       onConfirmed: ({atMs}) => confirmed.push(atMs),
-      onLost: () => undefined,
+      onError: () => undefined,
     },
   });
   follower.start();
--- a/test/core/sync/key-trust.test.ts
+++ b/test/core/sync/key-trust.test.ts
@@ -64,7 +64,7 @@
           }
           const ageMs = clock.wallNow() - confirmedMs;
           const looks = step.kind === 'look' || step.kind === 'answer';
-          if (looks && trust.isSound()) {
+          if (looks && trust.isTrusted()) {
             expect(ageMs).toBeLessThanOrEqual(BOUND_MS);
           }
         }
@@ -80,14 +80,14 @@
     const trust = new KeyTrust({clock, boundMs: BOUND_MS, onDistrusted});
     const startedMs = clock.now();
     clock.suspend(8_000);
-    expect(trust.isSound()).toBe(false);
-    expect(trust.isSound()).toBe(false);
+    expect(trust.isTrusted()).toBe(false);
+    expect(trust.isTrusted()).toBe(false);
     expect(asked).toBe(1);
     trust.confirm({atMs: startedMs + 500, startedMs});
-    expect(trust.isSound()).toBe(false);
+    expect(trust.isTrusted()).toBe(false);
     clock.advance(10);
     trust.confirm({atMs: clock.now(), startedMs: clock.now()});
-    expect(trust.isSound()).toBe(true);
+    expect(trust.isTrusted()).toBe(true);
   });
 
   it.each([
@@ -101,10 +101,10 @@
     const nowMs = clock.now();
     if (confirmed) trust.confirm({atMs: nowMs, startedMs: nowMs});
     clock.advance(afterMs);
-    expect(trust.isSound()).toBe(is);
+    expect(trust.isTrusted()).toBe(is);
   });
 
   it('always relies on keys that are never taken away at once', () => {
-    expect(new KeyTrust({clock: new ManualClock()}).isSound()).toBe(true);
+    expect(new KeyTrust({clock: new ManualClock()}).isTrusted()).toBe(true);
   });
 });
--- a/test/core/story/tell-story.test.ts
+++ b/test/core/timeline/build-timeline.test.ts
@@ -1,11 +1,11 @@
 import {describe, expect, it} from 'vitest';
 
-import type {LogLine} from '../../../src/core/story/index.js';
+import type {LogLine} from '../../../src/core/timeline/index.js';
 import {
   parseLogLine,
   Relation,
-  tellStory,
-} from '../../../src/core/story/index.js';
+  buildTimeline,
+} from '../../../src/core/timeline/index.js';
 
 function line(options: {
   atS: number;
@@ -31,17 +31,17 @@
 
 describe('tellStory', () => {
   it('tells of the request, its targets and its entry, in order', () => {
-    const story = tellStory({lines: LINES, id: 'a'});
+    const story = buildTimeline({lines: LINES, id: 'a'});
     expect(story.map(({relation, line: l}) => [relation, l.message])).toEqual([
       [Relation.TARGET, 'target does not answer'],
-      [Relation.BELIEF, 'store lost'],
+      [Relation.ENTRY_STATE, 'store lost'],
       [Relation.REQUEST, 'try failed'],
       [Relation.REQUEST, 'refused'],
     ]);
   });
 
   it('has nothing to tell of an unknown request', () => {
-    expect(tellStory({lines: LINES, id: 'c'})).toEqual([]);
+    expect(buildTimeline({lines: LINES, id: 'c'})).toEqual([]);
   });
 });
 
--- a/test/platform/boot-settings.test.ts
+++ b/test/platform/boot-settings.test.ts
@@ -41,7 +41,9 @@
 
   it('bound no keys where they are never taken away at once', () => {
     const text = FILE.replace('strict_revocation: true', '');
-    expect(parseBootSettings(text)._unsafeUnwrap().keyTrustMs).toBeUndefined();
+    expect(
+      parseBootSettings(text)._unsafeUnwrap().keyRevocationMs,
+    ).toBeUndefined();
   });
 
   it.each([
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -4,7 +4,7 @@
 
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {Ran, RefusalReason} from '../../src/core/errors/index.js';
+import {Executed, RefusalReason} from '../../src/core/errors/index.js';
 import type {Ask, Transcript} from '../../tools/lab/caller.js';
 import {
   createTranscript,
@@ -21,7 +21,7 @@
 
 interface Problem {
   readonly reason: RefusalReason;
-  readonly ran: Ran;
+  readonly ran: Executed;
   readonly retryAfterMs?: number;
 }
 
@@ -167,7 +167,7 @@
     expect(admitted).toBeGreaterThan(0);
     for (const {errors} of refused) {
       const {ran, reason, retryAfterMs} = errors[0] as Problem;
-      expect(ran).toBe(Ran.NO);
+      expect(ran).toBe(Executed.NO);
       expect([
         RefusalReason.OVERLOADED,
         RefusalReason.DEADLINE_UNREACHABLE,
