--- a/src/core/config/distribution/config-holder.ts
+++ b/src/core/config/distribution/config-holder.ts
@@ -11,20 +11,20 @@
  * holder.offer({version: 3, value}); // false
  */
 export class ConfigHolder {
-  private held: ConfigUpdate = {version: 0, value: null};
+  private current: ConfigUpdate = {version: 0, value: null};
 
   get version(): number {
-    return this.held.version;
+    return this.current.version;
   }
 
   get latest(): ConfigUpdate {
-    return this.held;
+    return this.current;
   }
 
   /** Holds what is newer and whole; returns whether it was. */
-  offer(news: ConfigUpdate): boolean {
-    if (this.resolveStep(news) !== ExchangeStep.TAKE) return false;
-    this.held = news;
+  offer(update: ConfigUpdate): boolean {
+    if (this.resolveStep(update) !== ExchangeStep.TAKE) return false;
+    this.current = update;
     return true;
   }
 
--- a/src/core/config/distribution/elect-watchers.ts
+++ b/src/core/config/distribution/elect-watchers.ts
@@ -15,8 +15,13 @@
   members: readonly ConfigMember[];
 }): string[] {
   const {dataCentre, members} = options;
-  const near = members.filter((member) => member.dataCentre === dataCentre);
-  const ranked = rankByRendezvous({key: dataCentre, members: near.map(vmOf)});
+  const localMembers = members.filter(
+    (member) => member.dataCentre === dataCentre,
+  );
+  const ranked = rankByRendezvous({
+    key: dataCentre,
+    members: localMembers.map(vmOf),
+  });
   return ranked.slice(0, WATCHERS_PER_DATA_CENTRE);
 }
 
@@ -35,13 +40,13 @@
   const {self, members} = options;
   const others = members.filter(({vm}) => vm !== self.vm);
   const watchers = electWatchers({dataCentre: self.dataCentre, members});
-  const distant = others.filter((m) => m.dataCentre !== self.dataCentre);
+  const remoteMembers = others.filter((m) => m.dataCentre !== self.dataCentre);
   const ranked = rankByRendezvous({
     key: self.vm,
-    members: distant.map(vmOf),
+    members: remoteMembers.map(vmOf),
   });
-  const near = watchers.filter((vm) => vm !== self.vm);
-  return [...near, ...ranked.slice(0, REMOTE_PEERS)];
+  const localWatchers = watchers.filter((vm) => vm !== self.vm);
+  return [...localWatchers, ...ranked.slice(0, REMOTE_PEERS)];
 }
 
 function vmOf({vm}: ConfigMember): string {
--- a/src/core/config/load-overlay.ts
+++ b/src/core/config/load-overlay.ts
@@ -38,8 +38,8 @@
     if (node.kind !== NodeKind.MAP) {
       return loadEmptyOverlay(site, node);
     }
-    const named = node.entries.get(SITE_KEY);
-    const problems = named === undefined ? [] : checkSite(named, site);
+    const siteEntry = node.entries.get(SITE_KEY);
+    const problems = siteEntry === undefined ? [] : checkSite(siteEntry, site);
     return problems.length === 0
       ? ok({site, node: removeSite(node)})
       : err(problems);
--- a/src/core/logs/bounded-sink.ts
+++ b/src/core/logs/bounded-sink.ts
@@ -39,7 +39,7 @@
   private pendingBytes = 0;
   private isWriting = false;
   private allowance = BURST_LINES;
-  private allowedMs: number;
+  private refilledMs: number;
 
   constructor(
     private readonly options: {
@@ -51,7 +51,7 @@
     },
   ) {
     super({decodeStrings: true});
-    this.allowedMs = options.clock.now();
+    this.refilledMs = options.clock.now();
   }
 
   override _write(
@@ -61,8 +61,8 @@
   ): void {
     // The line is taken or dropped at once: whoever logs never waits.
     callback();
-    const hasRoom = this.pendingBytes + chunk.length <= MAX_PENDING_BYTES;
-    if (!hasRoom || !this.takeAllowance()) {
+    const hasCapacity = this.pendingBytes + chunk.length <= MAX_PENDING_BYTES;
+    if (!hasCapacity || !this.consumeAllowance()) {
       this.options.onDropped();
       return;
     }
@@ -71,11 +71,11 @@
     this.flush();
   }
 
-  private takeAllowance(): boolean {
+  private consumeAllowance(): boolean {
     const nowMs = this.options.clock.now();
-    const earned = ((nowMs - this.allowedMs) / MS_PER_S) * LINES_PER_S;
-    this.allowance = Math.min(BURST_LINES, this.allowance + earned);
-    this.allowedMs = nowMs;
+    const refill = ((nowMs - this.refilledMs) / MS_PER_S) * LINES_PER_S;
+    this.allowance = Math.min(BURST_LINES, this.allowance + refill);
+    this.refilledMs = nowMs;
     if (this.allowance < 1) return false;
     this.allowance--;
     return true;
--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -110,15 +110,15 @@
 }
 
 function renderSummary([name, histogram]: [LatencyName, Histogram]): string {
-  const full = METRIC_PREFIX + name;
+  const fullName = METRIC_PREFIX + name;
   const count = histogram.totalCount;
   const lines = QUANTILES.map((quantile) => {
     const us = histogram.getValueAtPercentile(quantile * PERCENT);
     // The quantiles of nothing are no numbers.
     const value = count === 0 ? Number.NaN : us * SECONDS_PER_US;
-    return `${full}{quantile="${quantile}"} ${value}\n`;
+    return `${fullName}{quantile="${quantile}"} ${value}\n`;
   });
   const sum = count === 0 ? 0 : histogram.mean * count * SECONDS_PER_US;
-  const head = `# HELP ${full} ${full}\n# TYPE ${full} summary\n`;
-  return `${head}${lines.join('')}${full}_sum ${sum}\n${full}_count ${count}\n`;
+  const head = `# HELP ${fullName} ${fullName}\n# TYPE ${fullName} summary\n`;
+  return `${head}${lines.join('')}${fullName}_sum ${sum}\n${fullName}_count ${count}\n`;
 }
--- a/src/core/protocol/peer-connection.ts
+++ b/src/core/protocol/peer-connection.ts
@@ -30,8 +30,8 @@
  */
 export class PeerConnection {
   private readonly reader = new FrameReader();
-  private readonly greetingTimer: TimerHandle;
-  private greeted = false;
+  private readonly helloTimer: TimerHandle;
+  private isHelloReceived = false;
   private closed = false;
   private bytesIn = 0;
   private bytesOut = 0;
@@ -49,11 +49,11 @@
     socket.setNoDelay(true);
     socket.on('data', (chunk) => this.receive(chunk));
     socket.on('drain', () => this.options.listener.onDrain());
-    socket.on('error', (cause) => this.closeWith(closedBy(cause)));
-    socket.on('close', () => this.closeWith(closedBy(undefined)));
-    this.greetingTimer = clock.schedule({
+    socket.on('error', (cause) => this.closeWith(closedError(cause)));
+    socket.on('close', () => this.closeWith(closedError(undefined)));
+    this.helloTimer = clock.schedule({
       delayMs: HELLO_TIMEOUT_MS,
-      run: () => this.closeWith(greetingTimeout()),
+      run: () => this.closeWith(helloTimeoutError()),
     });
     this.send(hello);
   }
@@ -67,12 +67,12 @@
     const frame = encodeFrame(message);
     this.sentMs = this.options.clock.now();
     this.bytesOut += frame.length;
-    const flowing = this.options.socket.write(frame);
+    const hasBufferSpace = this.options.socket.write(frame);
     if (this.options.socket.writableLength > MAX_SEND_BUFFER_BYTES) {
       const detail = 'the peer does not read';
       this.closeWith(transportError(TransportErrorKind.PEER_TOO_SLOW, detail));
     }
-    return flowing;
+    return hasBufferSpace;
   }
 
   /** Whether the socket asks for a pause in sending. */
@@ -120,14 +120,14 @@
 
   private dispatch(message: Message): void {
     if (this.closed) return;
-    if (this.greeted) {
+    if (this.isHelloReceived) {
       this.options.listener.onMessage(message);
       return;
     }
-    this.greet(message);
+    this.handleHello(message);
   }
 
-  private greet(message: Message): void {
+  private handleHello(message: Message): void {
     if (message.type !== MessageType.HELLO) {
       const detail = `greeted with ${message.type}`;
       this.closeWith(transportError(TransportErrorKind.BAD_GREETING, detail));
@@ -138,26 +138,26 @@
       this.closeWith(transportError(TransportErrorKind.WRONG_PROTOCOL, detail));
       return;
     }
-    this.greetingTimer.cancel();
-    this.greeted = true;
+    this.helloTimer.cancel();
+    this.isHelloReceived = true;
     this.options.listener.onReady(message);
   }
 
   private closeWith(err: TransportError): void {
     if (this.closed) return;
     this.closed = true;
-    this.greetingTimer.cancel();
+    this.helloTimer.cancel();
     this.options.socket.destroy();
     this.options.listener.onClose(err);
   }
 }
 
-function closedBy(cause: Error | undefined): TransportError {
+function closedError(cause: Error | undefined): TransportError {
   const detail = cause?.message ?? 'closed by the peer';
   return transportError(TransportErrorKind.CLOSED, detail);
 }
 
-function greetingTimeout(): TransportError {
+function helloTimeoutError(): TransportError {
   const detail = `no greeting within ${HELLO_TIMEOUT_MS} ms`;
   return transportError(TransportErrorKind.GREETING_TIMEOUT, detail);
 }
--- a/src/core/settings/load-override.ts
+++ b/src/core/settings/load-override.ts
@@ -28,13 +28,13 @@
   }
   const {path = '', value = ''} = groups;
   return loadYaml({file: OVERRIDE_FILE, text: value})
-    .map((node) => nest(path.split('.'), {...node, position}))
+    .map((node) => nestAtPath(path.split('.'), {...node, position}))
     .mapErr((problems) =>
       problems.map((problem) => ({...problem, ...position, path})),
     );
 }
 
-function nest(path: readonly string[], leaf: SourceNode): SourceNode {
+function nestAtPath(path: readonly string[], leaf: SourceNode): SourceNode {
   const {position} = leaf;
   return path.reduceRight<SourceNode>(
     (node, key) =>
--- a/src/core/sync/follower.ts
+++ b/src/core/sync/follower.ts
@@ -38,7 +38,7 @@
 export class Follower<T> {
   private stopped = false;
   private failures = 0;
-  private wasLost = false;
+  private wasUnavailable = false;
 
   constructor(
     private readonly options: {
@@ -79,12 +79,12 @@
     const startedMs = clock.now();
     const snapshot = await source.list();
     if (snapshot.isErr()) {
-      await this.fail(snapshot.error);
+      await this.reportAndBackOff(snapshot.error);
       return undefined;
     }
     const {items, revision} = snapshot.value;
-    listener.onSnapshot(items, this.wasLost);
-    this.wasLost = false;
+    listener.onSnapshot(items, this.wasUnavailable);
+    this.wasUnavailable = false;
     this.failures = 0;
     listener.onConfirmed({atMs: startedMs, startedMs});
     return revision;
@@ -95,41 +95,41 @@
     let since = from;
     while (!this.stopped) {
       const startedMs = clock.now();
-      const answer = await source.waitForChanges({since, waitMs});
-      if (answer.isErr()) {
-        await this.loseTrack(answer.error);
+      const response = await source.waitForChanges({since, waitMs});
+      if (response.isErr()) {
+        await this.handleWaitError(response.error);
         return;
       }
-      const {changes, revision} = answer.value;
+      const {changes, revision} = response.value;
       since = revision;
       if (changes.length > 0) listener.onChanges(changes);
       const waited = clock.now() - startedMs >= waitMs;
       const isQuiet = changes.length === 0 && waited;
-      const quietMs = Math.max(0, waitMs - MAX_CHANGE_DELAY_MS);
-      const atMs = isQuiet ? startedMs + quietMs : startedMs;
+      const coveredMs = Math.max(0, waitMs - MAX_CHANGE_DELAY_MS);
+      const atMs = isQuiet ? startedMs + coveredMs : startedMs;
       listener.onConfirmed({atMs, startedMs});
-      if (changes.length > 0) await this.keepPace(startedMs);
+      if (changes.length > 0) await this.throttle(startedMs);
     }
   }
 
-  private async loseTrack(err: SourceError): Promise<void> {
+  private async handleWaitError(err: SourceError): Promise<void> {
     if (err.kind === SourceErrorKind.HISTORY_LOST) {
       this.options.listener.onError(err);
       return;
     }
-    await this.fail(err);
+    await this.reportAndBackOff(err);
   }
 
-  private async fail(err: SourceError): Promise<void> {
-    this.wasLost = true;
+  private async reportAndBackOff(err: SourceError): Promise<void> {
+    this.wasUnavailable = true;
     this.options.listener.onError(err);
     await this.backOff();
   }
 
   /** Lets changes gather where one follows the other. */
-  private async keepPace(startedMs: number): Promise<void> {
-    const {clock, minIntervalMs: paceMs = 0} = this.options;
-    const leftMs = startedMs + paceMs - clock.now();
+  private async throttle(startedMs: number): Promise<void> {
+    const {clock, minIntervalMs = 0} = this.options;
+    const leftMs = startedMs + minIntervalMs - clock.now();
     if (leftMs > 0) await sleep(this.options.clock, leftMs);
   }
 
--- a/src/core/sync/key-trust.ts
+++ b/src/core/sync/key-trust.ts
@@ -33,7 +33,7 @@
 export class KeyTrust {
   private confirmedMs = Number.NEGATIVE_INFINITY;
   /** Calls that started earlier prove nothing. */
-  private distrustedMs = Number.NEGATIVE_INFINITY;
+  private rejectBeforeMs = Number.NEGATIVE_INFINITY;
   private wallOffsetMs: number;
   private boundMs?: number;
 
@@ -61,7 +61,7 @@
    */
   confirm({atMs, startedMs}: Confirmation): void {
     if (this.hasClockJumped()) this.distrust();
-    if (startedMs < this.distrustedMs) return;
+    if (startedMs < this.rejectBeforeMs) return;
     this.wallOffsetMs = this.currentOffset();
     this.confirmedMs = Math.max(this.confirmedMs, atMs);
   }
@@ -81,13 +81,13 @@
   private distrust(): void {
     this.wallOffsetMs = this.currentOffset();
     this.confirmedMs = Number.NEGATIVE_INFINITY;
-    this.distrustedMs = this.options.clock.now() + CLOCK_RESOLUTION_MS;
+    this.rejectBeforeMs = this.options.clock.now() + CLOCK_RESOLUTION_MS;
     this.options.onDistrusted?.();
   }
 
   private hasClockJumped(): boolean {
-    const movedMs = Math.abs(this.currentOffset() - this.wallOffsetMs);
-    return movedMs > CLOCK_TOLERANCE_MS;
+    const driftMs = Math.abs(this.currentOffset() - this.wallOffsetMs);
+    return driftMs > CLOCK_TOLERANCE_MS;
   }
 
   private currentOffset(): number {
--- a/src/core/timeline/build-timeline.ts
+++ b/src/core/timeline/build-timeline.ts
@@ -45,21 +45,21 @@
   id: string;
 }): RelatedLine[] {
   const {lines, id} = options;
-  const own = lines.filter((line) => line.fields['id'] === id);
-  const vms = new Set(own.map((line) => line.vm));
-  const targets = new Set(own.flatMap(targetsOf));
-  const times = own.map(timeOf);
+  const ownLines = lines.filter((line) => line.fields['id'] === id);
+  const vms = new Set(ownLines.map((line) => line.vm));
+  const targets = new Set(ownLines.flatMap(targetsOf));
+  const times = ownLines.map(timeOf);
   const fromMs = Math.min(...times) - CONTEXT_MS;
   const untilMs = Math.max(...times) + CONTEXT_MS;
-  const story: RelatedLine[] = [];
+  const timeline: RelatedLine[] = [];
   for (const line of lines) {
-    const isNear = timeOf(line) >= fromMs && timeOf(line) <= untilMs;
+    const isInWindow = timeOf(line) >= fromMs && timeOf(line) <= untilMs;
     const isOwn = line.fields['id'] === id;
-    if (!isOwn && (!isNear || !vms.has(line.vm))) continue;
+    if (!isOwn && (!isInWindow || !vms.has(line.vm))) continue;
     const relation = isOwn ? Relation.REQUEST : relationOf(line, targets);
-    if (relation !== undefined) story.push({relation, line});
+    if (relation !== undefined) timeline.push({relation, line});
   }
-  return story.sort((a, b) => timeOf(a.line) - timeOf(b.line));
+  return timeline.sort((a, b) => timeOf(a.line) - timeOf(b.line));
 }
 
 function relationOf(
--- a/src/core/yaml-check/load-yaml.ts
+++ b/src/core/yaml-check/load-yaml.ts
@@ -45,8 +45,8 @@
       lineCounter: this.lines,
       prettyErrors: false,
     });
-    for (const fault of document.errors) {
-      this.report(fault.pos[0], [], 'valid YAML', fault.message);
+    for (const parseError of document.errors) {
+      this.report(parseError.pos[0], [], 'valid YAML', parseError.message);
     }
     const node = this.convert(document.contents, []);
     return this.problems.length === 0 ? ok(node) : err(this.problems);
@@ -89,10 +89,10 @@
       return [];
     }
     const node = this.convert(pair.value, [...path, key]);
-    const placed = isMissing(pair.value)
+    const positioned = isMissing(pair.value)
       ? {...node, position: keyPosition}
       : node;
-    return [[key, {keyPosition, node: placed}]];
+    return [[key, {keyPosition, node: positioned}]];
   }
 
   private convertScalar(value: unknown): string | number | boolean | null {
--- a/src/core/yaml-check/schemas/report.ts
+++ b/src/core/yaml-check/schemas/report.ts
@@ -24,8 +24,10 @@
     isPresent: (key) => node.kind === NodeKind.MAP && node.entries.has(key),
     report: ({path, expected, found}) => {
       const position = findPosition(node, path);
-      const full = [...ctx.path, ...path];
-      ctx.problems.push(createProblem({position, path: full, expected, found}));
+      const fullPath = [...ctx.path, ...path];
+      ctx.problems.push(
+        createProblem({position, path: fullPath, expected, found}),
+      );
     },
   };
 }
--- a/test/core/config/distribution.test.ts
+++ b/test/core/config/distribution.test.ts
@@ -34,7 +34,7 @@
           () => new ConfigHolder(),
         );
         const highest = holders.map(() => 0);
-        const said: ConfigUpdate[] = [{version: 0, value: null}];
+        const sent: ConfigUpdate[] = [{version: 0, value: null}];
         let accepted = 0;
         for (const {from, to, named, stale, accepts, restarts} of deliveries) {
           if (accepts) accepted++;
@@ -42,17 +42,17 @@
             holders[to] = new ConfigHolder();
             highest[to] = 0;
           }
-          const present =
+          const currentUpdate =
             from === PLATFORM
               ? {version: accepted, value: `v${accepted}`}
               : holders[from]!.latest;
-          said.push(present);
-          const word = said[Math.max(0, said.length - 1 - stale)]!;
-          const news = named ? {...word, value: null} : word;
+          sent.push(currentUpdate);
+          const sentUpdate = sent[Math.max(0, sent.length - 1 - stale)]!;
+          const update = named ? {...sentUpdate, value: null} : sentUpdate;
           const before = holders[to]!.version;
-          holders[to]!.offer(news);
-          if (news.value !== null) {
-            highest[to] = Math.max(highest[to]!, news.version);
+          holders[to]!.offer(update);
+          if (update.value !== null) {
+            highest[to] = Math.max(highest[to]!, update.version);
           }
           expect(holders[to]!.version).toBeGreaterThanOrEqual(before);
           expect(holders[to]!.version).toBe(highest[to]);
@@ -70,16 +70,16 @@
         const [first, second] = [new ConfigHolder(), new ConfigHolder()];
         first.offer({version: a, value: 'a'});
         second.offer({version: b, value: 'b'});
-        let [speaker, hearer] = [first, second];
-        let word: ConfigUpdate | undefined = {version: a, value: null};
-        for (let i = 0; i < 3 && word !== undefined; i++) {
-          const step = hearer.resolveStep(word);
-          hearer.offer(word);
-          [speaker, hearer] = [hearer, speaker];
-          if (step === ExchangeStep.SEND) word = speaker.latest;
+        let [sender, receiver] = [first, second];
+        let update: ConfigUpdate | undefined = {version: a, value: null};
+        for (let i = 0; i < 3 && update !== undefined; i++) {
+          const step = receiver.resolveStep(update);
+          receiver.offer(update);
+          [sender, receiver] = [receiver, sender];
+          if (step === ExchangeStep.SEND) update = sender.latest;
           else if (step === ExchangeStep.ASK) {
-            word = {version: speaker.version, value: null};
-          } else word = undefined;
+            update = {version: sender.version, value: null};
+          } else update = undefined;
         }
         expect(first.version).toBe(second.version);
         expect(first.version).toBe(Math.max(a, b));
@@ -111,8 +111,8 @@
         expect(watchers).toHaveLength(
           Math.min(near.length, WATCHERS_PER_DATA_CENTRE),
         );
-        const left = members.filter(({vm}) => vm !== watchers[0]);
-        const next = electWatchers({dataCentre, members: left});
+        const remaining = members.filter(({vm}) => vm !== watchers[0]);
+        const next = electWatchers({dataCentre, members: remaining});
         expect(next).toEqual(expect.arrayContaining(watchers.slice(1)));
       }),
       {seed: SEED},
--- a/test/core/logs.test.ts
+++ b/test/core/logs.test.ts
@@ -11,12 +11,12 @@
   private isStopped = true;
 
   readonly writeBytes: WriteBytes = (_fd, bytes, callback) => {
-    const take = () => {
+    const accept = () => {
       this.text += Buffer.from(bytes).toString();
       callback(null, bytes.length);
     };
-    if (this.isStopped) this.resume = take;
-    else take();
+    if (this.isStopped) this.resume = accept;
+    else accept();
   };
 
   start(): void {
--- a/test/core/sync/follower.test.ts
+++ b/test/core/sync/follower.test.ts
@@ -57,7 +57,7 @@
   );
 }
 
-async function play(steps: Step[]) {
+async function runFollower(steps: Step[]) {
   const clock = new ManualClock();
   const source = new ScriptedSource(clock, steps);
   const values: string[] = [];
@@ -90,14 +90,14 @@
 
 describe('Follower', () => {
   it('lists, then waits from the revision of the list', async () => {
-    const {calls, values} = await play([{waitMs: 5, changes: ['new']}]);
+    const {calls, values} = await runFollower([{waitMs: 5, changes: ['new']}]);
     expect(calls[0]!.call).toBe('list');
     expect(calls[1]!.call).toBe('wait 10');
     expect(values).toEqual(['as of 10', 'new']);
   });
 
   it('lets changes gather where one follows the other', async () => {
-    const {calls} = await play([
+    const {calls} = await runFollower([
       {waitMs: 5, changes: ['a']},
       {waitMs: 5, changes: ['b']},
     ]);
@@ -106,12 +106,12 @@
   });
 
   it('trusts a quiet wait less than its end, as changes may be held back', async () => {
-    const {confirmed} = await play([{waitMs: WAIT_MS, changes: []}]);
+    const {confirmed} = await runFollower([{waitMs: WAIT_MS, changes: []}]);
     expect(confirmed[1]).toBe(WAIT_MS - 1_000);
   });
 
   it('trusts a wait that was cut short only from its begin', async () => {
-    const {confirmed} = await play([{waitMs: 100, changes: []}]);
+    const {confirmed} = await runFollower([{waitMs: 100, changes: []}]);
     expect(confirmed[1]).toBe(0);
   });
 
@@ -120,7 +120,7 @@
     {fails: SourceErrorKind.UNAVAILABLE, afterOutage: true},
     {fails: SourceErrorKind.MALFORMED, afterOutage: true},
   ])('lists anew after $fails', async ({fails, afterOutage}) => {
-    const {calls, outages} = await play([{fails}]);
+    const {calls, outages} = await runFollower([{fails}]);
     const lists = calls.filter(({call}) => call === 'list');
     expect(lists).toHaveLength(2);
     expect(outages).toEqual([false, afterOutage]);
--- a/test/core/sync/key-trust.test.ts
+++ b/test/core/sync/key-trust.test.ts
@@ -48,23 +48,23 @@
       fc.property(fc.array(stepArb, {maxLength: 40}), (steps) => {
         const clock = new SuspendableClock();
         const trust = new KeyTrust({clock, boundMs: BOUND_MS});
-        let asked: {startedMs: number; realMs: number} | undefined;
+        let pendingCall: {startedMs: number; realMs: number} | undefined;
         let confirmedMs = Number.NEGATIVE_INFINITY;
         for (const step of steps) {
           if (step.kind === 'run') clock.advance(step.ms);
           if (step.kind === 'suspend') clock.suspend(step.ms);
           if (step.kind === 'ask') {
-            asked = {startedMs: clock.now(), realMs: clock.wallNow()};
+            pendingCall = {startedMs: clock.now(), realMs: clock.wallNow()};
           }
-          if (step.kind === 'answer' && asked !== undefined) {
-            const {startedMs, realMs} = asked;
+          if (step.kind === 'answer' && pendingCall !== undefined) {
+            const {startedMs, realMs} = pendingCall;
             trust.confirm({atMs: startedMs, startedMs});
             confirmedMs = Math.max(confirmedMs, realMs);
-            asked = undefined;
+            pendingCall = undefined;
           }
           const ageMs = clock.wallNow() - confirmedMs;
-          const looks = step.kind === 'look' || step.kind === 'answer';
-          if (looks && trust.isTrusted()) {
+          const isChecked = step.kind === 'look' || step.kind === 'answer';
+          if (isChecked && trust.isTrusted()) {
             expect(ageMs).toBeLessThanOrEqual(BOUND_MS);
           }
         }
@@ -75,14 +75,14 @@
 
   it('takes no answer to a question from before a suspension', () => {
     const clock = new SuspendableClock();
-    let asked = 0;
-    const onDistrusted = () => asked++;
+    let distrustedCount = 0;
+    const onDistrusted = () => distrustedCount++;
     const trust = new KeyTrust({clock, boundMs: BOUND_MS, onDistrusted});
     const startedMs = clock.now();
     clock.suspend(8_000);
     expect(trust.isTrusted()).toBe(false);
     expect(trust.isTrusted()).toBe(false);
-    expect(asked).toBe(1);
+    expect(distrustedCount).toBe(1);
     trust.confirm({atMs: startedMs + 500, startedMs});
     expect(trust.isTrusted()).toBe(false);
     clock.advance(10);
--- a/test/core/timeline/build-timeline.test.ts
+++ b/test/core/timeline/build-timeline.test.ts
@@ -31,8 +31,10 @@
 
 describe('tellStory', () => {
   it('tells of the request, its targets and its entry, in order', () => {
-    const story = buildTimeline({lines: LINES, id: 'a'});
-    expect(story.map(({relation, line: l}) => [relation, l.message])).toEqual([
+    const timeline = buildTimeline({lines: LINES, id: 'a'});
+    expect(
+      timeline.map(({relation, line: l}) => [relation, l.message]),
+    ).toEqual([
       [Relation.TARGET, 'target does not answer'],
       [Relation.ENTRY_STATE, 'store lost'],
       [Relation.REQUEST, 'try failed'],
