--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -10,13 +10,13 @@
   ServiceConfig,
 } from '../../core/config/types.js';
 import type {
-  AnswerReader,
+  OutputReader,
   GenerationReq,
   VmRecord,
 } from '../../core/edges/index.js';
 import {VmRole} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
-import {Ran, RefusalReason} from '../../core/errors/index.js';
+import {Executed, RefusalReason} from '../../core/errors/index.js';
 import type {EventId} from '../../core/generation/index.js';
 import {
   decodeEventId,
@@ -90,7 +90,7 @@
     return running;
   }
 
-  generate(request: ResolvedGeneration): ResultAsync<AnswerReader, Refusal> {
+  generate(request: ResolvedGeneration): ResultAsync<OutputReader, Refusal> {
     const {lastEventId} = request.req;
     const {poisonKey} = this.createOrder(request, '');
     if (this.options.parts.quarantine.has(poisonKey)) {
@@ -105,7 +105,7 @@
   private begin(
     request: ResolvedGeneration,
     restarted: boolean,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const order = this.createOrder(request, this.options.parts.random.id());
     const kind = restarted ? WorkKind.RESUME : WorkKind.NEW;
     return this.admit({request, order, kind}).map((ticket) => {
@@ -122,7 +122,7 @@
   private goOn(
     request: ResolvedGeneration,
     id: EventId,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const order = this.createOrder(request, id.requestId);
     const held = this.held.get(id.requestId);
     if (held !== undefined) {
@@ -142,7 +142,7 @@
     request: ResolvedGeneration,
     order: RunOrder,
     id: EventId,
-  ): ResultAsync<AnswerReader, Refusal> {
+  ): ResultAsync<OutputReader, Refusal> {
     const sources = this.findSources(id);
     if (sources.length === 0) return this.begin(request, true);
     const kind = WorkKind.RUNNING;
@@ -252,5 +252,5 @@
 }
 
 function badEventId(detail: string): Refusal {
-  return {reason: RefusalReason.BAD_EVENT_ID, ran: Ran.NO, detail};
+  return {reason: RefusalReason.BAD_EVENT_ID, ran: Executed.NO, detail};
 }
