--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -23,8 +23,8 @@
   ListenAddress,
 } from '../core/settings/direct-settings.js';
 import {DirectProcess} from '../direct/direct-process.js';
-import {PlannedStop} from '../direct/planned-stop.js';
-import {SettingsWatch} from '../direct/settings-watch.js';
+import {GracefulShutdown} from '../direct/graceful-shutdown.js';
+import {SettingsWatcher} from '../direct/settings-watcher.js';
 import {EXIT_BAD_SETTINGS} from './consts.js';
 import {readPatiently} from './read-patiently.js';
 
@@ -101,20 +101,20 @@
     clock,
     handler: {
       handle: (req, res) => entry.handle(req, res),
-      isLeaving: () => entry.leaving.get(),
+      isLeaving: () => entry.draining.get(),
     },
   });
   entry.routes.subscribe((table) => {
     if (table !== undefined) server.applyLimits(table.limits);
   });
-  const watch = new SettingsWatch({
+  const watch = new SettingsWatcher({
     path,
     parse: parseBootSettings,
     onSettings: (changed) => entry.applySettings(changed),
     clock,
     logger,
   });
-  const stop = new PlannedStop({
+  const stop = new GracefulShutdown({
     clock,
     logger,
     listener: server,
@@ -128,7 +128,7 @@
   });
   process.on('SIGTERM', () => {
     logger.info('stopping', {open: server.openRequests});
-    entry.leave();
+    entry.startDraining();
     stop.begin();
   });
   liftStartGuard();
--- a/src/direct/call-run.ts
+++ b/src/direct/call-handler.ts
@@ -17,12 +17,12 @@
 import type {TryEnd} from '../core/retrying/index.js';
 import {OperationKind} from '../core/routes/index.js';
 import type {Target, TargetWork} from '../core/targets/index.js';
-import {AnswerBody, TOO_LARGE} from './answer-body.js';
-import {RETURN_AFTER_MS, SAFE_TRY_SHARE} from './consts.js';
+import {ResponseBody, TOO_LARGE_DETAIL} from './response-body.js';
+import {RETRY_AFTER_MS, SAFE_ATTEMPT_TIME_SHARE} from './consts.js';
 import type {DirectContext, DirectWork} from './context.js';
-import {noteFailureAt} from './note-failure.js';
-import {PoisonWatch} from './poison/index.js';
-import {refuseUntried} from './refuse-untried.js';
+import {recordTargetFailure} from './record-target-failure.js';
+import {PoisonDetector} from './poison/index.js';
+import {refuseUnsent} from './refuse-unsent.js';
 import {toTargetRequest} from './target-request.js';
 
 /** A try under way. */
@@ -40,15 +40,15 @@
  * @example
  * new CallRun({ctx, work}).start();
  */
-export class CallRun {
+export class CallHandler {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
   private readonly tried = new Set<string>();
   private readonly deadline: TimerHandle;
-  private readonly poison: PoisonWatch;
+  private readonly poison: PoisonDetector;
   private current?: CallTry;
   private head?: AnswerHead;
-  private body = new AnswerBody();
+  private body = new ResponseBody();
   private sent = 0;
   private isOver = false;
   private mayHaveRun = false;
@@ -56,13 +56,13 @@
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
     this.ctx = options.ctx;
     this.work = options.work;
-    this.poison = new PoisonWatch({
+    this.poison = new PoisonDetector({
       ...options,
-      onNamed: () => this.endAsPoison(),
+      onPoison: () => this.endAsPoison(),
     });
     const {clock} = this.ctx;
     this.deadline = clock.schedule({
-      delayMs: Math.max(0, this.work.endMs - clock.now()),
+      delayMs: Math.max(0, this.work.deadlineAtMs - clock.now()),
       run: () => this.giveUp(true),
     });
     this.work.res.onGone(() => this.leave());
@@ -76,7 +76,7 @@
 
   /** The request lost targets before, here or at other entries. */
   private async beginWithCare(): Promise<void> {
-    const mayGo = await this.poison.mayGo();
+    const mayGo = await this.poison.maySend();
     if (this.isOver) return;
     if (mayGo) this.begin();
     else this.refuse(RefusalReason.POISON);
@@ -84,7 +84,7 @@
 
   private begin(): void {
     const {service} = this.work;
-    this.ctx.budgets.noteFirstTry(service.name);
+    this.ctx.retryBudgets.recordFirstAttempt(service.name);
     const target = this.choose();
     if (target === undefined) {
       this.ctx.logger.warn('no target', {service: service.name});
@@ -99,8 +99,8 @@
     const {clock, client} = ctx;
     this.tried.add(target.id);
     this.head = undefined;
-    this.body = new AnswerBody();
-    const leftMs = work.endMs - clock.now();
+    this.body = new ResponseBody();
+    const leftMs = work.deadlineAtMs - clock.now();
     const targetWork = target.begin({tokens: 0});
     const exchange = client.send({
       target: target.record,
@@ -127,7 +127,7 @@
     this.body.push(chunk);
     if (!this.body.isTooLarge) return;
     this.current!.exchange.cancel();
-    this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE);
+    this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE_DETAIL);
   }
 
   /** An idempotent call leaves time for another try. */
@@ -135,7 +135,7 @@
     const {operation, maxAttempts} = this.work.admitted.route;
     const mayRepeat = operation === OperationKind.SAFE;
     return mayRepeat && this.sent + 1 < maxAttempts
-      ? leftMs * SAFE_TRY_SHARE
+      ? leftMs * SAFE_ATTEMPT_TIME_SHARE
       : leftMs * 2;
   }
 
@@ -161,14 +161,14 @@
     const beganMs = work.begunMs;
     if (!certainlyDidNotRun(failure)) this.mayHaveRun = true;
     const isLost = failure === ExchangeFailure.BROKEN;
-    if (isLost) this.poison.noteLoss({target, beganMs});
+    if (isLost) this.poison.recordLoss({target, startedMs: beganMs});
     this.ctx.logger.info('try failed', {
       id: this.work.req.attemptId,
       target: target.id,
       failure,
       detail,
     });
-    noteFailureAt(target, failure);
+    recordTargetFailure(target, failure);
     this.onEnd({failure});
   }
 
@@ -202,7 +202,7 @@
 
   /** A call that lost several targets waits until their causes are known. */
   private async goOnWithCare(): Promise<void> {
-    const mayGoOn = await this.poison.mayGoOn();
+    const mayGoOn = await this.poison.mayRetry();
     if (this.isOver) return;
     const target = mayGoOn ? this.choose() : undefined;
     if (target === undefined) this.giveUp(false);
@@ -212,11 +212,12 @@
   private refuse(reason: RefusalReason): void {
     this.stop();
     const {ctx, work} = this;
-    refuseUntried({ctx, work, reason});
+    refuseUnsent({ctx, work, reason});
   }
 
   private passOn(): void {
-    if (!isTargetFailure({status: this.head!.status})) this.poison.noteServed();
+    if (!isTargetFailure({status: this.head!.status}))
+      this.poison.recordServed();
     this.stop();
     const ms = this.ctx.clock.now() - this.work.req.receivedMs;
     this.ctx.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
@@ -244,7 +245,7 @@
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
     });
-    const retryAfterMs = mayHaveRun ? undefined : RETURN_AFTER_MS;
+    const retryAfterMs = mayHaveRun ? undefined : RETRY_AFTER_MS;
     this.work.res.sendOwn({status, reason, retryAfterMs});
   }
 
@@ -265,12 +266,12 @@
   }
 
   private noteTaken({target, work}: CallTry): void {
-    this.poison.noteTaken({target, beganMs: work.begunMs});
+    this.poison.recordUnresponsive({target, startedMs: work.begunMs});
   }
 
   private stop(): void {
     this.isOver = true;
-    this.poison.noteLeft();
+    this.poison.close();
     this.deadline.cancel();
     this.current?.exchange.cancel();
     this.closeTry();
@@ -305,6 +306,6 @@
 
   private takeFromBudget(reason: RetryReason): boolean {
     const service = this.work.service.name;
-    return this.ctx.budgets.tryRetry({service, reason});
+    return this.ctx.retryBudgets.takeRetry({service, reason});
   }
 }
--- a/src/direct/context.ts
+++ b/src/direct/context.ts
@@ -10,10 +10,10 @@
 import type {Metrics} from '../core/metrics/index.js';
 import type {AdmittedRequest, RoutedService} from '../core/routes/index.js';
 import type {TargetSet} from '../core/targets/index.js';
-import type {Losses} from './poison/losses.js';
+import type {LossTracker} from './poison/loss-tracker.js';
 import type {Prober} from './prober.js';
-import type {RepeatBudgets} from './repeat-budgets.js';
-import type {StreamTimes} from './streams/stream-times.js';
+import type {ServiceRetryBudgets} from './service-retry-budgets.js';
+import type {StreamDurations} from './streams/stream-durations.js';
 
 /** Shared by all requests of an entry. */
 export interface DirectContext {
@@ -24,10 +24,10 @@
   readonly client: DirectTargets;
   readonly prober: Prober;
   /** How long generations take, by service. */
-  readonly streamTimes: StreamTimes;
-  readonly budgets: RepeatBudgets;
+  readonly streamDurations: StreamDurations;
+  readonly retryBudgets: ServiceRetryBudgets;
   /** Targets that requests lost, here and at the other entries. */
-  readonly losses: Losses;
+  readonly lossTracker: LossTracker;
   /** Requests that this entry, or another, found to end targets. */
   readonly quarantine: Quarantine;
   readonly metrics: Metrics;
@@ -41,5 +41,5 @@
   readonly admitted: AdmittedRequest;
   readonly service: RoutedService;
   /** When the caller's or the route's time is over, on the process's clock. */
-  readonly endMs: number;
+  readonly deadlineAtMs: number;
 }
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -26,24 +26,24 @@
 import {Follower, KeyTrust} from '../core/sync/index.js';
 import type {TargetRecord} from '../core/targets/index.js';
 import {TargetSet} from '../core/targets/index.js';
-import {CallRun} from './call-run.js';
-import {ContactLog} from './contact-log.js';
+import {CallHandler} from './call-handler.js';
+import {StoreOutageLog} from './store-outage-log.js';
 import {
-  CALL_GRACE_SHARE,
-  CONFIG_WAIT_MS,
-  LOSSES_GRACE_MS,
-  RETURN_AFTER_MS,
-  STREAM_GRACE_SHARE,
-  TARGETS_PACE_SHARE,
-  TARGETS_WAIT_MS,
-  WAIT_SHARE,
+  MIN_CALL_GRACE_SHARE,
+  CONFIG_LONG_POLL_MS,
+  STARTUP_LOSSES_WAIT_MS,
+  RETRY_AFTER_MS,
+  MIN_STREAM_GRACE_SHARE,
+  TARGETS_READ_INTERVAL_SHARE,
+  TARGETS_LONG_POLL_MS,
+  CONFIG_LONG_POLL_SHARE,
 } from './consts.js';
 import type {DirectContext} from './context.js';
-import {Losses, QuarantineShare} from './poison/index.js';
+import {LossTracker, QuarantineSync} from './poison/index.js';
 import {Prober} from './prober.js';
-import {RepeatBudgets} from './repeat-budgets.js';
-import {StreamTimes} from './streams/stream-times.js';
-import {StreamRun} from './streams/stream-run.js';
+import {ServiceRetryBudgets} from './service-retry-budgets.js';
+import {StreamDurations} from './streams/stream-durations.js';
+import {StreamHandler} from './streams/stream-handler.js';
 
 /** What a direct entry is built from. */
 export interface DirectProcessOptions {
@@ -73,11 +73,11 @@
   /** The configuration in force. */
   readonly routes = new Cell<RouteTable | undefined>(undefined);
   /** Whether the process has been told to stop. */
-  readonly leaving = new Cell(false);
+  readonly draining = new Cell(false);
   private readonly trust: KeyTrust;
   private settings: DirectSettings;
   private readonly ctx: DirectContext;
-  private readonly quarantineShare: QuarantineShare;
+  private readonly quarantineShare: QuarantineSync;
   private readonly followers: Array<Follower<unknown>> = [];
   private configs?: Follower<RoutingConfig>;
   private knowsTargets = false;
@@ -116,18 +116,18 @@
       random,
       targets,
       prober,
-      streamTimes: new StreamTimes(),
+      streamDurations: new StreamDurations(),
       client,
-      budgets: new RepeatBudgets({
+      retryBudgets: new ServiceRetryBudgets({
         clock,
         settings: () => this.settings.retryBudget,
       }),
-      losses: new Losses({
+      lossTracker: new LossTracker({
         vm: settings.vm,
         quarantine,
         targets,
         prober,
-        notes: options.lossNotes,
+        records: options.lossNotes,
         source: options.losses,
         clock,
         random,
@@ -138,9 +138,9 @@
       metrics,
       logger,
     };
-    this.quarantineShare = new QuarantineShare({
+    this.quarantineShare = new QuarantineSync({
       quarantine: this.ctx.quarantine,
-      notes: options.culpritNotes,
+      records: options.culpritNotes,
       source: options.culprits,
       clock,
       random,
@@ -153,7 +153,7 @@
     this.followConfigs(configs);
     this.followTargets(registrations);
     this.quarantineShare.start();
-    this.ctx.losses.start();
+    this.ctx.lossTracker.start();
     this.startedMs = this.options.clock.now();
   }
 
@@ -164,21 +164,21 @@
   }
 
   /** Begins a planned stop. */
-  leave(): void {
+  startDraining(): void {
     const {clock} = this.options;
     this.killedAtMs = clock.now() + this.settings.stopGraceMs;
-    this.leaving.set(true);
+    this.draining.set(true);
   }
 
   /** Stops following the platform. */
   stop(): void {
     for (const follower of this.followers) follower.stop();
     this.quarantineShare.stop();
-    this.ctx.losses.stop();
+    this.ctx.lossTracker.stop();
   }
 
   /** Ids of the targets that may be given work. */
-  knownTargets(): string[] {
+  usableTargetIds(): string[] {
     return [...this.ctx.targets.all()]
       .filter((target) => !target.record.isLeaving)
       .map((target) => target.id);
@@ -188,13 +188,15 @@
   isReady(): boolean {
     const isConfigured = this.routes.get() !== undefined && this.knowsTargets;
     const isInformed = isConfigured && this.knowsLosses();
-    return isInformed && !this.leaving.get() && this.trust.isSound();
+    return isInformed && !this.draining.get() && this.trust.isSound();
   }
 
   /** What was lost before this process began is waited for, but not long. */
   private knowsLosses(): boolean {
     const upForMs = this.options.clock.now() - this.startedMs;
-    return this.ctx.losses.share.isInformed || upForMs > LOSSES_GRACE_MS;
+    return (
+      this.ctx.lossTracker.sync.hasLoaded || upForMs > STARTUP_LOSSES_WAIT_MS
+    );
   }
 
   /** Serves one request. */
@@ -225,7 +227,7 @@
       this.refuse(req, res, {
         status: 503,
         reason,
-        retryAfterMs: RETURN_AFTER_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
       return;
     }
@@ -233,17 +235,17 @@
       this.refuse(req, res, {
         status: 503,
         reason: RefusalReason.LEAVING,
-        retryAfterMs: RETURN_AFTER_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
       return;
     }
     const limitMs = Math.min(req.deadlineMs ?? Infinity, route.timeoutMs);
-    const endMs = req.receivedMs + limitMs;
-    const work = {req, res, admitted, service, endMs};
+    const deadlineAtMs = req.receivedMs + limitMs;
+    const work = {req, res, admitted, service, deadlineAtMs};
     if (route.operation === OperationKind.STREAM) {
-      new StreamRun({ctx, work}).start();
+      new StreamHandler({ctx, work}).start();
     } else {
-      new CallRun({ctx, work}).start();
+      new CallHandler({ctx, work}).start();
     }
   }
 
@@ -252,8 +254,8 @@
     const leftMs = this.killedAtMs - this.options.clock.now();
     const share =
       operation === OperationKind.STREAM
-        ? STREAM_GRACE_SHARE
-        : CALL_GRACE_SHARE;
+        ? MIN_STREAM_GRACE_SHARE
+        : MIN_CALL_GRACE_SHARE;
     return leftMs >= this.settings.stopGraceMs * share;
   }
 
@@ -275,7 +277,7 @@
 
   private followConfigs(source: StateSource<RoutingConfig>): void {
     const {clock, random, logger} = this.options;
-    const contact = new ContactLog({what: 'configuration', clock, logger});
+    const contact = new StoreOutageLog({what: 'configuration', clock, logger});
     const take = (items: ReadonlyArray<SourceItem<RoutingConfig>>) => {
       for (const {value} of items) {
         if (value !== undefined) this.takeConfig(value);
@@ -291,9 +293,9 @@
         onChanges: take,
         onConfirmed: (confirmation) => {
           this.trust.confirm(confirmation);
-          contact.noteHeard();
+          contact.recordSuccess();
         },
-        onLost: (err) => contact.noteLost(err),
+        onLost: (err) => contact.recordFailure(err),
       },
     });
     this.configs = follower;
@@ -304,27 +306,30 @@
   /** Two waits in a row must fit into the time for which keys are trusted. */
   private configWaitMs(): number {
     const {keyTrustMs = Infinity} = this.settings;
-    return Math.min(CONFIG_WAIT_MS, Math.floor(keyTrustMs * WAIT_SHARE));
+    return Math.min(
+      CONFIG_LONG_POLL_MS,
+      Math.floor(keyTrustMs * CONFIG_LONG_POLL_SHARE),
+    );
   }
 
   private followTargets(source: StateSource<TargetRecord>): void {
     const {clock, random, logger} = this.options;
     const {targets} = this.ctx;
-    const contact = new ContactLog({what: 'targets', clock, logger});
+    const contact = new StoreOutageLog({what: 'targets', clock, logger});
     const follower = new Follower({
       source,
       clock,
       random,
-      waitMs: TARGETS_WAIT_MS,
-      paceMs: this.settings.targetLeaveMs * TARGETS_PACE_SHARE,
+      waitMs: TARGETS_LONG_POLL_MS,
+      paceMs: this.settings.targetLeaveMs * TARGETS_READ_INTERVAL_SHARE,
       listener: {
         onSnapshot: (items, afterOutage) => {
           targets.replaceAll(items, afterOutage);
           this.knowsTargets = true;
         },
         onChanges: (changes) => targets.applyChanges(changes),
-        onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onConfirmed: () => contact.recordSuccess(),
+        onLost: (err) => contact.recordFailure(err),
       },
     });
     this.followers.push(follower);
--- a/src/direct/planned-stop.ts
+++ b/src/direct/graceful-shutdown.ts
@@ -27,7 +27,7 @@
  * @example
  * new PlannedStop({clock, logger, listener, graceMs, onStopped}).begin();
  */
-export class PlannedStop {
+export class GracefulShutdown {
   private startedMs = 0;
   private timer?: TimerHandle;
   private isListening = true;
--- a/src/direct/poison/index.ts
+++ b/src/direct/poison/index.ts
@@ -1,4 +1,4 @@
 /** Requests that end targets: their losses, shared, and their quarantine. */
-export {Losses} from './losses.js';
-export {PoisonWatch} from './poison-watch.js';
-export {QuarantineShare} from './quarantine-share.js';
+export {LossTracker} from './loss-tracker.js';
+export {PoisonDetector} from './poison-detector.js';
+export {QuarantineSync} from './quarantine-sync.js';
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -9,10 +9,10 @@
 import type {Target, TargetSet} from '../../core/targets/index.js';
 import {lifeOf} from '../../core/targets/index.js';
 import {
-  DIAGNOSIS_MS,
-  LIFE_CHECK_MS,
-  OTHERS_DIAGNOSIS_MS,
-  SEEN_AFTER_MS,
+  LOSS_DIAGNOSIS_MS,
+  INCARNATION_CHECK_MS,
+  REMOTE_DIAGNOSIS_MS,
+  IN_FLIGHT_DATA_MS,
 } from '../consts.js';
 import type {Prober} from '../prober.js';
 
@@ -22,15 +22,15 @@
 /** Why a target was lost. */
 export enum LossCause {
   /** The target lives on: it only broke the connection. */
-  TARGET_LIVES = 'target_lives',
+  TARGET_ALIVE = 'target_lives',
   /** Its data centre fell. */
-  DATA_CENTRE = 'data_centre',
+  DATA_CENTRE_OUTAGE = 'data_centre',
   /** No other cause than the request was found. */
   UNEXPLAINED = 'unexplained',
 }
 
 /** A target that was lost under a request. */
-export interface LossCase {
+export interface RequestLoss {
   /** Id of the caller's try, for the log. */
   readonly id: string;
   /** Fingerprint of the request. */
@@ -38,7 +38,7 @@
   readonly clientAccount: string;
   readonly target: Target;
   /** When the request came to the target, on the process's clock. */
-  readonly beganMs: number;
+  readonly startedMs: number;
 }
 
 /** The losses that this entry holds against a request. */
@@ -57,7 +57,7 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   /** Told when there is something new to tell the other entries. */
-  readonly onNews: () => void;
+  readonly onChanged: () => void;
 }
 
 /**
@@ -75,7 +75,7 @@
   /** Own losses that are held against requests, by request. */
   private readonly held = new Map<string, HeldLosses>();
   /** Requests that were taken from silent targets not long ago. */
-  private readonly silent = new Set<LossCase>();
+  private readonly silent = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
 
@@ -85,7 +85,7 @@
   }
 
   /** A target was lost under a request that it may have begun. */
-  open(loss: LossCase): void {
+  diagnose(loss: RequestLoss): void {
     const {ledger} = this.options;
     const {request, target} = loss;
     const life = lifeOf(target.record);
@@ -103,7 +103,7 @@
    * A target was silent when its request was taken from it. If its life turns
    * out to have ended then, it was lost under the request.
    */
-  watchSilent(loss: LossCase): void {
+  watchUnresponsive(loss: RequestLoss): void {
     this.silent.add(loss);
     void this.awaitLifeEnd(loss).finally(() => this.silent.delete(loss));
   }
@@ -124,7 +124,7 @@
     await this.askHeldAgain(request);
     if (ledger.mayBePoison(request) && !ledger.isPoison(request)) {
       // Another entry may still look into a loss of its own.
-      await sleep(this.options.clock, OTHERS_DIAGNOSIS_MS);
+      await sleep(this.options.clock, REMOTE_DIAGNOSIS_MS);
     }
     if (!ledger.isPoison(request)) return quarantine.has(request);
     const crashes = [...ledger.livesOf(request)];
@@ -133,32 +133,32 @@
   }
 
   /** Whether this entry itself holds losses against a request. */
-  holds(request: string): boolean {
+  hasAttributed(request: string): boolean {
     return this.held.has(request);
   }
 
   /** The client account of a request with held losses. */
-  accountOf(request: string): string {
+  clientAccountOf(request: string): string {
     return this.held.get(request)?.clientAccount ?? '';
   }
 
   /** A request was served, or released from quarantine. */
-  release(request: string): void {
+  clear(request: string): void {
     this.held.delete(request);
     for (const loss of [...this.silent]) {
       if (loss.request === request) this.silent.delete(loss);
     }
   }
 
-  private async awaitLifeEnd(loss: LossCase): Promise<void> {
+  private async awaitLifeEnd(loss: RequestLoss): Promise<void> {
     const {clock, targets, ledger} = this.options;
     const {request, target} = loss;
     const atMs = clock.now();
     const wasLeaving = target.record.isLeaving;
-    await sleep(clock, DIAGNOSIS_MS);
+    await sleep(clock, LOSS_DIAGNOSIS_MS);
     const cause = this.causeOf(loss, atMs);
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
-    await sleep(clock, LIFE_CHECK_MS - DIAGNOSIS_MS);
+    await sleep(clock, INCARNATION_CHECK_MS - LOSS_DIAGNOSIS_MS);
     const hasEnded = !targets.knows(target) && target.lastSeenMs < atMs;
     if (!hasEnded || !this.silent.has(loss)) return;
     ledger.note({request, life: lifeOf(target.record)});
@@ -170,51 +170,52 @@
     await Promise.all(open.map(([, end]) => end));
   }
 
-  private async lookInto(loss: LossCase): Promise<void> {
+  private async lookInto(loss: RequestLoss): Promise<void> {
     const {clock, prober} = this.options;
     const atMs = clock.now();
-    const timeIsOver = sleep(clock, DIAGNOSIS_MS);
+    const timeIsOver = sleep(clock, LOSS_DIAGNOSIS_MS);
     const lives = await Promise.race([
-      prober.showsLifeSince(loss.target, atMs),
+      prober.isAliveSince(loss.target, atMs),
       timeIsOver.then(() => false),
     ]);
     if (lives) {
-      this.close(loss, LossCause.TARGET_LIVES);
+      this.close(loss, LossCause.TARGET_ALIVE);
       return;
     }
     await timeIsOver;
     this.close(loss, this.causeOf(loss, atMs));
   }
 
-  private causeOf(loss: LossCase, atMs: number): LossCause {
-    const {request, target, beganMs} = loss;
+  private causeOf(loss: RequestLoss, atMs: number): LossCause {
+    const {request, target, startedMs: beganMs} = loss;
     const {ledger, targets} = this.options;
-    if (target.lastSeenMs > atMs + SEEN_AFTER_MS) return LossCause.TARGET_LIVES;
+    if (target.lastSeenMs > atMs + IN_FLIGHT_DATA_MS)
+      return LossCause.TARGET_ALIVE;
     const isFall = fellTogether({
       lost: target,
       lostAtMs: atMs,
       targets: targets.all(),
       endedBefore: ledger.livesBefore(request, beganMs),
     });
-    return isFall ? LossCause.DATA_CENTRE : LossCause.UNEXPLAINED;
+    return isFall ? LossCause.DATA_CENTRE_OUTAGE : LossCause.UNEXPLAINED;
   }
 
-  private close(loss: LossCase, cause: LossCause): void {
-    const {ledger, metrics, onNews} = this.options;
+  private close(loss: RequestLoss, cause: LossCause): void {
+    const {ledger, metrics, onChanged: onNews} = this.options;
     const key = {request: loss.request, life: lifeOf(loss.target.record)};
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
     this.tell('cause of loss', loss, {cause});
-    if (cause === LossCause.DATA_CENTRE) ledger.noteFall(key);
-    else if (cause === LossCause.TARGET_LIVES) ledger.dismiss(key);
+    if (cause === LossCause.DATA_CENTRE_OUTAGE) ledger.noteFall(key);
+    else if (cause === LossCause.TARGET_ALIVE) ledger.dismiss(key);
     else this.hold(loss);
     onNews();
   }
 
-  private isHeld({request, target}: LossCase): boolean {
+  private isHeld({request, target}: RequestLoss): boolean {
     return this.held.get(request)?.targets.has(target) === true;
   }
 
-  private hold({request, clientAccount, target}: LossCase): void {
+  private hold({request, clientAccount, target}: RequestLoss): void {
     this.options.ledger.settle({request, life: lifeOf(target.record)});
     const targets = this.held.get(request)?.targets ?? new Set<Target>();
     this.held.set(request, {clientAccount, targets: targets.add(target)});
@@ -227,11 +228,11 @@
     const nowMs = clock.now();
     const held = [...(this.held.get(request)?.targets ?? [])];
     const known = held.filter(
-      (target) => targets.knows(target) && prober.tellsOfBirth(target),
+      (target) => targets.knows(target) && prober.reportsStartTime(target),
     );
     await Promise.all(
       known.map(async (target) => {
-        if (!(await prober.showsLifeSince(target, nowMs))) return;
+        if (!(await prober.isAliveSince(target, nowMs))) return;
         this.held.get(request)?.targets.delete(target);
         ledger.dismiss({request, life: lifeOf(target.record)});
       }),
@@ -240,7 +241,7 @@
 
   private tell(
     message: string,
-    {id, request, target}: LossCase,
+    {id, request, target}: RequestLoss,
     fields: {held?: number; cause?: LossCause},
   ): void {
     const {dataCentre, bornMs} = target.record;
--- a/src/direct/poison/loss-share.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -6,25 +6,25 @@
 import type {LossLedger, LossNotes} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
 import {
-  LOSS_READ_PACE_MS,
-  LOSS_WRITE_PACE_MS,
-  QUARANTINE_WAIT_MS,
-  SHARE_PAUSE_MS,
+  LOSS_READ_INTERVAL_MS,
+  LOSS_WRITE_INTERVAL_MS,
+  POISON_LONG_POLL_MS,
+  STORE_WRITE_RETRY_MS,
 } from '../consts.js';
-import {ContactLog} from '../contact-log.js';
+import {StoreOutageLog} from '../store-outage-log.js';
 
 /** What the sharing of losses is made from. */
-export interface LossShareOptions {
+export interface LossSyncOptions {
   /** Name of this entry's VM, under which it leaves its notes. */
   readonly vm: string;
   readonly ledger: LossLedger;
-  readonly notes: SharedNotes<LossNotes>;
+  readonly records: SharedNotes<LossNotes>;
   readonly source: StateSource<LossNotes>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   /** Told of the requests of which another entry tells. */
-  readonly onLearned: (requests: readonly string[]) => void;
+  readonly onReceived: (requests: readonly string[]) => void;
 }
 
 /**
@@ -37,7 +37,7 @@
  * share.start();
  * share.publish();
  */
-export class LossShare {
+export class LossSync {
   private readonly follower: Follower<LossNotes>;
   private timer?: TimerHandle;
   private waiting: Array<() => void> = [];
@@ -47,26 +47,26 @@
   private isWriting = false;
   private isStopped = false;
 
-  constructor(private readonly options: LossShareOptions) {
+  constructor(private readonly options: LossSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new ContactLog({what: 'losses', clock, logger});
+    const contact = new StoreOutageLog({what: 'losses', clock, logger});
     this.follower = new Follower({
       source,
       clock,
       random,
-      waitMs: QUARANTINE_WAIT_MS,
-      paceMs: LOSS_READ_PACE_MS,
+      waitMs: POISON_LONG_POLL_MS,
+      paceMs: LOSS_READ_INTERVAL_MS,
       listener: {
         onSnapshot: (items) => this.takeAll(items),
         onChanges: (changes) => changes.forEach((change) => this.take(change)),
-        onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onConfirmed: () => contact.recordSuccess(),
+        onLost: (err) => contact.recordFailure(err),
       },
     });
   }
 
   /** Whether the notes of all entries have been read once. */
-  get isInformed(): boolean {
+  get hasLoaded(): boolean {
     return this.hasAdopted;
   }
 
@@ -86,7 +86,8 @@
     // What an earlier life of this entry had left must not be overwritten.
     if (this.isStopped || !this.hasAdopted) return;
     if (this.isWriting || this.timer !== undefined) return;
-    const dueMs = this.lastMs + LOSS_WRITE_PACE_MS - this.options.clock.now();
+    const dueMs =
+      this.lastMs + LOSS_WRITE_INTERVAL_MS - this.options.clock.now();
     this.writeIn(Math.max(0, dueMs));
   }
 
@@ -117,7 +118,7 @@
   }
 
   private async write(): Promise<void> {
-    const {vm, ledger, notes, clock, logger} = this.options;
+    const {vm, ledger, records: notes, clock, logger} = this.options;
     const value = ledger.toNotes();
     const text = JSON.stringify(value);
     if (text === this.written || this.isNothingNew(value)) {
@@ -132,7 +133,7 @@
     if (written.isErr()) {
       const {kind, detail} = written.error;
       logger.warn('losses not written', {kind, detail});
-      this.writeIn(SHARE_PAUSE_MS);
+      this.writeIn(STORE_WRITE_RETRY_MS);
       return;
     }
     this.written = text;
@@ -170,7 +171,7 @@
   }
 
   private take({name, value}: SourceItem<LossNotes>): void {
-    const {vm, ledger, onLearned} = this.options;
+    const {vm, ledger, onReceived: onLearned} = this.options;
     if (name === vm) return;
     if (value === undefined) {
       ledger.forget(name);
--- a/src/direct/poison/losses.ts
+++ b/src/direct/poison/loss-tracker.ts
@@ -2,12 +2,15 @@
 import {LossLedger} from '../../core/poison/index.js';
 import type {LossDiagnosisOptions} from './loss-diagnosis.js';
 import {LossDiagnosis} from './loss-diagnosis.js';
-import type {LossShareOptions} from './loss-share.js';
-import {LossShare} from './loss-share.js';
+import type {LossSyncOptions} from './loss-sync.js';
+import {LossSync} from './loss-sync.js';
 
 /** What it is built from: all that its parts do not get from each other. */
-export type LossesOptions = Omit<LossDiagnosisOptions, 'ledger' | 'onNews'> &
-  Omit<LossShareOptions, 'ledger' | 'onLearned'>;
+export type LossTrackerOptions = Omit<
+  LossDiagnosisOptions,
+  'ledger' | 'onChanged'
+> &
+  Omit<LossSyncOptions, 'ledger' | 'onReceived'>;
 
 /**
  * Puts the ledger of losses, their diagnosis and their sharing together.
@@ -16,50 +19,50 @@
  * const losses = new Losses(options);
  * losses.start();
  */
-export class Losses {
+export class LossTracker {
   readonly ledger: LossLedger;
   readonly diagnosis: LossDiagnosis;
-  readonly share: LossShare;
+  readonly sync: LossSync;
 
-  constructor(private readonly options: LossesOptions) {
+  constructor(private readonly options: LossTrackerOptions) {
     const {clock, quarantine} = options;
     this.ledger = new LossLedger({clock});
     this.diagnosis = new LossDiagnosis({
       ...options,
       ledger: this.ledger,
-      onNews: () => this.share.publish(),
+      onChanged: () => this.sync.publish(),
     });
-    this.share = new LossShare({
+    this.sync = new LossSync({
       ...options,
       ledger: this.ledger,
-      onLearned: (requests) => this.judge(requests),
+      onReceived: (requests) => this.judge(requests),
     });
     quarantine.subscribe((fingerprint, {crashes}) => {
       this.ledger.explain(fingerprint, crashes);
     });
     quarantine.onRemoved((fingerprint) => {
       this.ledger.reset(fingerprint);
-      this.diagnosis.release(fingerprint);
-      this.share.publish();
+      this.diagnosis.clear(fingerprint);
+      this.sync.publish();
     });
   }
 
   start(): void {
-    this.share.start();
+    this.sync.start();
   }
 
   stop(): void {
-    this.share.stop();
+    this.sync.stop();
   }
 
   /** With what others saw, a request of this entry's may be found out. */
   private judge(requests: readonly string[]): void {
     const {quarantine} = this.options;
     for (const request of new Set(requests)) {
-      const isOwn = this.diagnosis.holds(request);
+      const isOwn = this.diagnosis.hasAttributed(request);
       if (!isOwn || quarantine.has(request)) continue;
       if (!this.ledger.mayBePoison(request)) continue;
-      const clientAccount = this.diagnosis.accountOf(request);
+      const clientAccount = this.diagnosis.clientAccountOf(request);
       void this.diagnosis.isPoison({request, clientAccount});
     }
   }
--- a/src/direct/poison/quarantine-share.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -9,16 +9,20 @@
 import type {Logger} from '../../core/logs/index.js';
 import type {Culprit, Quarantine} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
-import {QUARANTINE_MS, QUARANTINE_WAIT_MS, SHARE_PAUSE_MS} from '../consts.js';
-import {ContactLog} from '../contact-log.js';
+import {
+  QUARANTINE_MS,
+  POISON_LONG_POLL_MS,
+  STORE_WRITE_RETRY_MS,
+} from '../consts.js';
+import {StoreOutageLog} from '../store-outage-log.js';
 
 /** An entry that only heard of a culprit waits this much longer. */
 const HEARD_FACTOR = 2;
 
 /** What the entries' common quarantine is made from. */
-export interface QuarantineShareOptions {
+export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
-  readonly notes: SharedNotes<Culprit>;
+  readonly records: SharedNotes<Culprit>;
   readonly source: StateSource<Culprit>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -32,26 +36,26 @@
  * @example
  * new QuarantineShare(options).start();
  */
-export class QuarantineShare {
+export class QuarantineSync {
   private readonly follower: Follower<Culprit>;
   /** Fingerprints that the store is known to hold. */
   private readonly stored = new Set<string>();
   private readonly timers = new Set<TimerHandle>();
   private isStopped = false;
 
-  constructor(private readonly options: QuarantineShareOptions) {
+  constructor(private readonly options: QuarantineSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new ContactLog({what: 'quarantine', clock, logger});
+    const contact = new StoreOutageLog({what: 'quarantine', clock, logger});
     this.follower = new Follower({
       source,
       clock,
       random,
-      waitMs: QUARANTINE_WAIT_MS,
+      waitMs: POISON_LONG_POLL_MS,
       listener: {
         onSnapshot: (items) => this.takeAll(items),
         onChanges: (changes) => this.takeChanges(changes),
-        onConfirmed: () => contact.noteHeard(),
-        onLost: (err) => contact.noteLost(err),
+        onConfirmed: () => contact.recordSuccess(),
+        onLost: (err) => contact.recordFailure(err),
       },
     });
   }
@@ -106,7 +110,7 @@
   }
 
   private async share(fingerprint: string, culprit: Culprit): Promise<void> {
-    const {notes} = this.options;
+    const {records: notes} = this.options;
     await this.insist(() => notes.put(fingerprint, culprit));
     this.stored.add(fingerprint);
     await this.expire(fingerprint, QUARANTINE_MS);
@@ -116,7 +120,7 @@
   private async expire(fingerprint: string, delayMs: number): Promise<void> {
     await this.sleep(delayMs);
     if (!this.stored.has(fingerprint)) return;
-    await this.insist(() => this.options.notes.remove(fingerprint));
+    await this.insist(() => this.options.records.remove(fingerprint));
   }
 
   /** Writes until the store takes it. */
@@ -129,7 +133,7 @@
       if (written.isOk()) return;
       const {kind, detail} = written.error;
       logger.warn('quarantine not written', {kind, detail});
-      await this.sleep(SHARE_PAUSE_MS);
+      await this.sleep(STORE_WRITE_RETRY_MS);
     }
   }
 
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -8,10 +8,10 @@
 import type {ReportedLoad, Target, TargetSet} from '../core/targets/index.js';
 import {REPORT_LAG_MS} from '../core/targets/index.js';
 import {
-  PROBE_FRESH_MS,
+  PROBE_CACHE_MS,
   PROBE_TIMEOUT_MS,
-  REPORT_REUSE_MS,
-  SWEEP_PAUSE_MS,
+  MAX_REPORT_AGE_MS,
+  DATA_CENTRE_PROBE_INTERVAL_MS,
 } from './consts.js';
 
 interface Probe {
@@ -47,7 +47,7 @@
   isAlive(target: Target): Promise<boolean> {
     const nowMs = this.options.clock.now();
     const earlier = this.probes.get(target);
-    if (earlier !== undefined && nowMs - earlier.startedMs < PROBE_FRESH_MS) {
+    if (earlier !== undefined && nowMs - earlier.startedMs < PROBE_CACHE_MS) {
       return earlier.outcome;
     }
     const outcome = this.options.isEngine(target)
@@ -60,7 +60,7 @@
   /**
    * Whether a target shows, later than `sinceMs`, that it is there.
    */
-  showsLifeSince(target: Target, sinceMs: number): Promise<boolean> {
+  isAliveSince(target: Target, sinceMs: number): Promise<boolean> {
     const earlier = this.probes.get(target);
     if (earlier === undefined || earlier.startedMs < sinceMs) {
       this.probes.delete(target);
@@ -69,25 +69,25 @@
   }
 
   /** Whether a target tells of its birth, so that a restart shows. */
-  tellsOfBirth(target: Target): boolean {
+  reportsStartTime(target: Target): boolean {
     return this.options.isEngine(target) && target.record.bornMs !== undefined;
   }
 
   /** Asks those of some targets that were not asked lately. */
-  async refresh(targets: readonly Target[]): Promise<void> {
-    const stale = targets.filter((t) => t.reportAgeMs() > REPORT_REUSE_MS);
+  async refreshReports(targets: readonly Target[]): Promise<void> {
+    const stale = targets.filter((t) => t.reportAgeMs() > MAX_REPORT_AGE_MS);
     await Promise.all(stale.map((target) => this.isAlive(target)));
   }
 
   /** Looks at the other targets beside one that was lost. */
-  sweepAround(lost: Target): void {
+  probeDataCentreOf(lost: Target): void {
     const {clock, targets} = this.options;
     if (!this.options.isEngine(lost)) return;
     const {dataCentre, service} = lost.record;
     const key = `${dataCentre} ${service}`;
     const nowMs = clock.now();
     const lastMs = this.sweptMs.get(key) ?? Number.NEGATIVE_INFINITY;
-    if (nowMs - lastMs < SWEEP_PAUSE_MS) return;
+    if (nowMs - lastMs < DATA_CENTRE_PROBE_INTERVAL_MS) return;
     this.sweptMs.set(key, nowMs);
     for (const target of targets.ofService(service)) {
       const isBeside = target.record.dataCentre === dataCentre;
@@ -155,7 +155,7 @@
       dataCentre: target.record.dataCentre,
       detail: report.error,
     });
-    this.sweepAround(target);
+    this.probeDataCentreOf(target);
     return false;
   }
 }
--- a/src/direct/note-failure.ts
+++ b/src/direct/record-target-failure.ts
@@ -8,7 +8,10 @@
  * @example
  * noteFailureAt(target, ExchangeFailure.REJECTED);
  */
-export function noteFailureAt(target: Target, failure: ExchangeFailure): void {
+export function recordTargetFailure(
+  target: Target,
+  failure: ExchangeFailure,
+): void {
   switch (failure) {
     case ExchangeFailure.REJECTED:
       target.noteRejected();
--- a/src/direct/refuse-untried.ts
+++ b/src/direct/refuse-unsent.ts
@@ -11,7 +11,7 @@
  * @example
  * refuseUntried({ctx, work, reason: RefusalReason.POISON});
  */
-export function refuseUntried(options: {
+export function refuseUnsent(options: {
   ctx: DirectContext;
   work: DirectWork;
   reason: RefusalReason;
@@ -22,7 +22,7 @@
     id: work.req.attemptId,
     status: UNAVAILABLE,
     reason,
-    leftMs: Math.round(work.endMs - ctx.clock.now()),
+    leftMs: Math.round(work.deadlineAtMs - ctx.clock.now()),
   });
   work.res.sendOwn({status: UNAVAILABLE, reason});
 }
--- a/src/direct/answer-body.ts
+++ b/src/direct/response-body.ts
@@ -1,10 +1,10 @@
 /** Collects the body of an answer, up to a bound. */
 
 /** Most that is kept of one answer, or of one event, in bytes. */
-export const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+export const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 /** What is said of an answer that is over the bound. */
-export const TOO_LARGE = `over ${MAX_ANSWER_BYTES} bytes`;
+export const TOO_LARGE_DETAIL = `over ${MAX_RESPONSE_BYTES} bytes`;
 
 /**
  * The bytes of one answer. A target may send without end, so nothing is kept
@@ -15,13 +15,13 @@
  * body.push(chunk);
  * if (body.isTooLarge) exchange.cancel();
  */
-export class AnswerBody {
+export class ResponseBody {
   private chunks: Uint8Array[] = [];
   private size = 0;
 
   /** Whether more has come than is kept. */
   get isTooLarge(): boolean {
-    return this.size > MAX_ANSWER_BYTES;
+    return this.size > MAX_RESPONSE_BYTES;
   }
 
   push(chunk: Uint8Array): void {
--- a/src/direct/repeat-budgets.ts
+++ b/src/direct/service-retry-budgets.ts
@@ -4,12 +4,12 @@
 import {RetryReason} from '../core/errors/refusals.js';
 import type {RetryBudgetSettings} from '../core/settings/direct-settings.js';
 import {
-  LOSSES_FLOOR,
-  UNWRITTEN_FLOOR,
-  PLANNED_ENTRIES,
-  REJECTED_RATIO,
-  REJECTION_FLOOR,
-  RETRY_SHARE,
+  MIN_LOSS_RETRIES,
+  MIN_NO_OUTPUT_RETRIES,
+  ASSUMED_ENTRY_COUNT,
+  REJECTION_BUDGET_SHARE,
+  MIN_REJECTION_RETRIES,
+  LOSS_BUDGET_SHARE,
 } from './consts.js';
 
 /**
@@ -25,7 +25,7 @@
  * const reason = RetryReason.ENGINE_DIED;
  * if (budgets.tryRetry({service: 'drafts', reason})) sendAgain();
  */
-export class RepeatBudgets {
+export class ServiceRetryBudgets {
   private readonly losses: RetryBudgets;
   private readonly unwritten: RetryBudgets;
   private readonly rejections: RetryBudgets;
@@ -37,23 +37,27 @@
     },
   ) {
     const {clock, settings} = options;
-    const reserve = Math.floor(settings().slack / PLANNED_ENTRIES);
+    const reserve = Math.floor(settings().slack / ASSUMED_ENTRY_COUNT);
     this.losses = new RetryBudgets({
       clock,
-      floor: LOSSES_FLOOR,
+      floor: MIN_LOSS_RETRIES,
       reserve,
     });
-    this.unwritten = new RetryBudgets({clock, floor: UNWRITTEN_FLOOR, reserve});
-    this.rejections = new RetryBudgets({clock, floor: REJECTION_FLOOR});
+    this.unwritten = new RetryBudgets({
+      clock,
+      floor: MIN_NO_OUTPUT_RETRIES,
+      reserve,
+    });
+    this.rejections = new RetryBudgets({clock, floor: MIN_REJECTION_RETRIES});
   }
 
   /** Counts a request that is sent for the first time. */
-  noteFirstTry(service: string): void {
+  recordFirstAttempt(service: string): void {
     for (const budget of this.budgetsOf(service)) budget.noteFirstTry();
   }
 
   /** Takes one repeat out of the service's budget; false if none is left. */
-  tryRetry(options: {
+  takeRetry(options: {
     service: string;
     reason: RetryReason;
     /** Whether the lost run had written for the request. */
@@ -75,8 +79,8 @@
 
   private budgetsOf(name: string) {
     const {ratio} = this.options.settings();
-    const lossRatio = ratio * RETRY_SHARE;
-    const rejectionRatio = ratio * REJECTED_RATIO;
+    const lossRatio = ratio * LOSS_BUDGET_SHARE;
+    const rejectionRatio = ratio * REJECTION_BUDGET_SHARE;
     return [
       this.losses.of({name, retryRatio: lossRatio}),
       this.unwritten.of({name, retryRatio: lossRatio}),
--- a/src/direct/settings-watch.ts
+++ b/src/direct/settings-watcher.ts
@@ -19,7 +19,7 @@
  * watch.start();
  * process.on('SIGHUP', () => void watch.check());
  */
-export class SettingsWatch {
+export class SettingsWatcher {
   private text?: string;
   private timer?: TimerHandle;
 
--- a/src/direct/contact-log.ts
+++ b/src/direct/store-outage-log.ts
@@ -12,7 +12,7 @@
  * contact.noteLost(err);
  * contact.noteHeard();
  */
-export class ContactLog {
+export class StoreOutageLog {
   private lostMs?: number;
   private failures = 0;
 
@@ -25,7 +25,7 @@
     },
   ) {}
 
-  noteLost(err: SourceError): void {
+  recordFailure(err: SourceError): void {
     const {what, clock, logger} = this.options;
     this.failures++;
     if (this.lostMs !== undefined) return;
@@ -33,7 +33,7 @@
     logger.warn('store lost', {what, kind: err.kind, detail: err.detail});
   }
 
-  noteHeard(): void {
+  recordSuccess(): void {
     const {what, clock, logger} = this.options;
     if (this.lostMs === undefined) return;
     const lostForMs = Math.round(clock.now() - this.lostMs);
--- a/src/direct/streams/copy-keeper.ts
+++ b/src/direct/streams/kv-cache-replicator.ts
@@ -1,25 +1,25 @@
 /** Keeps a copy of a run's memory at another target while the run goes on. */
 import type {CopyReference} from '../../core/edges/direct-target.js';
 import type {Target} from '../../core/targets/index.js';
-import {COPY_PAUSE_MS, COPY_REFRESH_MS} from '../consts.js';
+import {COPY_RETRY_MS, COPY_REFRESH_MS} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
-import {canGoOnAt} from './stream-placer.js';
+import {canResumeAt} from './stream-placer.js';
 
 /** A copy from which a lost run can go on. */
-export interface RunCopy {
+export interface KvCacheCopy {
   readonly holder: Target;
   readonly reference: CopyReference;
 }
 
 /** What a copy keeper works for. */
-export interface CopyKeeperOptions {
+export interface KvCacheReplicatorOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
   readonly runner: Target;
   /** Tokens that the run holds in memory at its end. */
   readonly tokens: number;
   /** Chooses a target for a copy; undefined where there is none. */
-  readonly choose: () => Target | undefined;
+  readonly chooseHolder: () => Target | undefined;
 }
 
 /**
@@ -33,16 +33,16 @@
  * keeper.check();
  * const copy = keeper.copy;
  */
-export class CopyKeeper {
-  private current?: RunCopy;
+export class KvCacheReplicator {
+  private current?: KvCacheCopy;
   /** Whether the copy has to be brought up to date by calls. */
   private isAsked = false;
   private isBusy = false;
   private isOver = false;
   private askedMs: number;
 
-  constructor(private readonly options: CopyKeeperOptions) {
-    const {ctx, work, choose} = options;
+  constructor(private readonly options: KvCacheReplicatorOptions) {
+    const {ctx, work, chooseHolder: choose} = options;
     this.askedMs = ctx.clock.now();
     const holder = choose();
     if (holder === undefined) return;
@@ -51,7 +51,7 @@
   }
 
   /** The newest copy, wherever it is. */
-  get copy(): RunCopy | undefined {
+  get copy(): KvCacheCopy | undefined {
     return this.current;
   }
 
@@ -60,14 +60,14 @@
     if (this.isBusy || this.current === undefined) return;
     const {holder} = this.current;
     const ageMs = this.options.ctx.clock.now() - this.askedMs;
-    const isSound = canGoOnAt(holder) && !holder.record.isLeaving;
+    const isSound = canResumeAt(holder) && !holder.record.isLeaving;
     if (isSound) {
       if (this.isAsked && ageMs >= COPY_REFRESH_MS) void this.ask(holder);
       return;
     }
-    if (ageMs < COPY_PAUSE_MS) return;
-    const next = this.options.choose();
-    if (next !== undefined && canGoOnAt(next)) void this.ask(next);
+    if (ageMs < COPY_RETRY_MS) return;
+    const next = this.options.chooseHolder();
+    if (next !== undefined && canResumeAt(next)) void this.ask(next);
   }
 
   /** The run is over; or it is lost, and its copy is needed. */
@@ -117,7 +117,7 @@
     this.take({holder, reference: {address, id: handle.value}});
   }
 
-  private take(copy: RunCopy): void {
+  private take(copy: KvCacheCopy): void {
     const {tokens} = this.options;
     this.current?.holder.removeCopy(tokens);
     copy.holder.addCopy(tokens);
--- a/src/direct/streams/silence-watch.ts
+++ b/src/direct/streams/stall-detector.ts
@@ -2,14 +2,14 @@
 import type {TimerHandle} from '../../core/clock/index.js';
 import {stallLimitMs, suspectLimitMs} from '../../core/streams/index.js';
 import type {Target} from '../../core/targets/index.js';
-import {READING_CHECK_MS} from '../consts.js';
+import {PREFILL_CHECK_MS} from '../consts.js';
 import type {DirectContext} from '../context.js';
 
 /** Part of the widest gap that remains after another gap. */
 const GAP_DECAY = 0.98;
 
 /** Told once, when the target counts as lost. */
-export type SilenceListener = (silentMs: number) => void;
+export type StallListener = (silentMs: number) => void;
 
 /**
  * Watches one target of a stream. Until the first event the target is asked
@@ -21,7 +21,7 @@
  * watch.start(400);
  * watch.noteEvent();
  */
-export class SilenceWatch {
+export class StallDetector {
   private events = 0;
   private lastMs: number;
   private widestGapMs = 0;
@@ -34,7 +34,7 @@
       target: Target;
       /** Longest pause between events that is on time, in milliseconds. */
       maxPauseMs?: number;
-      onLost: SilenceListener;
+      onStalled: StallListener;
     },
   ) {
     this.lastMs = options.ctx.clock.now();
@@ -45,7 +45,7 @@
     this.waitFor(firstCheckMs, () => void this.checkReading());
   }
 
-  noteEvent(): void {
+  recordEvent(): void {
     const nowMs = this.options.ctx.clock.now();
     if (this.events > 0) this.noteGap(nowMs - this.lastMs);
     this.events++;
@@ -66,7 +66,7 @@
   private async checkReading(): Promise<void> {
     const isAlive = await this.askTarget();
     if (this.isOver || this.events > 0) return;
-    if (isAlive) this.start(READING_CHECK_MS);
+    if (isAlive) this.start(PREFILL_CHECK_MS);
     else this.lose();
   }
 
@@ -103,7 +103,7 @@
     const silentMs = Math.round(this.silentMs());
     this.stop();
     this.options.target.noteFailure();
-    this.options.onLost(silentMs);
+    this.options.onStalled(silentMs);
   }
 
   private waitFor(delayMs: number, run: () => void): void {
--- a/src/direct/streams/stream-try.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -11,14 +11,18 @@
 import type {RawEvent} from '../../core/streams/index.js';
 import {EventSplitter} from '../../core/streams/index.js';
 import type {Target, TargetWork} from '../../core/targets/index.js';
-import {AnswerBody, MAX_ANSWER_BYTES, TOO_LARGE} from '../answer-body.js';
-import {COPY_ANSWER_MS, READING_CHECK_MS} from '../consts.js';
+import {
+  ResponseBody,
+  MAX_RESPONSE_BYTES,
+  TOO_LARGE_DETAIL,
+} from '../response-body.js';
+import {RESUME_CHECK_MS, PREFILL_CHECK_MS} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
-import {noteFailureAt} from '../note-failure.js';
+import {recordTargetFailure} from '../record-target-failure.js';
 import {toTargetRequest} from '../target-request.js';
-import type {RunCopy} from './copy-keeper.js';
-import {CopyKeeper} from './copy-keeper.js';
-import {SilenceWatch} from './silence-watch.js';
+import type {KvCacheCopy} from './kv-cache-replicator.js';
+import {KvCacheReplicator} from './kv-cache-replicator.js';
+import {StallDetector} from './stall-detector.js';
 
 const OK = 200;
 
@@ -31,31 +35,31 @@
 }
 
 /** Hears what a target writes. */
-export interface TryListener {
+export interface AttemptListener {
   onEvent(head: AnswerHead, event: RawEvent): void;
   /** The target has ended its stream. */
   onEnd(head: AnswerHead): void;
   /** The target answered with something else than a stream. */
-  onOtherAnswer(head: AnswerHead, body: Uint8Array): void;
+  onOtherResponse(head: AnswerHead, body: Uint8Array): void;
   onLost(loss: TargetLoss): void;
 }
 
 /** What a target is given to do. */
-export interface TryOptions {
+export interface StreamAttemptOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
   readonly target: Target;
   /** Chooses where the run's memory is copied to. */
-  readonly chooseCopy: () => Target | undefined;
+  readonly chooseCopyHolder: () => Target | undefined;
   /** Tokens that the run holds in memory at its end. */
   readonly tokens: number;
   /** The last event that the caller has. */
   readonly lastEventId?: number;
   /** Whether the caller has got events from another target before. */
-  readonly isUnderWay: boolean;
+  readonly hasDelivered: boolean;
   /** The copy from which the target goes on. */
   readonly copyFrom?: CopyReference;
-  readonly listener: TryListener;
+  readonly listener: AttemptListener;
 }
 
 /**
@@ -66,36 +70,42 @@
  * const run = new StreamTry(options);
  * run.cancel();
  */
-export class StreamTry {
+export class StreamAttempt {
   readonly target: Target;
-  private readonly keeper: CopyKeeper;
+  private readonly keeper: KvCacheReplicator;
   private readonly work: TargetWork;
   private readonly exchange: Exchange;
-  private readonly watch: SilenceWatch;
+  private readonly watch: StallDetector;
   private readonly splitter = new EventSplitter();
   /** The body of an answer that is no stream. */
-  private readonly body = new AnswerBody();
+  private readonly body = new ResponseBody();
   private head?: AnswerHead;
   private count = 0;
   private isOver = false;
 
-  constructor(private readonly options: TryOptions) {
-    const {ctx, target, tokens, copyFrom, chooseCopy} = options;
+  constructor(private readonly options: StreamAttemptOptions) {
+    const {
+      ctx,
+      target,
+      tokens,
+      copyFrom,
+      chooseCopyHolder: chooseCopy,
+    } = options;
     this.target = target;
     this.work = target.begin({tokens});
-    this.keeper = new CopyKeeper({
+    this.keeper = new KvCacheReplicator({
       ctx,
       work: options.work,
       runner: target,
       tokens,
-      choose: chooseCopy,
+      chooseHolder: chooseCopy,
     });
     const {isResumable, maxPauseMs} = options.work.admitted.route;
-    this.watch = new SilenceWatch({
+    this.watch = new StallDetector({
       ctx,
       target,
       maxPauseMs,
-      onLost: (silentMs) =>
+      onStalled: (silentMs) =>
         this.lose({
           reason: RetryReason.ENGINE_STALLED,
           detail: `silent for ${silentMs} ms`,
@@ -103,19 +113,19 @@
     });
     if (isResumable) {
       this.watch.start(
-        copyFrom === undefined ? READING_CHECK_MS : COPY_ANSWER_MS,
+        copyFrom === undefined ? PREFILL_CHECK_MS : RESUME_CHECK_MS,
       );
     }
     this.exchange = this.send();
   }
 
   /** The newest copy of the run's memory. */
-  get copy(): RunCopy | undefined {
+  get copy(): KvCacheCopy | undefined {
     return this.keeper.copy;
   }
 
   /** When the request came to the target, on the process's clock. */
-  get beganMs(): number {
+  get startedMs(): number {
     return this.work.begunMs;
   }
 
@@ -137,14 +147,14 @@
 
   private send(): Exchange {
     const {ctx, work, target, lastEventId, copyFrom} = this.options;
-    const {isUnderWay} = this.options;
+    const {hasDelivered: isUnderWay} = this.options;
     const {route, account} = work.admitted;
     return ctx.client.send({
       target: target.record,
       maxConnections: work.service.maxConnections,
       req: toTargetRequest({
         work,
-        leftMs: work.endMs - ctx.clock.now(),
+        leftMs: work.deadlineAtMs - ctx.clock.now(),
         priority: urgencyClass({route, account, isUnderWay}),
         lastEventId: lastEventId?.toString(),
         copyTo: this.copy?.holder.record.address,
@@ -177,14 +187,18 @@
       // The listener may have left this target.
       if (this.isOver) return;
     }
-    if (this.splitter.pendingBytes > MAX_ANSWER_BYTES) this.loseEndless();
+    if (this.splitter.pendingBytes > MAX_RESPONSE_BYTES) this.loseEndless();
   }
 
   /** The target sends without end what is no event and no answer. */
   private loseEndless(): void {
     const failure = ExchangeFailure.BROKEN;
-    noteFailureAt(this.target, failure);
-    this.lose({reason: RetryReason.ENGINE_DIED, failure, detail: TOO_LARGE});
+    recordTargetFailure(this.target, failure);
+    this.lose({
+      reason: RetryReason.ENGINE_DIED,
+      failure,
+      detail: TOO_LARGE_DETAIL,
+    });
   }
 
   private noteEvent(): void {
@@ -192,7 +206,7 @@
     this.work.isReading = false;
     this.target.noteSeen();
     if (!this.options.work.admitted.route.isResumable) return;
-    this.watch.noteEvent();
+    this.watch.recordEvent();
     this.keeper.check();
   }
 
@@ -201,7 +215,7 @@
     if (this.isOver || head === undefined) return;
     if (head.status !== OK) {
       this.close({copyIsNeeded: false});
-      this.options.listener.onOtherAnswer(head, this.body.toBytes());
+      this.options.listener.onOtherResponse(head, this.body.toBytes());
     } else if (this.splitter.pendingBytes > 0) {
       const reason = RetryReason.ENGINE_DIED;
       this.lose({reason, detail: 'ended within an event'});
@@ -214,8 +228,8 @@
 
   private onFailure(failure: ExchangeFailure, detail: string): void {
     if (this.isOver) return;
-    noteFailureAt(this.target, failure);
-    this.options.ctx.prober.sweepAround(this.target);
+    recordTargetFailure(this.target, failure);
+    this.options.ctx.prober.probeDataCentreOf(this.target);
     const reason = retryReasonOf(failure, RetryReason.ENGINE_DIED);
     this.lose({reason, failure, detail: `${failure}: ${detail}`});
   }
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -38,11 +38,11 @@
   }
 
   /** The next event comes from another target. */
-  noteResume(): void {
+  markResumed(): void {
     this.isResuming = this.opened;
   }
 
-  pass(head: AnswerHead, event: RawEvent): void {
+  writeEvent(head: AnswerHead, event: RawEvent): void {
     this.open(head);
     this.work.res.write(event.bytes);
     this.notePause();
--- a/src/direct/streams/stream-times.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -10,7 +10,7 @@
  * @example
  * times.of('drafts').isHopeless({need, leftMs});
  */
-export class StreamTimes {
+export class StreamDurations {
   private readonly times = new Map<string, StreamTime>();
 
   of(service: string): StreamTime {
@@ -29,7 +29,7 @@
  * @example
  * const need = needOf(req, service);
  */
-export function needOf(
+export function toGenerationNeed(
   req: CallerRequest,
   service: RoutedService,
 ): GenerationNeed | undefined {
--- a/src/direct/streams/stream-run.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -14,20 +14,20 @@
 } from '../../core/streams/index.js';
 import type {Target} from '../../core/targets/index.js';
 import {
-  EVENTS_BEFORE_COPY,
-  MAX_STREAM_TRIES,
-  RETURN_AFTER_MS,
-  STREAM_PAUSE_MS,
+  MIN_EVENTS_FOR_COPY,
+  MAX_PROMPT_ATTEMPTS,
+  RETRY_AFTER_MS,
+  PLACEMENT_RETRY_MS,
 } from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
-import {PoisonWatch} from '../poison/index.js';
-import {refuseUntried} from '../refuse-untried.js';
-import type {RunCopy} from './copy-keeper.js';
+import {PoisonDetector} from '../poison/index.js';
+import {refuseUnsent} from '../refuse-unsent.js';
+import type {KvCacheCopy} from './kv-cache-replicator.js';
 import {StreamDelivery} from './stream-delivery.js';
-import {canGoOnAt, StreamPlacer} from './stream-placer.js';
-import {needOf} from './stream-times.js';
-import type {TargetLoss} from './stream-try.js';
-import {StreamTry} from './stream-try.js';
+import {canResumeAt, StreamPlacer} from './stream-placer.js';
+import {toGenerationNeed} from './stream-durations.js';
+import type {TargetLoss} from './stream-attempt.js';
+import {StreamAttempt} from './stream-attempt.js';
 
 /** Losses by which the data centre is seen to be there. */
 const SIGNS_OF_LIFE: ReadonlySet<RetryReason> = new Set([
@@ -51,18 +51,18 @@
  * @example
  * new StreamRun({ctx, work}).start();
  */
-export class StreamRun {
+export class StreamHandler {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
   private readonly sequence: EventSequence;
   private readonly delivery: StreamDelivery;
   private readonly placer: StreamPlacer;
-  private readonly poison: PoisonWatch;
+  private readonly poison: PoisonDetector;
   private readonly deadline: TimerHandle;
   private pause?: TimerHandle;
-  private current?: StreamTry;
+  private current?: StreamAttempt;
   /** The copy of what the lost run had in memory. */
-  private copy?: RunCopy;
+  private copy?: KvCacheCopy;
   private isOver = false;
   /** Targets that began with the prompt. */
   private tries = 0;
@@ -75,15 +75,15 @@
     this.work = options.work;
     this.delivery = new StreamDelivery(options);
     this.placer = new StreamPlacer(options);
-    this.poison = new PoisonWatch({
+    this.poison = new PoisonDetector({
       ...options,
-      onNamed: () => this.endAsPoison(),
+      onPoison: () => this.endAsPoison(),
     });
     const {clock} = this.ctx;
     const {lastEventId} = this.work.req;
     this.sequence = new EventSequence({lastId: toPosition(lastEventId)});
     this.deadline = clock.schedule({
-      delayMs: Math.max(0, this.work.endMs - clock.now()),
+      delayMs: Math.max(0, this.work.deadlineAtMs - clock.now()),
       run: () => this.giveUp(true),
     });
     this.work.res.onGone(() => this.leave());
@@ -98,14 +98,14 @@
       this.refuse(RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
-    this.ctx.budgets.noteFirstTry(this.work.service.name);
+    this.ctx.retryBudgets.recordFirstAttempt(this.work.service.name);
     if (this.poison.mayBePoison()) void this.beginWithCare();
     else void this.place();
   }
 
   /** The request lost targets before, here or at other entries. */
   private async beginWithCare(): Promise<void> {
-    const mayGo = await this.poison.mayGo();
+    const mayGo = await this.poison.maySend();
     if (this.isOver) return;
     if (mayGo) void this.place();
     else this.refuse(RefusalReason.POISON);
@@ -113,25 +113,25 @@
 
   /** Whether the time left is too short for any engine. */
   private isHopeless(): boolean {
-    const {req, service, endMs} = this.work;
-    const need = needOf(req, service);
+    const {req, service, deadlineAtMs: endMs} = this.work;
+    const need = toGenerationNeed(req, service);
     if (need === undefined) return false;
     const leftMs = endMs - this.ctx.clock.now();
-    return this.ctx.streamTimes.of(service.name).isHopeless({need, leftMs});
+    return this.ctx.streamDurations.of(service.name).isHopeless({need, leftMs});
   }
 
   private refuse(reason: RefusalReason): void {
     this.stop();
     const {ctx, work} = this;
-    refuseUntried({ctx, work, reason});
+    refuseUnsent({ctx, work, reason});
   }
 
   private async place(): Promise<void> {
     const {copy} = this;
     this.copy = undefined;
     if (this.poison.isSuspect()) {
-      this.placer.keepApart(this.poison.identity);
-    } else if (copy !== undefined && canGoOnAt(copy.holder)) {
+      this.placer.isolate(this.poison.fingerprint);
+    } else if (copy !== undefined && canResumeAt(copy.holder)) {
       this.send(copy.holder, copy.reference);
       return;
     } else if (copy !== undefined) {
@@ -144,9 +144,9 @@
   }
 
   private wait(): void {
-    this.placer.forgetExcluded();
+    this.placer.clearExcluded();
     this.pause = this.ctx.clock.schedule({
-      delayMs: STREAM_PAUSE_MS,
+      delayMs: PLACEMENT_RETRY_MS,
       run: () => void this.place(),
     });
   }
@@ -155,19 +155,19 @@
     const usesCopy = copyFrom !== undefined;
     this.sends++;
     if (!usesCopy) this.tries++;
-    this.current = new StreamTry({
+    this.current = new StreamAttempt({
       ctx: this.ctx,
       work: this.work,
       target,
-      chooseCopy: () => this.placer.chooseCopy(target),
+      chooseCopyHolder: () => this.placer.chooseCopyHolder(target),
       tokens: this.placer.tokens,
       lastEventId: this.sequence.lastId,
-      isUnderWay: this.delivery.isOpen,
+      hasDelivered: this.delivery.isOpen,
       copyFrom,
       listener: {
         onEvent: (head, event) => this.onEvent(head, event),
         onEnd: (head) => this.finish(head),
-        onOtherAnswer: (head, body) => this.onOtherAnswer(head, body),
+        onOtherResponse: (head, body) => this.onOtherAnswer(head, body),
         onLost: (loss) => this.onLost(loss),
       },
     });
@@ -177,7 +177,7 @@
   private onEvent(head: AnswerHead, event: RawEvent): void {
     const verdict = this.sequence.judge(event.id);
     if (verdict === EventVerdict.PASS) {
-      this.delivery.pass(head, event);
+      this.delivery.writeEvent(head, event);
     }
     if (verdict !== EventVerdict.GAP) return;
     this.current?.cancel();
@@ -187,7 +187,7 @@
 
   private finish(head: AnswerHead): void {
     // Several targets may each have been ended by their part of it.
-    if (this.sends === 1) this.poison.noteServed();
+    if (this.sends === 1) this.poison.recordServed();
     this.stop();
     this.learnTimes();
     this.delivery.finish(head);
@@ -216,22 +216,22 @@
     if (didNotRun) this.placer.exclude(lost.target);
     else this.mayHaveRun = true;
     const mayBeCause = !didNotRun && UNEXPLAINED.has(reason);
-    if (mayBeCause) this.poison.noteLoss(lost);
-    if (!SIGNS_OF_LIFE.has(reason)) this.placer.doubt(lost.target);
+    if (mayBeCause) this.poison.recordLoss(lost);
+    if (!SIGNS_OF_LIFE.has(reason)) this.placer.avoidDataCentreOf(lost.target);
     if (!this.mayGoOn(reason, lost.events > 0)) {
       this.giveUp(false);
       return;
     }
-    if (lost.events >= EVENTS_BEFORE_COPY) this.copy = lost.copy;
+    if (lost.events >= MIN_EVENTS_FOR_COPY) this.copy = lost.copy;
     this.ctx.metrics.countRetry(reason);
-    this.delivery.noteResume();
+    this.delivery.markResumed();
     if (mayBeCause && this.poison.isSuspect()) void this.goOnWithCare();
     else void this.place();
   }
 
   /** A request that lost several targets waits until their causes are known. */
   private async goOnWithCare(): Promise<void> {
-    const mayGoOn = await this.poison.mayGoOn();
+    const mayGoOn = await this.poison.mayRetry();
     if (this.isOver) return;
     if (mayGoOn) void this.place();
     else this.giveUp(false);
@@ -241,9 +241,10 @@
     const {isResumable} = this.work.admitted.route;
     const mayRepeat = isResumable && this.sequence.isResumable;
     if (this.mayHaveRun && !mayRepeat) return false;
-    if (this.tries >= MAX_STREAM_TRIES || this.poison.isPoison()) return false;
+    if (this.tries >= MAX_PROMPT_ATTEMPTS || this.poison.isPoison())
+      return false;
     const service = this.work.service.name;
-    return this.ctx.budgets.tryRetry({service, reason, hadWritten});
+    return this.ctx.retryBudgets.takeRetry({service, reason, hadWritten});
   }
 
   private giveUp(isTimedOut: boolean): void {
@@ -269,7 +270,7 @@
       this.work.res.abort();
       return;
     }
-    const retryAfterMs = mayHaveRun ? undefined : RETURN_AFTER_MS;
+    const retryAfterMs = mayHaveRun ? undefined : RETRY_AFTER_MS;
     this.work.res.sendOwn({status, reason, retryAfterMs});
   }
 
@@ -285,13 +286,13 @@
   private leave(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.poison.noteTaken(current);
+    if (current !== undefined) this.poison.recordUnresponsive(current);
     this.stop();
   }
 
   private stop(): void {
     this.isOver = true;
-    this.poison.noteLeft();
+    this.poison.close();
     this.deadline.cancel();
     this.pause?.cancel();
     this.current?.cancel();
@@ -300,11 +301,11 @@
 
   private learnTimes(): void {
     const {req, service} = this.work;
-    const need = needOf(req, service);
+    const need = toGenerationNeed(req, service);
     if (need === undefined || need.hasEvents > 0 || this.tries > 1) return;
     const takenMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
-    this.ctx.streamTimes.of(service.name).learn({
+    this.ctx.streamDurations.of(service.name).learn({
       ...need,
       events: this.sequence.count,
       firstEventMs,
@@ -312,7 +313,7 @@
     });
   }
 
-  private noteLoss(lost: StreamTry, loss: TargetLoss): void {
+  private noteLoss(lost: StreamAttempt, loss: TargetLoss): void {
     this.ctx.logger.info('stream lost its target', {
       id: this.work.req.attemptId,
       target: lost.target.id,
@@ -334,7 +335,7 @@
     });
   }
 
-  private notePlaced({target, copy}: StreamTry, usesCopy: boolean): void {
+  private notePlaced({target, copy}: StreamAttempt, usesCopy: boolean): void {
     this.ctx.logger.info('stream goes on', {
       id: this.work.req.attemptId,
       target: target.id,
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -6,7 +6,11 @@
   shortlistEngines,
 } from '../../core/placing/index.js';
 import type {Target} from '../../core/targets/index.js';
-import {DOUBT_MS, LEAVING_WORK_MS, SHORTLIST} from '../consts.js';
+import {
+  AVOID_DATA_CENTRE_MS,
+  DRAINING_RESUME_WINDOW_MS,
+  SHORTLIST_SIZE,
+} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
 
 /**
@@ -37,14 +41,14 @@
   }
 
   /** Keeps the stream apart from others that lost the same targets. */
-  keepApart(identity: string): void {
+  isolate(identity: string): void {
     this.identity = identity;
   }
 
   /** Asks the best engines for their load, then takes the best of them. */
   async findTarget(): Promise<Target | undefined> {
     const candidates = this.shortlist();
-    await this.ctx.prober.refresh(candidates);
+    await this.ctx.prober.refreshReports(candidates);
     if (this.identity !== undefined) return candidates.find(isHere);
     const target = chooseEngine({...this.choice(), targets: candidates});
     const isUsable = target !== undefined && isHere(target);
@@ -52,7 +56,7 @@
   }
 
   /** Where the memory of a run is copied to; undefined if nowhere. */
-  chooseCopy(runner: Target): Target | undefined {
+  chooseCopyHolder(runner: Target): Target | undefined {
     const {engine} = this.work.service;
     const {isResumable} = this.work.admitted.route;
     if (engine === undefined || !engine.canCopy || !isResumable) {
@@ -71,16 +75,16 @@
   }
 
   /** Lets all targets be tried again. */
-  forgetExcluded(): void {
+  clearExcluded(): void {
     this.excluded.clear();
   }
 
   /** Data centres fail as a whole: none that was just lost is chosen. */
-  doubt(lost: Target): void {
+  avoidDataCentreOf(lost: Target): void {
     const {dataCentre} = lost.record;
     this.doubtful.add(dataCentre);
     this.ctx.clock.schedule({
-      delayMs: DOUBT_MS,
+      delayMs: AVOID_DATA_CENTRE_MS,
       run: () => void this.doubtful.delete(dataCentre),
     });
   }
@@ -88,9 +92,9 @@
   private shortlist(): Target[] {
     const {identity} = this;
     if (identity === undefined)
-      return shortlistEngines(this.choice(), SHORTLIST);
+      return shortlistEngines(this.choice(), SHORTLIST_SIZE);
     const all = shortlistEngines(this.choice(), Number.POSITIVE_INFINITY);
-    return rankApart(identity, all.filter(isHere)).slice(0, SHORTLIST);
+    return rankApart(identity, all.filter(isHere)).slice(0, SHORTLIST_SIZE);
   }
 
   private choice(): EngineChoice {
@@ -113,9 +117,9 @@
  * @example
  * if (canGoOnAt(holder)) goOnAt(holder);
  */
-export function canGoOnAt(holder: Target): boolean {
+export function canResumeAt(holder: Target): boolean {
   const leavingForMs = holder.leavingForMs() ?? 0;
-  return leavingForMs < LEAVING_WORK_MS && !holder.isPaused();
+  return leavingForMs < DRAINING_RESUME_WINDOW_MS && !holder.isPaused();
 }
 
 function isHere(target: Target): boolean {
--- a/src/direct/target-request.ts
+++ b/src/direct/target-request.ts
@@ -3,7 +3,7 @@
 import type {DirectWork} from './context.js';
 
 /** What differs between the tries of one request. */
-export type TryFields = Pick<
+export type AttemptFields = Pick<
   TargetRequest,
   'lastEventId' | 'copyTo' | 'copyFrom' | 'priority'
 >;
@@ -15,7 +15,7 @@
  * const req = toTargetRequest({work, leftMs: 800});
  */
 export function toTargetRequest(
-  options: {work: DirectWork; leftMs: number} & Partial<TryFields>,
+  options: {work: DirectWork; leftMs: number} & Partial<AttemptFields>,
 ): TargetRequest {
   const {work, ...fields} = options;
   const {attemptId, method, path, headers, body} = work.req;
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -95,7 +95,7 @@
     const next = await site.addTarget(options);
     const [first] = site.targets;
     site.register(first!, {...options, state: 'draining'});
-    await waitFor(() => !site.entry.knownTargets().includes(first!.id));
+    await waitFor(() => !site.entry.usableTargetIds().includes(first!.id));
     for (let i = 0; i < 5; i++) expect(await status()).toBe(200);
     expect(first!.runs).toHaveLength(0);
     expect(next.runs).toHaveLength(5);
@@ -115,7 +115,7 @@
       spec: {...sound, ...spec},
     });
     await sleep(50);
-    expect(site.entry.knownTargets()).toEqual([first!.id]);
+    expect(site.entry.usableTargetIds()).toEqual([first!.id]);
   });
 
   it('holds on to targets whose registrations lapse in an outage', async () => {
@@ -139,7 +139,7 @@
   it('closes callers’ connections with their answers when it stops', async () => {
     const before = await site.call({path: SitePath.SAFE});
     expect(before.headers.connection).not.toBe('close');
-    site.entry.leave();
+    site.entry.startDraining();
     expect(site.entry.isReady()).toBe(false);
     const after = await site.call({path: SitePath.SAFE});
     expect(after.status).toBe(200);
--- a/test/direct/planned-stop.test.ts
+++ b/test/direct/graceful-shutdown.test.ts
@@ -2,7 +2,7 @@
 
 import {ManualClock} from '../../src/core/clock/index.js';
 import {SILENT_LOGGER} from '../../src/core/logs/index.js';
-import {PlannedStop} from '../../src/direct/planned-stop.js';
+import {GracefulShutdown} from '../../src/direct/graceful-shutdown.js';
 
 const GRACE_MS = 8_000;
 
@@ -32,13 +32,13 @@
   let clock: ManualClock;
   let listener: NotingListener;
   let stoppedMs: number | undefined;
-  let stop: PlannedStop;
+  let stop: GracefulShutdown;
 
   beforeEach(() => {
     clock = new ManualClock();
     listener = new NotingListener();
     stoppedMs = undefined;
-    stop = new PlannedStop({
+    stop = new GracefulShutdown({
       clock,
       logger: SILENT_LOGGER,
       listener,
--- a/test/direct/loss-share.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -12,7 +12,7 @@
 import {SILENT_LOGGER} from '../../src/core/logs/index.js';
 import type {LossNotes} from '../../src/core/poison/index.js';
 import {LossLedger} from '../../src/core/poison/index.js';
-import {LossShare} from '../../src/direct/poison/loss-share.js';
+import {LossSync} from '../../src/direct/poison/loss-sync.js';
 
 const VM = 'entry-1';
 const OTHER = 'entry-2';
@@ -58,22 +58,22 @@
   let ledger: LossLedger;
   let source: Source;
   let written: LossNotes[];
-  let share: LossShare;
+  let share: LossSync;
 
   beforeEach(async () => {
     clock = new ManualClock();
     ledger = new LossLedger({clock});
     source = new Source();
     written = [];
-    share = new LossShare({
+    share = new LossSync({
       vm: VM,
       ledger,
       source,
       clock,
       random: new SeededRandom(1),
       logger: SILENT_LOGGER,
-      onLearned: () => undefined,
-      notes: {
+      onReceived: () => undefined,
+      records: {
         put: () => okAsync(undefined),
         remove: () => okAsync(undefined),
         replace: (_name, value) => {
--- a/test/direct/poison-innocent.test.ts
+++ b/test/direct/poison-unrelated.test.ts
@@ -9,15 +9,15 @@
 import {waitFor} from '../support/direct-site.js';
 import type {DirectSite} from '../support/direct-site.js';
 import {
-  Caller,
-  dataCentre,
+  CallerBehaviour,
+  targetsInDataCentre,
   ENTRIES,
-  MARK,
-  playPoison,
+  CRASH_MARK,
+  runPoisonScenario,
   sleep,
   startPoisonSite,
-  TARGETS_A_DATA_CENTRE,
-} from '../support/poison-play.js';
+  TARGETS_PER_DATA_CENTRE,
+} from '../support/poison-scenario.js';
 
 const {STREAM, SAFE} = SitePath;
 
@@ -56,13 +56,13 @@
   };
 
   const dataCentreOf = (target: StandInTarget) =>
-    Math.floor(site.targets.indexOf(target) / TARGETS_A_DATA_CENTRE);
+    Math.floor(site.targets.indexOf(target) / TARGETS_PER_DATA_CENTRE);
 
   function fell(i: number): void {
     const here = site;
-    for (const target of dataCentre(site, i)) {
+    for (const target of targetsInDataCentre(site, i)) {
       target.crash();
-      setTimeout(() => void here.revive(target), REVIVAL_MS);
+      setTimeout(() => void here.restartTarget(target), REVIVAL_MS);
     }
   }
 
@@ -78,8 +78,8 @@
         for (let n = 0; isPlaying; n++) await isServed(i, `innocent ${i} ${n}`);
       };
       const play = async () => {
-        const caller = Caller.WAITS;
-        await playPoison({site, path: STREAM, caller, afterEvents});
+        const caller = CallerBehaviour.WAITS_FOR_RESPONSE;
+        await runPoisonScenario({site, path: STREAM, caller, afterEvents});
         isPlaying = false;
       };
       const entries = Array.from({length: INNOCENTS}, (_, i) => i);
@@ -174,8 +174,13 @@
     'is not taken for one that ends targets',
     {timeout: TIMEOUT_MS},
     async () => {
-      await playPoison({site, path: STREAM, caller: Caller.WAITS});
-      for (let i = 0; i < ENTRIES; i++) await isServed(i, `not ${MARK.length}`);
+      await runPoisonScenario({
+        site,
+        path: STREAM,
+        caller: CallerBehaviour.WAITS_FOR_RESPONSE,
+      });
+      for (let i = 0; i < ENTRIES; i++)
+        await isServed(i, `not ${CRASH_MARK.length}`);
     },
   );
 });
--- a/test/direct/poison.test.ts
+++ b/test/direct/poison.test.ts
@@ -5,16 +5,16 @@
 import {StoreMode} from '../../stand-ins/site/store.js';
 import type {DirectSite} from '../support/direct-site.js';
 import {
-  Caller,
-  dataCentre,
+  CallerBehaviour,
+  targetsInDataCentre,
   ENTRIES,
-  lossesOf,
-  MARK,
-  playPoison,
-  sendsAfterThird,
+  crashesOf,
+  CRASH_MARK,
+  runPoisonScenario,
+  requestsAfterThirdCrash,
   sleep,
   startPoisonSite,
-} from '../support/poison-play.js';
+} from '../support/poison-scenario.js';
 
 /** Losses that name a request; one more where others share them all. */
 const NAMED_AFTER = 3;
@@ -39,13 +39,18 @@
 interface Row {
   readonly path: SitePath;
   readonly afterEvents: number;
-  readonly caller: Caller;
+  readonly caller: CallerBehaviour;
   readonly trouble: Trouble;
   readonly mostLosses: number;
 }
 
 const {STREAM, SAFE, UNSAFE} = SitePath;
-const {WAITS, HANGS_UP, TIMES_OUT, AT_ONCE} = Caller;
+const {
+  WAITS_FOR_RESPONSE: WAITS,
+  HANGS_UP,
+  TIMES_OUT,
+  ALL_ENTRIES: AT_ONCE,
+} = CallerBehaviour;
 const CALM = {trouble: Trouble.NONE, mostLosses: NAMED_AFTER + SHARED};
 const STREAM_HANGS = {path: STREAM, afterEvents: 0, caller: HANGS_UP};
 
@@ -98,7 +103,7 @@
       if (isBegin) site.store.delayMs = 100;
       break;
     case Trouble.ONE_TURNED_AWAY:
-      if (isBegin) site.doors[0]!.mode = StoreMode.BUSY;
+      if (isBegin) site.storeEndpoints[0]!.mode = StoreMode.BUSY;
       break;
     case Trouble.RESTARTS:
       await restart(site, [visit % ENTRIES]);
@@ -120,7 +125,7 @@
 }
 
 function fell(site: DirectSite, visit: number): void {
-  for (const target of dataCentre(site, visit % 3)) {
+  for (const target of targetsInDataCentre(site, visit % 3)) {
     target.crash();
     target.onCrash();
   }
@@ -137,28 +142,28 @@
     async (row) => {
       const {path, caller, afterEvents, trouble, mostLosses} = row;
       site = await startPoisonSite(path);
-      await playPoison({
+      await runPoisonScenario({
         site,
         path,
         caller,
         afterEvents,
-        beforeVisit: (visit) => befall(site, trouble, visit),
+        beforeRound: (visit) => befall(site, trouble, visit),
       });
       const isHeard = trouble !== Trouble.STORE_AWAY;
-      const losses = lossesOf(site).length;
-      const late = sendsAfterThird(site, NEWS_MS);
+      const losses = crashesOf(site).length;
+      const late = requestsAfterThirdCrash(site, NEWS_MS);
       if (isHeard) expect({losses, late}).toEqual({losses, late: 0});
       expect(losses).toBeLessThanOrEqual(mostLosses);
       // What is known by now holds at each entry, whatever came before.
-      const before = lossesOf(site).length;
+      const before = crashesOf(site).length;
       site.store.mode = StoreMode.UP;
-      for (const door of site.doors) door.mode = StoreMode.UP;
+      for (const door of site.storeEndpoints) door.mode = StoreMode.UP;
       await sleep(NEWS_MS * 2);
       for (let entry = 0; entry < ENTRIES; entry++) {
-        const reply = await site.call({path, body: MARK, entry});
+        const reply = await site.call({path, body: CRASH_MARK, entry});
         expect(reply.status).toBe(503);
       }
-      expect(lossesOf(site)).toHaveLength(before);
+      expect(crashesOf(site)).toHaveLength(before);
     },
   );
 
@@ -166,14 +171,14 @@
     'is told from another that comes at the same time',
     {timeout: PLAY_TIMEOUT_MS},
     async () => {
-      const bodies = [`${MARK} one`, `${MARK} two`];
+      const bodies = [`${CRASH_MARK} one`, `${CRASH_MARK} two`];
       site = await startPoisonSite(STREAM);
-      await playPoison({site, path: STREAM, caller: HANGS_UP, bodies});
+      await runPoisonScenario({site, path: STREAM, caller: HANGS_UP, bodies});
       for (const body of bodies) {
-        expect(lossesOf(site, body).length).toBeLessThanOrEqual(
+        expect(crashesOf(site, body).length).toBeLessThanOrEqual(
           FLOOD.mostLosses,
         );
-        expect(sendsAfterThird(site, NEWS_MS, body)).toBe(0);
+        expect(requestsAfterThirdCrash(site, NEWS_MS, body)).toBe(0);
       }
     },
   );
--- a/test/direct/repeat-budgets.test.ts
+++ b/test/direct/service-retry-budgets.test.ts
@@ -5,7 +5,7 @@
 import {ExchangeFailure} from '../../src/core/edges/direct-target.js';
 import {RetryReason} from '../../src/core/errors/refusals.js';
 import {retryReasonOf} from '../../src/core/retrying/index.js';
-import {RepeatBudgets} from '../../src/direct/repeat-budgets.js';
+import {ServiceRetryBudgets} from '../../src/direct/service-retry-budgets.js';
 
 const SETTINGS = {ratio: 0.8, windowMs: 10_000, slack: 150};
 
@@ -33,11 +33,14 @@
       const clock = new ManualClock();
       let repeats = 0;
       for (let entry = 0; entry < entries; entry++) {
-        const budgets = new RepeatBudgets({clock, settings: () => SETTINGS});
-        for (let i = 0; i < requests; i++) budgets.noteFirstTry('s');
+        const budgets = new ServiceRetryBudgets({
+          clock,
+          settings: () => SETTINGS,
+        });
+        for (let i = 0; i < requests; i++) budgets.recordFirstAttempt('s');
         for (const hadWritten of [true, false]) {
           const query = {service: 's', reason, hadWritten};
-          while (budgets.tryRetry(query)) repeats++;
+          while (budgets.takeRetry(query)) repeats++;
         }
       }
       const bound = SETTINGS.ratio * entries * requests + SETTINGS.slack;
@@ -47,23 +50,23 @@
 
   it('does not let rejections spend what losses need', () => {
     const clock = new ManualClock();
-    const budgets = new RepeatBudgets({clock, settings: () => SETTINGS});
+    const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     while (
-      budgets.tryRetry({service: 's', reason: RetryReason.TARGET_REFUSED})
+      budgets.takeRetry({service: 's', reason: RetryReason.TARGET_REFUSED})
     );
     expect(
-      budgets.tryRetry({service: 's', reason: RetryReason.ENGINE_DIED}),
+      budgets.takeRetry({service: 's', reason: RetryReason.ENGINE_DIED}),
     ).toBe(true);
   });
 
   it('lets all runs go on that one data centre takes with it', () => {
     // One entry of many has more than its share of the runs there.
     const clock = new ManualClock();
-    const budgets = new RepeatBudgets({clock, settings: () => SETTINGS});
-    for (let i = 0; i < 8; i++) budgets.noteFirstTry('s');
+    const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
+    for (let i = 0; i < 8; i++) budgets.recordFirstAttempt('s');
     const reason = RetryReason.ENGINE_DIED;
     const runs = Array.from({length: 19}, () =>
-      budgets.tryRetry({service: 's', reason, hadWritten: true}),
+      budgets.takeRetry({service: 's', reason, hadWritten: true}),
     );
     expect(runs).not.toContain(false);
   });
@@ -71,24 +74,24 @@
   it('lets requests go on that meet many replaced targets', () => {
     // After an outage of the store each request meets a target of before.
     const clock = new ManualClock();
-    const budgets = new RepeatBudgets({clock, settings: () => SETTINGS});
-    for (let i = 0; i < 10; i++) budgets.noteFirstTry('s');
+    const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
+    for (let i = 0; i < 10; i++) budgets.recordFirstAttempt('s');
     const reason = retryReasonOf(
       ExchangeFailure.WRONG_TARGET,
       RetryReason.ENGINE_DIED,
     );
     const requests = Array.from({length: 10}, () =>
-      budgets.tryRetry({service: 's', reason}),
+      budgets.takeRetry({service: 's', reason}),
     );
     expect(requests).not.toContain(false);
   });
 
   it('counts nothing that never reached a target', () => {
     const clock = new ManualClock();
-    const budgets = new RepeatBudgets({clock, settings: () => SETTINGS});
+    const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     for (let i = 0; i < 1_000; i++) {
       expect(
-        budgets.tryRetry({service: 's', reason: RetryReason.NOT_SENT}),
+        budgets.takeRetry({service: 's', reason: RetryReason.NOT_SENT}),
       ).toBe(true);
     }
   });
--- a/test/direct/settings-watch.test.ts
+++ b/test/direct/settings-watcher.test.ts
@@ -8,20 +8,20 @@
 import {ManualClock} from '../../src/core/clock/index.js';
 import {SILENT_LOGGER} from '../../src/core/logs/index.js';
 import type {DirectSettings} from '../../src/core/settings/direct-settings.js';
-import {SettingsWatch} from '../../src/direct/settings-watch.js';
+import {SettingsWatcher} from '../../src/direct/settings-watcher.js';
 
 describe('SettingsWatch', () => {
   let folder: string;
   let path: string;
   let taken: string[];
-  let watch: SettingsWatch;
+  let watch: SettingsWatcher;
 
   beforeEach(async () => {
     folder = mkdtempSync(join(tmpdir(), 'plantainrill-settings-'));
     path = join(folder, 'boot.yaml');
     taken = [];
     writeFileSync(path, 'one');
-    watch = new SettingsWatch({
+    watch = new SettingsWatcher({
       path,
       parse: (text) =>
         text === 'bad' ? err('bad') : ok({vm: text} as DirectSettings),
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -38,7 +38,7 @@
   readonly targets: StandInTarget[] = [];
   readonly entries: DirectEntry[] = [];
   /** The address of the store for each entry. */
-  readonly doors: StoreDoor[] = [];
+  readonly storeEndpoints: StoreDoor[] = [];
   private readonly places = new Map<StandInTarget, TargetOptions>();
   private readonly copyNetwork = new TargetWorld();
   private attempts = 0;
@@ -60,7 +60,7 @@
     });
     const site = new DirectSite(store, options);
     for (let i = 0; i < (options.entries ?? 1); i++) {
-      site.doors.push(await store.openDoor());
+      site.storeEndpoints.push(await store.openDoor());
       await site.startEntry(i);
     }
     await waitFor(() => site.entries.every((e) => e.process.isReady()));
@@ -89,7 +89,7 @@
     const {revokeMs, logger} = this.options;
     this.entries[i] = await DirectEntry.start({
       vm: `entry-${i + 1}`,
-      storeUrl: this.doors[i]!.url,
+      storeUrl: this.storeEndpoints[i]!.url,
       revokeMs,
       logger,
     });
@@ -120,7 +120,7 @@
     }
     await waitFor(() =>
       this.entries.every(({process}) => {
-        const known = process.knownTargets();
+        const known = process.usableTargetIds();
         return added.every((target) => known.includes(target.id));
       }),
     );
@@ -128,7 +128,7 @@
   }
 
   /** Has a target start again as another life, and register itself. */
-  async revive(target: StandInTarget): Promise<void> {
+  async restartTarget(target: StandInTarget): Promise<void> {
     await target.restart();
     this.register(target, this.places.get(target)!);
   }
--- a/test/support/poison-play.ts
+++ b/test/support/poison-scenario.ts
@@ -8,7 +8,7 @@
 import {DirectSite} from './direct-site.js';
 
 /** Requests with this mark end the targets that run them. */
-export const MARK = 'ends-its-target';
+export const CRASH_MARK = 'ends-its-target';
 
 /** Entries of the site, all before the same targets. */
 export const ENTRIES = 3;
@@ -36,18 +36,18 @@
 const EVENT_MS = 6;
 
 /** Targets in each of the site's data centres. */
-export const TARGETS_A_DATA_CENTRE = 3;
+export const TARGETS_PER_DATA_CENTRE = 3;
 
 const ZONES = ['a', 'a', 'a', 'b', 'b', 'b', 'c', 'c', 'c'];
 
 /** How a caller goes on after each loss. */
-export enum Caller {
+export enum CallerBehaviour {
   /** Waits for an answer, then comes again at another entry. */
-  WAITS = 'waits',
+  WAITS_FOR_RESPONSE = 'waits',
   HANGS_UP = 'hangs up',
   TIMES_OUT = 'runs out of time',
   /** Comes at all entries at once, again and again. */
-  AT_ONCE = 'comes at all at once',
+  ALL_ENTRIES = 'comes at all at once',
 }
 
 /**
@@ -69,16 +69,16 @@
 }
 
 /** What a play is made of. */
-export interface PlayOptions {
+export interface PoisonScenarioOptions {
   readonly site: DirectSite;
   readonly path: SitePath;
-  readonly caller: Caller;
+  readonly caller: CallerBehaviour;
   /** Bodies that are sent, each by a caller of its own. */
   readonly bodies?: readonly string[];
   /** Events that a target writes before it is ended. */
   readonly afterEvents?: number;
   /** Done before each visit, numbered from 0. */
-  readonly beforeVisit?: (visit: number) => Promise<void> | void;
+  readonly beforeRound?: (visit: number) => Promise<void> | void;
 }
 
 /**
@@ -87,12 +87,14 @@
  * @example
  * await playPoison({site, path, caller: Caller.HANGS_UP});
  */
-export async function playPoison(options: PlayOptions): Promise<void> {
-  const {site, bodies = [MARK], afterEvents = 0} = options;
+export async function runPoisonScenario(
+  options: PoisonScenarioOptions,
+): Promise<void> {
+  const {site, bodies = [CRASH_MARK], afterEvents = 0} = options;
   for (const target of site.targets) {
-    target.crashOn = {mark: MARK, afterEvents};
+    target.crashOn = {mark: CRASH_MARK, afterEvents};
     target.onCrash = () => {
-      setTimeout(() => void site.revive(target), REVIVAL_MS);
+      setTimeout(() => void site.restartTarget(target), REVIVAL_MS);
     };
   }
   await Promise.all(bodies.map((body) => visitAll(options, body)));
@@ -100,13 +102,16 @@
 }
 
 /** The targets of one of the site's data centres, numbered from 0. */
-export function dataCentre(site: DirectSite, i: number): StandInTarget[] {
-  const first = i * TARGETS_A_DATA_CENTRE;
-  return site.targets.slice(first, first + TARGETS_A_DATA_CENTRE);
+export function targetsInDataCentre(
+  site: DirectSite,
+  i: number,
+): StandInTarget[] {
+  const first = i * TARGETS_PER_DATA_CENTRE;
+  return site.targets.slice(first, first + TARGETS_PER_DATA_CENTRE);
 }
 
 /** All losses under requests with a body, in order. */
-export function lossesOf(site: DirectSite, body = MARK): CrashRecord[] {
+export function crashesOf(site: DirectSite, body = CRASH_MARK): CrashRecord[] {
   return site.targets
     .flatMap((target) => target.crashes)
     .filter((crash) => crash.body === body)
@@ -114,12 +119,12 @@
 }
 
 /** Requests that reached targets later than `slackMs` after the third loss. */
-export function sendsAfterThird(
+export function requestsAfterThirdCrash(
   site: DirectSite,
   slackMs: number,
-  body = MARK,
+  body = CRASH_MARK,
 ): number {
-  const third = lossesOf(site, body)[2];
+  const third = crashesOf(site, body)[2];
   if (third === undefined) return 0;
   return site.targets
     .flatMap((target) => target.runs)
@@ -127,12 +132,15 @@
     .length;
 }
 
-async function visitAll(options: PlayOptions, body: string): Promise<void> {
-  const {caller, beforeVisit} = options;
+async function visitAll(
+  options: PoisonScenarioOptions,
+  body: string,
+): Promise<void> {
+  const {caller, beforeRound: beforeVisit} = options;
   for (let visit = 0; visit < VISITS; visit++) {
     await beforeVisit?.(visit);
     const entries =
-      caller === Caller.AT_ONCE
+      caller === CallerBehaviour.ALL_ENTRIES
         ? Array.from({length: ENTRIES}, (_, i) => i)
         : [visit % ENTRIES];
     await Promise.all(entries.map((entry) => callOnce(options, body, entry)));
@@ -141,20 +149,20 @@
 }
 
 async function callOnce(
-  {site, path, caller, afterEvents = 0}: PlayOptions,
+  {site, path, caller, afterEvents = 0}: PoisonScenarioOptions,
   body: string,
   entry: number,
 ): Promise<Reply | undefined> {
   const leaving = new AbortController();
-  const lost = lossesOf(site, body).length;
+  const lost = crashesOf(site, body).length;
   const watch = setInterval(() => {
-    if (caller !== Caller.HANGS_UP) return;
-    if (lossesOf(site, body).length === lost) return;
+    if (caller !== CallerBehaviour.HANGS_UP) return;
+    if (crashesOf(site, body).length === lost) return;
     clearInterval(watch);
     setTimeout(() => leaving.abort(), HANG_UP_MS);
   }, 2);
   const lossMs = PACE.firstMs + afterEvents * EVENT_MS;
-  const isShort = caller === Caller.TIMES_OUT;
+  const isShort = caller === CallerBehaviour.TIMES_OUT;
   const deadlineMs = isShort ? lossMs + SHORT_MS : undefined;
   try {
     return await site.call({
