--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -26,9 +26,9 @@
 import {toTargetRequest} from './target-request.js';
 
 /** A try under way. */
-interface CallTry {
+interface CallAttempt {
   readonly target: Target;
-  readonly work: TargetWork;
+  readonly targetWork: TargetWork;
   readonly exchange: Exchange;
   readonly timer: TimerHandle;
 }
@@ -43,52 +43,52 @@
 export class CallHandler {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
-  private readonly tried = new Set<string>();
+  private readonly triedTargets = new Set<string>();
   private readonly deadline: TimerHandle;
-  private readonly poison: PoisonDetector;
-  private current?: CallTry;
+  private readonly poisonDetector: PoisonDetector;
+  private current?: CallAttempt;
   private head?: AnswerHead;
   private body = new ResponseBody();
-  private sent = 0;
+  private sentCount = 0;
   private isOver = false;
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
     this.ctx = options.ctx;
     this.work = options.work;
-    this.poison = new PoisonDetector({
+    this.poisonDetector = new PoisonDetector({
       ...options,
-      onPoison: () => this.endAsPoison(),
+      onPoison: () => this.failAsPoison(),
     });
     const {clock} = this.ctx;
     this.deadline = clock.schedule({
       delayMs: Math.max(0, this.work.deadlineAtMs - clock.now()),
-      run: () => this.giveUp(true),
+      run: () => this.fail(true),
     });
-    this.work.res.onGone(() => this.leave());
+    this.work.res.onGone(() => this.abandon());
   }
 
   start(): void {
-    if (this.poison.isPoison()) this.refuse(RefusalReason.POISON);
-    else if (this.poison.mayBePoison()) void this.beginWithCare();
-    else this.begin();
+    if (this.poisonDetector.isPoison()) this.refuse(RefusalReason.POISON);
+    else if (this.poisonDetector.mayBePoison()) void this.sendAfterDiagnosis();
+    else this.sendFirst();
   }
 
   /** The request lost targets before, here or at other entries. */
-  private async beginWithCare(): Promise<void> {
-    const mayGo = await this.poison.maySend();
+  private async sendAfterDiagnosis(): Promise<void> {
+    const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
-    if (mayGo) this.begin();
+    if (maySend) this.sendFirst();
     else this.refuse(RefusalReason.POISON);
   }
 
-  private begin(): void {
+  private sendFirst(): void {
     const {service} = this.work;
     this.ctx.retryBudgets.recordFirstAttempt(service.name);
-    const target = this.choose();
+    const target = this.chooseTarget();
     if (target === undefined) {
       this.ctx.logger.warn('no target', {service: service.name});
-      this.giveUp(false);
+      this.fail(false);
       return;
     }
     this.send(target);
@@ -97,7 +97,7 @@
   private send(target: Target): void {
     const {ctx, work} = this;
     const {clock, client} = ctx;
-    this.tried.add(target.id);
+    this.triedTargets.add(target.id);
     this.head = undefined;
     this.body = new ResponseBody();
     const leftMs = work.deadlineAtMs - clock.now();
@@ -117,10 +117,10 @@
       },
     });
     const timer = clock.schedule({
-      delayMs: Math.max(0, this.tryLimitMs(leftMs)),
-      run: () => this.onSilence(),
+      delayMs: Math.max(0, this.attemptTimeoutMs(leftMs)),
+      run: () => this.onAttemptTimeout(),
     });
-    this.current = {target, work: targetWork, exchange, timer};
+    this.current = {target, targetWork, exchange, timer};
   }
 
   private onData(chunk: Uint8Array): void {
@@ -131,37 +131,37 @@
   }
 
   /** An idempotent call leaves time for another try. */
-  private tryLimitMs(leftMs: number): number {
+  private attemptTimeoutMs(leftMs: number): number {
     const {operation, maxAttempts} = this.work.admitted.route;
-    const mayRepeat = operation === OperationKind.SAFE;
-    return mayRepeat && this.sent + 1 < maxAttempts
+    const mayRetry = operation === OperationKind.SAFE;
+    return mayRetry && this.sentCount + 1 < maxAttempts
       ? leftMs * SAFE_ATTEMPT_TIME_SHARE
       : leftMs * 2;
   }
 
-  private onSilence(): void {
+  private onAttemptTimeout(): void {
     const {current} = this;
     if (current === undefined) return;
-    const next = this.choose();
-    if (next === undefined || !this.takeFromBudget(RetryReason.CALL_SLOW)) {
+    const nextTarget = this.chooseTarget();
+    if (nextTarget === undefined || !this.takeRetry(RetryReason.CALL_SLOW)) {
       return;
     }
-    this.noteTaken(current);
+    this.recordUnresponsive(current);
     current.exchange.cancel();
     current.target.noteFailure();
-    this.closeTry();
-    this.sent++;
+    this.closeAttempt();
+    this.sentCount++;
     this.mayHaveRun = true;
-    this.noteRetry(RetryReason.CALL_SLOW, current.target);
-    this.send(next);
+    this.logRetry(RetryReason.CALL_SLOW, current.target);
+    this.send(nextTarget);
   }
 
   private onFailure(failure: ExchangeFailure, detail: string): void {
-    const {target, work} = this.current!;
-    const beganMs = work.begunMs;
+    const {target, targetWork} = this.current!;
+    const startedMs = targetWork.begunMs;
     if (!certainlyDidNotRun(failure)) this.mayHaveRun = true;
     const isLost = failure === ExchangeFailure.BROKEN;
-    if (isLost) this.poison.recordLoss({target, startedMs: beganMs});
+    if (isLost) this.poisonDetector.recordLoss({target, startedMs});
     this.ctx.logger.info('try failed', {
       id: this.work.req.attemptId,
       target: target.id,
@@ -175,37 +175,37 @@
   private onEnd(end: TryEnd): void {
     const {target} = this.current!;
     target.noteAnswer(isTargetFailure(end));
-    this.closeTry();
-    if (countsAsSent(end.failure)) this.sent++;
-    const next = this.choose();
+    this.closeAttempt();
+    if (countsAsSent(end.failure)) this.sentCount++;
+    const nextTarget = this.chooseTarget();
     const {operation, maxAttempts} = this.work.admitted.route;
     const reason = retryReasonOf(end.failure, RetryReason.CALL_LOST);
     const verdict = decideRetry({
       operation,
       end,
-      sent: this.sent,
+      sent: this.sentCount,
       maxAttempts,
-      hasTarget: next !== undefined,
-      takeFromBudget: () => this.takeFromBudget(reason),
+      hasTarget: nextTarget !== undefined,
+      takeFromBudget: () => this.takeRetry(reason),
     });
     if (verdict === RetryVerdict.PASS_ON) {
       target.noteSuccess();
-      this.passOn();
+      this.forwardResponse();
     } else if (verdict === RetryVerdict.RETRY) {
-      this.noteRetry(reason, target);
-      if (this.poison.isSuspect()) void this.goOnWithCare();
-      else this.send(next!);
+      this.logRetry(reason, target);
+      if (this.poisonDetector.isSuspect()) void this.retryAfterDiagnosis();
+      else this.send(nextTarget!);
     } else {
-      this.giveUp(false);
+      this.fail(false);
     }
   }
 
   /** A call that lost several targets waits until their causes are known. */
-  private async goOnWithCare(): Promise<void> {
-    const mayGoOn = await this.poison.mayRetry();
+  private async retryAfterDiagnosis(): Promise<void> {
+    const mayRetry = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
-    const target = mayGoOn ? this.choose() : undefined;
-    if (target === undefined) this.giveUp(false);
+    const target = mayRetry ? this.chooseTarget() : undefined;
+    if (target === undefined) this.fail(false);
     else this.send(target);
   }
 
@@ -215,9 +215,9 @@
     refuseUnsent({ctx, work, reason});
   }
 
-  private passOn(): void {
+  private forwardResponse(): void {
     if (!isTargetFailure({status: this.head!.status}))
-      this.poison.recordServed();
+      this.poisonDetector.recordServed();
     this.stop();
     const ms = this.ctx.clock.now() - this.work.req.receivedMs;
     this.ctx.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
@@ -228,19 +228,19 @@
     else res.sendUnframed({status, headers}, body);
   }
 
-  private giveUp(isTimedOut: boolean): void {
+  private fail(isTimedOut: boolean): void {
     if (this.isOver) return;
-    const wasUnderWay = this.current !== undefined;
+    const hadActiveAttempt = this.current !== undefined;
     const target = this.current?.target;
-    this.leave();
-    const mayHaveRun = this.mayHaveRun || wasUnderWay;
+    this.abandon();
+    const mayHaveRun = this.mayHaveRun || hadActiveAttempt;
     const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
     this.ctx.logger.info('refused', {
       id: this.work.req.attemptId,
       status,
       reason,
-      sent: this.sent,
+      sent: this.sentCount,
       target: target?.id,
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
@@ -250,52 +250,55 @@
   }
 
   /** The request has just turned out to be poison. */
-  private endAsPoison(): void {
+  private failAsPoison(): void {
     if (this.isOver) return;
-    const isUntried = !this.mayHaveRun && this.current === undefined;
-    if (isUntried) this.refuse(RefusalReason.POISON);
-    else this.giveUp(false);
+    const isUnsent = !this.mayHaveRun && this.current === undefined;
+    if (isUnsent) this.refuse(RefusalReason.POISON);
+    else this.fail(false);
   }
 
   /** Ends without an answer; the caller may come again elsewhere. */
-  private leave(): void {
+  private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.noteTaken(current);
+    if (current !== undefined) this.recordUnresponsive(current);
     this.stop();
   }
 
-  private noteTaken({target, work}: CallTry): void {
-    this.poison.recordUnresponsive({target, startedMs: work.begunMs});
+  private recordUnresponsive({target, targetWork}: CallAttempt): void {
+    this.poisonDetector.recordUnresponsive({
+      target,
+      startedMs: targetWork.begunMs,
+    });
   }
 
   private stop(): void {
     this.isOver = true;
-    this.poison.close();
+    this.poisonDetector.close();
     this.deadline.cancel();
     this.current?.exchange.cancel();
-    this.closeTry();
+    this.closeAttempt();
   }
 
-  private closeTry(): void {
+  private closeAttempt(): void {
     const {current} = this;
     if (current === undefined) return;
     current.timer.cancel();
-    current.target.end(current.work);
+    current.target.end(current.targetWork);
     this.current = undefined;
   }
 
-  private choose(): Target | undefined {
-    const {ctx, work, tried} = this;
+  private chooseTarget(): Target | undefined {
+    const {ctx, work, triedTargets} = this;
     return chooseCallTarget({
       targets: ctx.targets.ofService(work.service.name),
       dataCentre: ctx.dataCentre,
-      tried,
+      tried: triedTargets,
       random: ctx.random,
     });
   }
 
-  private noteRetry(reason: RetryReason, from: Target): void {
+  private logRetry(reason: RetryReason, from: Target): void {
     this.ctx.metrics.countRetry(reason);
     this.ctx.logger.info('retry', {
       id: this.work.req.attemptId,
@@ -304,7 +307,7 @@
     });
   }
 
-  private takeFromBudget(reason: RetryReason): boolean {
+  private takeRetry(reason: RetryReason): boolean {
     const service = this.work.service.name;
     return this.ctx.retryBudgets.takeRetry({service, reason});
   }
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -74,20 +74,20 @@
   readonly routes = new Cell<RouteTable | undefined>(undefined);
   /** Whether the process has been told to stop. */
   readonly draining = new Cell(false);
-  private readonly trust: KeyTrust;
+  private readonly keyTrust: KeyTrust;
   private settings: DirectSettings;
   private readonly ctx: DirectContext;
-  private readonly quarantineShare: QuarantineSync;
+  private readonly quarantineSync: QuarantineSync;
   private readonly followers: Array<Follower<unknown>> = [];
   private configs?: Follower<RoutingConfig>;
-  private knowsTargets = false;
+  private hasLoadedTargets = false;
   private startedMs = 0;
-  private killedAtMs = Number.POSITIVE_INFINITY;
+  private killAtMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: DirectProcessOptions) {
     const {settings, clock, random, client, metrics, logger} = options;
     this.settings = settings;
-    this.trust = new KeyTrust({
+    this.keyTrust = new KeyTrust({
       clock,
       boundMs: settings.keyTrustMs,
       onDistrusted: () => {
@@ -138,7 +138,7 @@
       metrics,
       logger,
     };
-    this.quarantineShare = new QuarantineSync({
+    this.quarantineSync = new QuarantineSync({
       quarantine: this.ctx.quarantine,
       records: options.culpritNotes,
       source: options.culprits,
@@ -152,7 +152,7 @@
     const {configs, registrations} = this.options;
     this.followConfigs(configs);
     this.followTargets(registrations);
-    this.quarantineShare.start();
+    this.quarantineSync.start();
     this.ctx.lossTracker.start();
     this.startedMs = this.options.clock.now();
   }
@@ -160,20 +160,20 @@
   /** Takes over settings that may change while the process runs. */
   applySettings(settings: DirectSettings): void {
     this.settings = settings;
-    this.trust.setBound(settings.keyTrustMs);
+    this.keyTrust.setBound(settings.keyTrustMs);
   }
 
   /** Begins a planned stop. */
   startDraining(): void {
     const {clock} = this.options;
-    this.killedAtMs = clock.now() + this.settings.stopGraceMs;
+    this.killAtMs = clock.now() + this.settings.stopGraceMs;
     this.draining.set(true);
   }
 
   /** Stops following the platform. */
   stop(): void {
     for (const follower of this.followers) follower.stop();
-    this.quarantineShare.stop();
+    this.quarantineSync.stop();
     this.ctx.lossTracker.stop();
   }
 
@@ -186,13 +186,14 @@
 
   /** Whether the process may be given new connections. */
   isReady(): boolean {
-    const isConfigured = this.routes.get() !== undefined && this.knowsTargets;
-    const isInformed = isConfigured && this.knowsLosses();
-    return isInformed && !this.draining.get() && this.trust.isSound();
+    const isConfigured =
+      this.routes.get() !== undefined && this.hasLoadedTargets;
+    const hasLoadedState = isConfigured && this.hasLoadedLosses();
+    return hasLoadedState && !this.draining.get() && this.keyTrust.isSound();
   }
 
   /** What was lost before this process began is waited for, but not long. */
-  private knowsLosses(): boolean {
+  private hasLoadedLosses(): boolean {
     const upForMs = this.options.clock.now() - this.startedMs;
     return (
       this.ctx.lossTracker.sync.hasLoaded || upForMs > STARTUP_LOSSES_WAIT_MS
@@ -203,7 +204,7 @@
   handle(req: CallerRequest, res: CallerResponse): void {
     const admitted = admitRequest({
       table: this.routes.get(),
-      isTrusted: this.trust.isSound(),
+      isTrusted: this.keyTrust.isSound(),
       host: req.host,
       path: req.path,
       key: req.key,
@@ -222,7 +223,7 @@
     const {route, table} = admitted;
     const name = pickService({route, draw: ctx.random.float()});
     const service = name === undefined ? undefined : table.findService(name);
-    if (service === undefined || !this.knowsTargets) {
+    if (service === undefined || !this.hasLoadedTargets) {
       const reason = RefusalReason.NO_TARGET;
       this.refuse(req, res, {
         status: 503,
@@ -251,7 +252,7 @@
 
   /** Whether work that starts now can end before the process does. */
   private hasTimeFor(operation: OperationKind): boolean {
-    const leftMs = this.killedAtMs - this.options.clock.now();
+    const leftMs = this.killAtMs - this.options.clock.now();
     const share =
       operation === OperationKind.STREAM
         ? MIN_STREAM_GRACE_SHARE
@@ -262,40 +263,44 @@
   private refuse(
     req: CallerRequest,
     res: CallerResponse,
-    answer: OwnAnswer,
+    refusal: OwnAnswer,
   ): void {
-    this.ctx.metrics.countRefusal(answer.reason);
+    this.ctx.metrics.countRefusal(refusal.reason);
     this.ctx.logger.info('refused', {
       id: req.attemptId,
-      status: answer.status,
-      reason: answer.reason,
+      status: refusal.status,
+      reason: refusal.reason,
       config: this.routes.get()?.version,
-      trustAgeMs: Math.round(this.trust.ageMs()),
+      trustAgeMs: Math.round(this.keyTrust.ageMs()),
     });
-    res.sendOwn(answer);
+    res.sendOwn(refusal);
   }
 
   private followConfigs(source: StateSource<RoutingConfig>): void {
     const {clock, random, logger} = this.options;
-    const contact = new StoreOutageLog({what: 'configuration', clock, logger});
-    const take = (items: ReadonlyArray<SourceItem<RoutingConfig>>) => {
+    const outageLog = new StoreOutageLog({
+      what: 'configuration',
+      clock,
+      logger,
+    });
+    const apply = (items: ReadonlyArray<SourceItem<RoutingConfig>>) => {
       for (const {value} of items) {
-        if (value !== undefined) this.takeConfig(value);
+        if (value !== undefined) this.applyConfig(value);
       }
     };
     const follower = new Follower({
       source,
       clock,
       random,
-      waitMs: this.configWaitMs(),
+      waitMs: this.configLongPollMs(),
       listener: {
-        onSnapshot: take,
-        onChanges: take,
+        onSnapshot: apply,
+        onChanges: apply,
         onConfirmed: (confirmation) => {
-          this.trust.confirm(confirmation);
-          contact.recordSuccess();
+          this.keyTrust.confirm(confirmation);
+          outageLog.recordSuccess();
         },
-        onLost: (err) => contact.recordFailure(err),
+        onLost: (err) => outageLog.recordFailure(err),
       },
     });
     this.configs = follower;
@@ -304,7 +309,7 @@
   }
 
   /** Two waits in a row must fit into the time for which keys are trusted. */
-  private configWaitMs(): number {
+  private configLongPollMs(): number {
     const {keyTrustMs = Infinity} = this.settings;
     return Math.min(
       CONFIG_LONG_POLL_MS,
@@ -315,7 +320,7 @@
   private followTargets(source: StateSource<TargetRecord>): void {
     const {clock, random, logger} = this.options;
     const {targets} = this.ctx;
-    const contact = new StoreOutageLog({what: 'targets', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'targets', clock, logger});
     const follower = new Follower({
       source,
       clock,
@@ -325,11 +330,11 @@
       listener: {
         onSnapshot: (items, afterOutage) => {
           targets.replaceAll(items, afterOutage);
-          this.knowsTargets = true;
+          this.hasLoadedTargets = true;
         },
         onChanges: (changes) => targets.applyChanges(changes),
-        onConfirmed: () => contact.recordSuccess(),
-        onLost: (err) => contact.recordFailure(err),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onLost: (err) => outageLog.recordFailure(err),
       },
     });
     this.followers.push(follower);
@@ -340,9 +345,10 @@
     return this.routes.get()?.findService(name)?.engine !== undefined;
   }
 
-  private takeConfig(config: RoutingConfig): void {
-    const known = this.routes.get()?.version ?? Number.NEGATIVE_INFINITY;
-    if (config.version <= known) return;
+  private applyConfig(config: RoutingConfig): void {
+    const currentVersion =
+      this.routes.get()?.version ?? Number.NEGATIVE_INFINITY;
+    if (config.version <= currentVersion) return;
     this.options.logger.info('configuration in force', {
       version: config.version,
       routes: config.routes.length,
--- a/src/direct/graceful-shutdown.ts
+++ b/src/direct/graceful-shutdown.ts
@@ -3,13 +3,13 @@
 import type {Logger} from '../core/logs/index.js';
 
 /** Time in which the balancer notices, as a share of the grace. */
-const NOTICE_SHARE = 0.33;
+const BALANCER_NOTICE_SHARE = 0.33;
 
 /** Time by which work ends before the forced end, in milliseconds. */
-const MARGIN_MS = 300;
+const KILL_MARGIN_MS = 300;
 
 /** How often idle connections are closed and open work is counted. */
-const STEP_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
 /** The listener for callers, as a stop needs it. */
 export interface StoppableListener {
@@ -47,17 +47,20 @@
     if (this.timer !== undefined) return;
     const {clock} = this.options;
     this.startedMs = clock.now();
-    this.timer = clock.repeat({periodMs: STEP_MS, run: () => this.step()});
+    this.timer = clock.repeat({
+      periodMs: CHECK_INTERVAL_MS,
+      run: () => this.check(),
+    });
   }
 
-  private step(): void {
+  private check(): void {
     const {clock, listener, graceMs} = this.options;
     const elapsedMs = clock.now() - this.startedMs;
-    if (elapsedMs >= graceMs - MARGIN_MS) {
+    if (elapsedMs >= graceMs - KILL_MARGIN_MS) {
       this.finish();
       return;
     }
-    if (elapsedMs < graceMs * NOTICE_SHARE) return;
+    if (elapsedMs < graceMs * BALANCER_NOTICE_SHARE) return;
     listener.closeIdle();
     if (listener.openRequests > 0) return;
     this.stopListening();
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -17,7 +17,7 @@
 import type {Prober} from '../prober.js';
 
 /** Requests with own losses that are remembered; the oldest ones go first. */
-const MAX_HELD = 4_096;
+const MAX_ATTRIBUTED_REQUESTS = 4_096;
 
 /** Why a target was lost. */
 export enum LossCause {
@@ -42,7 +42,7 @@
 }
 
 /** The losses that this entry holds against a request. */
-interface HeldLosses {
+interface AttributedLosses {
   readonly clientAccount: string;
   readonly targets: Set<Target>;
 }
@@ -73,30 +73,34 @@
   /** Losses that are looked into, by request and life. */
   private readonly diagnoses = new Map<string, Promise<void>>();
   /** Own losses that are held against requests, by request. */
-  private readonly held = new Map<string, HeldLosses>();
+  private readonly attributed = new Map<string, AttributedLosses>();
   /** Requests that were taken from silent targets not long ago. */
-  private readonly silent = new Set<RequestLoss>();
+  private readonly unresponsive = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
 
   /** Whether nothing is looked into or held. */
   get isIdle(): boolean {
-    return this.diagnoses.size + this.silent.size + this.held.size === 0;
+    return (
+      this.diagnoses.size + this.unresponsive.size + this.attributed.size === 0
+    );
   }
 
   /** A target was lost under a request that it may have begun. */
   diagnose(loss: RequestLoss): void {
     const {ledger} = this.options;
     const {request, target} = loss;
-    const life = lifeOf(target.record);
-    const key = `${request} ${life}`;
-    if (this.diagnoses.has(key) || this.isHeld(loss)) return;
-    ledger.note({request, life});
-    this.tell('loss held against request', loss, {
+    const incarnation = lifeOf(target.record);
+    const key = `${request} ${incarnation}`;
+    if (this.diagnoses.has(key) || this.isAttributed(loss)) return;
+    ledger.note({request, life: incarnation});
+    this.log('loss held against request', loss, {
       held: ledger.livesOf(request).size,
     });
-    const end = this.lookInto(loss).finally(() => this.diagnoses.delete(key));
-    this.diagnoses.set(key, end);
+    const diagnosis = this.findCause(loss).finally(() =>
+      this.diagnoses.delete(key),
+    );
+    this.diagnoses.set(key, diagnosis);
   }
 
   /**
@@ -104,8 +108,10 @@
    * out to have ended then, it was lost under the request.
    */
   watchUnresponsive(loss: RequestLoss): void {
-    this.silent.add(loss);
-    void this.awaitLifeEnd(loss).finally(() => this.silent.delete(loss));
+    this.unresponsive.add(loss);
+    void this.awaitIncarnationEnd(loss).finally(() =>
+      this.unresponsive.delete(loss),
+    );
   }
 
   /**
@@ -118,10 +124,10 @@
   }): Promise<boolean> {
     const {ledger, quarantine} = this.options;
     const {request, clientAccount} = suspect;
-    await this.settled(request);
+    await this.awaitDiagnoses(request);
     if (quarantine.has(request)) return true;
     if (!ledger.mayBePoison(request)) return false;
-    await this.askHeldAgain(request);
+    await this.probeAttributed(request);
     if (ledger.mayBePoison(request) && !ledger.isPoison(request)) {
       // Another entry may still look into a loss of its own.
       await sleep(this.options.clock, REMOTE_DIAGNOSIS_MS);
@@ -134,23 +140,23 @@
 
   /** Whether this entry itself holds losses against a request. */
   hasAttributed(request: string): boolean {
-    return this.held.has(request);
+    return this.attributed.has(request);
   }
 
   /** The client account of a request with held losses. */
   clientAccountOf(request: string): string {
-    return this.held.get(request)?.clientAccount ?? '';
+    return this.attributed.get(request)?.clientAccount ?? '';
   }
 
   /** A request was served, or released from quarantine. */
   clear(request: string): void {
-    this.held.delete(request);
-    for (const loss of [...this.silent]) {
-      if (loss.request === request) this.silent.delete(loss);
+    this.attributed.delete(request);
+    for (const loss of [...this.unresponsive]) {
+      if (loss.request === request) this.unresponsive.delete(loss);
     }
   }
 
-  private async awaitLifeEnd(loss: RequestLoss): Promise<void> {
+  private async awaitIncarnationEnd(loss: RequestLoss): Promise<void> {
     const {clock, targets, ledger} = this.options;
     const {request, target} = loss;
     const atMs = clock.now();
@@ -160,86 +166,88 @@
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
     await sleep(clock, INCARNATION_CHECK_MS - LOSS_DIAGNOSIS_MS);
     const hasEnded = !targets.knows(target) && target.lastSeenMs < atMs;
-    if (!hasEnded || !this.silent.has(loss)) return;
+    if (!hasEnded || !this.unresponsive.has(loss)) return;
     ledger.note({request, life: lifeOf(target.record)});
-    this.close(loss, LossCause.UNEXPLAINED);
+    this.recordCause(loss, LossCause.UNEXPLAINED);
   }
 
-  private async settled(request: string): Promise<void> {
-    const open = [...this.diagnoses].filter(([key]) => key.startsWith(request));
-    await Promise.all(open.map(([, end]) => end));
+  private async awaitDiagnoses(request: string): Promise<void> {
+    const pending = [...this.diagnoses].filter(([key]) =>
+      key.startsWith(request),
+    );
+    await Promise.all(pending.map(([, diagnosis]) => diagnosis));
   }
 
-  private async lookInto(loss: RequestLoss): Promise<void> {
+  private async findCause(loss: RequestLoss): Promise<void> {
     const {clock, prober} = this.options;
     const atMs = clock.now();
-    const timeIsOver = sleep(clock, LOSS_DIAGNOSIS_MS);
-    const lives = await Promise.race([
+    const timeout = sleep(clock, LOSS_DIAGNOSIS_MS);
+    const isAlive = await Promise.race([
       prober.isAliveSince(loss.target, atMs),
-      timeIsOver.then(() => false),
+      timeout.then(() => false),
     ]);
-    if (lives) {
-      this.close(loss, LossCause.TARGET_ALIVE);
+    if (isAlive) {
+      this.recordCause(loss, LossCause.TARGET_ALIVE);
       return;
     }
-    await timeIsOver;
-    this.close(loss, this.causeOf(loss, atMs));
+    await timeout;
+    this.recordCause(loss, this.causeOf(loss, atMs));
   }
 
   private causeOf(loss: RequestLoss, atMs: number): LossCause {
-    const {request, target, startedMs: beganMs} = loss;
+    const {request, target, startedMs} = loss;
     const {ledger, targets} = this.options;
     if (target.lastSeenMs > atMs + IN_FLIGHT_DATA_MS)
       return LossCause.TARGET_ALIVE;
-    const isFall = fellTogether({
+    const isOutage = fellTogether({
       lost: target,
       lostAtMs: atMs,
       targets: targets.all(),
-      endedBefore: ledger.livesBefore(request, beganMs),
+      endedBefore: ledger.livesBefore(request, startedMs),
     });
-    return isFall ? LossCause.DATA_CENTRE_OUTAGE : LossCause.UNEXPLAINED;
+    return isOutage ? LossCause.DATA_CENTRE_OUTAGE : LossCause.UNEXPLAINED;
   }
 
-  private close(loss: RequestLoss, cause: LossCause): void {
-    const {ledger, metrics, onChanged: onNews} = this.options;
+  private recordCause(loss: RequestLoss, cause: LossCause): void {
+    const {ledger, metrics, onChanged} = this.options;
     const key = {request: loss.request, life: lifeOf(loss.target.record)};
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
-    this.tell('cause of loss', loss, {cause});
+    this.log('cause of loss', loss, {cause});
     if (cause === LossCause.DATA_CENTRE_OUTAGE) ledger.noteFall(key);
     else if (cause === LossCause.TARGET_ALIVE) ledger.dismiss(key);
-    else this.hold(loss);
-    onNews();
+    else this.attribute(loss);
+    onChanged();
   }
 
-  private isHeld({request, target}: RequestLoss): boolean {
-    return this.held.get(request)?.targets.has(target) === true;
+  private isAttributed({request, target}: RequestLoss): boolean {
+    return this.attributed.get(request)?.targets.has(target) === true;
   }
 
-  private hold({request, clientAccount, target}: RequestLoss): void {
+  private attribute({request, clientAccount, target}: RequestLoss): void {
     this.options.ledger.settle({request, life: lifeOf(target.record)});
-    const targets = this.held.get(request)?.targets ?? new Set<Target>();
-    this.held.set(request, {clientAccount, targets: targets.add(target)});
-    dropOldest({entries: this.held, most: MAX_HELD});
+    const targets = this.attributed.get(request)?.targets ?? new Set<Target>();
+    this.attributed.set(request, {clientAccount, targets: targets.add(target)});
+    dropOldest({entries: this.attributed, most: MAX_ATTRIBUTED_REQUESTS});
   }
 
   /** A target that still lives was not ended by the request. */
-  private async askHeldAgain(request: string): Promise<void> {
+  private async probeAttributed(request: string): Promise<void> {
     const {ledger, prober, clock, targets} = this.options;
     const nowMs = clock.now();
-    const held = [...(this.held.get(request)?.targets ?? [])];
-    const known = held.filter(
+    const attributed = [...(this.attributed.get(request)?.targets ?? [])];
+    const probeable = attributed.filter(
       (target) => targets.knows(target) && prober.reportsStartTime(target),
     );
     await Promise.all(
-      known.map(async (target) => {
+      probeable.map(async (target) => {
         if (!(await prober.isAliveSince(target, nowMs))) return;
-        this.held.get(request)?.targets.delete(target);
+        this.attributed.get(request)?.targets.delete(target);
         ledger.dismiss({request, life: lifeOf(target.record)});
       }),
     );
   }
 
-  private tell(
+  private log(
     message: string,
     {id, request, target}: RequestLoss,
     fields: {held?: number; cause?: LossCause},
--- a/src/direct/poison/loss-sync.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -40,16 +40,16 @@
 export class LossSync {
   private readonly follower: Follower<LossNotes>;
   private timer?: TimerHandle;
-  private waiting: Array<() => void> = [];
-  private written = '';
-  private lastMs = Number.NEGATIVE_INFINITY;
-  private hasAdopted = false;
+  private flushWaiters: Array<() => void> = [];
+  private lastWritten = '';
+  private lastWriteMs = Number.NEGATIVE_INFINITY;
+  private hasLoadedAll = false;
   private isWriting = false;
   private isStopped = false;
 
   constructor(private readonly options: LossSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new StoreOutageLog({what: 'losses', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'losses', clock, logger});
     this.follower = new Follower({
       source,
       clock,
@@ -57,17 +57,18 @@
       waitMs: POISON_LONG_POLL_MS,
       paceMs: LOSS_READ_INTERVAL_MS,
       listener: {
-        onSnapshot: (items) => this.takeAll(items),
-        onChanges: (changes) => changes.forEach((change) => this.take(change)),
-        onConfirmed: () => contact.recordSuccess(),
-        onLost: (err) => contact.recordFailure(err),
+        onSnapshot: (items) => this.applySnapshot(items),
+        onChanges: (changes) =>
+          changes.forEach((change) => this.applyItem(change)),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onLost: (err) => outageLog.recordFailure(err),
       },
     });
   }
 
   /** Whether the notes of all entries have been read once. */
   get hasLoaded(): boolean {
-    return this.hasAdopted;
+    return this.hasLoadedAll;
   }
 
   start(): void {
@@ -78,17 +79,17 @@
     this.isStopped = true;
     this.follower.stop();
     this.timer?.cancel();
-    this.release();
+    this.resolveFlushes();
   }
 
   /** Writes what is known now, soon. */
   publish(): void {
     // What an earlier life of this entry had left must not be overwritten.
-    if (this.isStopped || !this.hasAdopted) return;
+    if (this.isStopped || !this.hasLoadedAll) return;
     if (this.isWriting || this.timer !== undefined) return;
     const dueMs =
-      this.lastMs + LOSS_WRITE_INTERVAL_MS - this.options.clock.now();
-    this.writeIn(Math.max(0, dueMs));
+      this.lastWriteMs + LOSS_WRITE_INTERVAL_MS - this.options.clock.now();
+    this.scheduleWrite(Math.max(0, dueMs));
   }
 
   /** Waits until the store has what is known now, or for a time. */
@@ -100,14 +101,14 @@
         delayMs: limitMs,
         run: resolve,
       });
-      this.waiting.push(() => {
+      this.flushWaiters.push(() => {
         limit.cancel();
         resolve();
       });
     });
   }
 
-  private writeIn(delayMs: number): void {
+  private scheduleWrite(delayMs: number): void {
     this.timer = this.options.clock.schedule({
       delayMs,
       run: () => {
@@ -118,66 +119,66 @@
   }
 
   private async write(): Promise<void> {
-    const {vm, ledger, records: notes, clock, logger} = this.options;
+    const {vm, ledger, records, clock, logger} = this.options;
     const value = ledger.toNotes();
     const text = JSON.stringify(value);
-    if (text === this.written || this.isNothingNew(value)) {
-      this.release();
+    if (text === this.lastWritten || this.hasNothingToWrite(value)) {
+      this.resolveFlushes();
       return;
     }
     this.isWriting = true;
-    this.lastMs = clock.now();
-    const written = await notes.replace(vm, value);
+    this.lastWriteMs = clock.now();
+    const written = await records.replace(vm, value);
     this.isWriting = false;
     if (this.isStopped) return;
     if (written.isErr()) {
       const {kind, detail} = written.error;
       logger.warn('losses not written', {kind, detail});
-      this.writeIn(STORE_WRITE_RETRY_MS);
+      this.scheduleWrite(STORE_WRITE_RETRY_MS);
       return;
     }
-    this.written = text;
+    this.lastWritten = text;
     const hasChanged = JSON.stringify(ledger.toNotes()) !== text;
     if (hasChanged) this.publish();
-    else this.release();
+    else this.resolveFlushes();
   }
 
   /** Nothing was ever told, and there is nothing to tell. */
-  private isNothingNew({losses, harmless}: LossNotes): boolean {
-    return this.written === '' && losses.length + harmless.length === 0;
+  private hasNothingToWrite({losses, harmless}: LossNotes): boolean {
+    return this.lastWritten === '' && losses.length + harmless.length === 0;
   }
 
-  private release(): void {
-    for (const resolve of this.waiting.splice(0)) resolve();
+  private resolveFlushes(): void {
+    for (const resolve of this.flushWaiters.splice(0)) resolve();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<LossNotes>>): void {
+  private applySnapshot(items: ReadonlyArray<SourceItem<LossNotes>>): void {
     const {vm, ledger} = this.options;
     const present = new Set(items.map(({name}) => name));
     for (const name of ledger.toldBy) {
       if (!present.has(name)) ledger.forget(name);
     }
-    for (const item of items) this.take(item);
-    if (this.hasAdopted) return;
-    this.hasAdopted = true;
+    for (const item of items) this.applyItem(item);
+    if (this.hasLoadedAll) return;
+    this.hasLoadedAll = true;
     const own = items.find(({name}) => name === vm)?.value;
-    if (own !== undefined) this.adopt(own);
+    if (own !== undefined) this.restoreOwn(own);
     this.publish();
   }
 
-  private adopt(own: LossNotes): void {
+  private restoreOwn(own: LossNotes): void {
     this.options.ledger.adopt(own);
-    this.written = JSON.stringify(own);
+    this.lastWritten = JSON.stringify(own);
   }
 
-  private take({name, value}: SourceItem<LossNotes>): void {
-    const {vm, ledger, onReceived: onLearned} = this.options;
+  private applyItem({name, value}: SourceItem<LossNotes>): void {
+    const {vm, ledger, onReceived} = this.options;
     if (name === vm) return;
     if (value === undefined) {
       ledger.forget(name);
       return;
     }
     ledger.learn(name, value);
-    onLearned(value.losses.map(({request}) => request));
+    onReceived(value.losses.map(({request}) => request));
   }
 }
--- a/src/direct/poison/loss-tracker.ts
+++ b/src/direct/poison/loss-tracker.ts
@@ -35,7 +35,7 @@
     this.sync = new LossSync({
       ...options,
       ledger: this.ledger,
-      onReceived: (requests) => this.judge(requests),
+      onReceived: (requests) => this.diagnoseOwn(requests),
     });
     quarantine.subscribe((fingerprint, {crashes}) => {
       this.ledger.explain(fingerprint, crashes);
@@ -56,7 +56,7 @@
   }
 
   /** With what others saw, a request of this entry's may be found out. */
-  private judge(requests: readonly string[]): void {
+  private diagnoseOwn(requests: readonly string[]): void {
     const {quarantine} = this.options;
     for (const request of new Set(requests)) {
       const isOwn = this.diagnosis.hasAttributed(request);
--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -25,7 +25,7 @@
   private readonly work: DirectWork;
   private readonly unsubscribe: () => void;
   private cachedFingerprint?: string;
-  private hasLost = false;
+  private hasLostTarget = false;
 
   constructor(options: {
     ctx: DirectContext;
@@ -36,67 +36,67 @@
     this.ctx = options.ctx;
     this.work = options.work;
     this.unsubscribe = this.ctx.quarantine.subscribe((fingerprint) => {
-      if (fingerprint === this.identify()) options.onPoison();
+      if (fingerprint === this.computeFingerprint()) options.onPoison();
     });
   }
 
   /** Whether the request is known to end its targets. */
   isPoison(): boolean {
     const {quarantine} = this.ctx;
-    return !quarantine.isEmpty && quarantine.has(this.identify());
+    return !quarantine.isEmpty && quarantine.has(this.computeFingerprint());
   }
 
   /** Whether it is to be found out first if the request is poison. */
   mayBePoison(): boolean {
     const {ledger} = this.ctx.lossTracker;
-    return !ledger.isEmpty && ledger.mayBePoison(this.identify());
+    return !ledger.isEmpty && ledger.mayBePoison(this.computeFingerprint());
   }
 
   /** Whether the request is to be sent on with care, and apart from others. */
   isSuspect(): boolean {
     const {ledger} = this.ctx.lossTracker;
-    return !ledger.isEmpty && ledger.isSuspect(this.identify());
+    return !ledger.isEmpty && ledger.isSuspect(this.computeFingerprint());
   }
 
   /** What suspects are kept apart by. */
   get fingerprint(): string {
-    return this.identify();
+    return this.computeFingerprint();
   }
 
   /** A target was lost that may have begun the request. */
-  recordLoss(run: TargetAttempt): void {
-    this.hasLost = true;
-    this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(run));
+  recordLoss(attempt: TargetAttempt): void {
+    this.hasLostTarget = true;
+    this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(attempt));
   }
 
   /** The request is taken from a target that has not answered. */
-  recordUnresponsive(run: TargetAttempt): void {
+  recordUnresponsive(attempt: TargetAttempt): void {
     const {diagnosis} = this.ctx.lossTracker;
-    const loss = this.toLoss(run);
+    const loss = this.toLoss(attempt);
     // Its end may not have been seen yet, as that of the one before was.
-    if (this.hasLost) diagnosis.diagnose(loss);
+    if (this.hasLostTarget) diagnosis.diagnose(loss);
     else diagnosis.watchUnresponsive(loss);
   }
 
   /** One target has served the whole request, and lives on. */
   recordServed(): void {
-    const {ledger, diagnosis, sync: share} = this.ctx.lossTracker;
+    const {ledger, diagnosis, sync} = this.ctx.lossTracker;
     if (ledger.isEmpty && diagnosis.isIdle) return;
-    const request = this.identify();
-    if (ledger.noteServed(request)) share.publish();
+    const request = this.computeFingerprint();
+    if (ledger.noteServed(request)) sync.publish();
     diagnosis.clear(request);
   }
 
   /** The request ends here; without an answer it may come elsewhere. */
   close(): void {
     this.unsubscribe();
-    if (this.hasLost) this.ctx.lossTracker.sync.publish();
+    if (this.hasLostTarget) this.ctx.lossTracker.sync.publish();
   }
 
   /** Whether the request may be sent, once the causes are known. */
   async maySend(): Promise<boolean> {
     const {diagnosis} = this.ctx.lossTracker;
-    return !(await diagnosis.isPoison(this.describe()));
+    return !(await diagnosis.isPoison(this.requestFields()));
   }
 
   /**
@@ -104,26 +104,30 @@
    * its losses first, and are heard.
    */
   async mayRetry(): Promise<boolean> {
-    const {sync: share} = this.ctx.lossTracker;
+    const {sync} = this.ctx.lossTracker;
     if (!(await this.maySend())) return false;
     if (!this.isSuspect()) return true;
-    await share.flush(FLUSH_TIMEOUT_MS);
+    await sync.flush(FLUSH_TIMEOUT_MS);
     await sleep(this.ctx.clock, REMOTE_LOSSES_WAIT_MS);
     return !this.mayBePoison() || this.maySend();
   }
 
   private toLoss({target, startedMs: beganMs}: TargetAttempt): RequestLoss {
-    return {...this.describe(), target, startedMs: beganMs};
+    return {...this.requestFields(), target, startedMs: beganMs};
   }
 
-  private describe() {
+  private requestFields() {
     const {req, admitted} = this.work;
     const clientAccount = admitted.account?.clientAccount ?? '';
-    return {id: req.attemptId, request: this.identify(), clientAccount};
+    return {
+      id: req.attemptId,
+      request: this.computeFingerprint(),
+      clientAccount,
+    };
   }
 
   /** A caller's retry has the same account, path and body. */
-  private identify(): string {
+  private computeFingerprint(): string {
     const {req, admitted} = this.work;
     const clientAccount = admitted.account?.clientAccount ?? '';
     this.cachedFingerprint ??= fingerprintOf({
--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -17,7 +17,7 @@
 import {StoreOutageLog} from '../store-outage-log.js';
 
 /** An entry that only heard of a culprit waits this much longer. */
-const HEARD_FACTOR = 2;
+const REMOTE_EXPIRY_FACTOR = 2;
 
 /** What the entries' common quarantine is made from. */
 export interface QuarantineSyncOptions {
@@ -45,17 +45,17 @@
 
   constructor(private readonly options: QuarantineSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new StoreOutageLog({what: 'quarantine', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'quarantine', clock, logger});
     this.follower = new Follower({
       source,
       clock,
       random,
       waitMs: POISON_LONG_POLL_MS,
       listener: {
-        onSnapshot: (items) => this.takeAll(items),
-        onChanges: (changes) => this.takeChanges(changes),
-        onConfirmed: () => contact.recordSuccess(),
-        onLost: (err) => contact.recordFailure(err),
+        onSnapshot: (items) => this.applySnapshot(items),
+        onChanges: (changes) => this.applyChanges(changes),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onLost: (err) => outageLog.recordFailure(err),
       },
     });
   }
@@ -63,14 +63,14 @@
   start(): void {
     const {quarantine, logger} = this.options;
     quarantine.subscribe((fingerprint, culprit) => {
-      const isHeard = this.stored.has(fingerprint);
+      const isFromStore = this.stored.has(fingerprint);
       logger.warn('request quarantined', {
         fingerprint,
         clientAccount: culprit.clientAccount,
         engines: culprit.crashes.join(','),
-        isHeard,
+        isHeard: isFromStore,
       });
-      if (!isHeard) void this.share(fingerprint, culprit);
+      if (!isFromStore) void this.store(fingerprint, culprit);
     });
     this.follower.start();
   }
@@ -81,50 +81,55 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<Culprit>>): void {
+  private applySnapshot(items: ReadonlyArray<SourceItem<Culprit>>): void {
     const present = new Set(items.map(({name}) => name));
     for (const name of [...this.stored]) {
-      if (!present.has(name)) this.release(name);
+      if (!present.has(name)) this.removeStored(name);
     }
-    for (const {name, value} of items) this.learn(name, value);
+    for (const {name, value} of items) this.addStored(name, value);
   }
 
-  private takeChanges(changes: ReadonlyArray<SourceChange<Culprit>>): void {
+  private applyChanges(changes: ReadonlyArray<SourceChange<Culprit>>): void {
     for (const {name, value, isDeleted} of changes) {
-      if (isDeleted) this.release(name);
-      else this.learn(name, value);
+      if (isDeleted) this.removeStored(name);
+      else this.addStored(name, value);
     }
   }
 
-  private learn(fingerprint: string, culprit: Culprit | undefined): void {
+  private addStored(fingerprint: string, culprit: Culprit | undefined): void {
     if (culprit === undefined || this.stored.has(fingerprint)) return;
     this.stored.add(fingerprint);
     this.options.quarantine.add({fingerprint, culprit});
     // Whoever left the note may be gone when its time is over.
-    void this.expire(fingerprint, QUARANTINE_MS * HEARD_FACTOR);
+    void this.removeAfter(fingerprint, QUARANTINE_MS * REMOTE_EXPIRY_FACTOR);
   }
 
-  private release(fingerprint: string): void {
+  private removeStored(fingerprint: string): void {
     this.stored.delete(fingerprint);
     this.options.quarantine.remove(fingerprint);
   }
 
-  private async share(fingerprint: string, culprit: Culprit): Promise<void> {
-    const {records: notes} = this.options;
-    await this.insist(() => notes.put(fingerprint, culprit));
+  private async store(fingerprint: string, culprit: Culprit): Promise<void> {
+    const {records} = this.options;
+    await this.retryUntilWritten(() => records.put(fingerprint, culprit));
     this.stored.add(fingerprint);
-    await this.expire(fingerprint, QUARANTINE_MS);
+    await this.removeAfter(fingerprint, QUARANTINE_MS);
   }
 
   /** Takes a note away after a time; its deletion releases the request. */
-  private async expire(fingerprint: string, delayMs: number): Promise<void> {
+  private async removeAfter(
+    fingerprint: string,
+    delayMs: number,
+  ): Promise<void> {
     await this.sleep(delayMs);
     if (!this.stored.has(fingerprint)) return;
-    await this.insist(() => this.options.records.remove(fingerprint));
+    await this.retryUntilWritten(() =>
+      this.options.records.remove(fingerprint),
+    );
   }
 
   /** Writes until the store takes it. */
-  private async insist(
+  private async retryUntilWritten(
     write: () => ReturnType<SharedNotes<Culprit>['remove']>,
   ): Promise<void> {
     const {logger} = this.options;
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -28,7 +28,7 @@
  */
 export class Prober {
   private readonly probes = new WeakMap<Target, Probe>();
-  private readonly sweptMs = new Map<string, number>();
+  private readonly dataCentreProbedMs = new Map<string, number>();
 
   constructor(
     private readonly options: {
@@ -46,13 +46,13 @@
   /** Whether a target answers; an engine that does not is paused. */
   isAlive(target: Target): Promise<boolean> {
     const nowMs = this.options.clock.now();
-    const earlier = this.probes.get(target);
-    if (earlier !== undefined && nowMs - earlier.startedMs < PROBE_CACHE_MS) {
-      return earlier.outcome;
+    const cached = this.probes.get(target);
+    if (cached !== undefined && nowMs - cached.startedMs < PROBE_CACHE_MS) {
+      return cached.outcome;
     }
     const outcome = this.options.isEngine(target)
       ? this.probe(target)
-      : this.isHealthy(target);
+      : this.checkHealth(target);
     this.probes.set(target, {startedMs: nowMs, outcome});
     return outcome;
   }
@@ -61,8 +61,8 @@
    * Whether a target shows, later than `sinceMs`, that it is there.
    */
   isAliveSince(target: Target, sinceMs: number): Promise<boolean> {
-    const earlier = this.probes.get(target);
-    if (earlier === undefined || earlier.startedMs < sinceMs) {
+    const cached = this.probes.get(target);
+    if (cached === undefined || cached.startedMs < sinceMs) {
       this.probes.delete(target);
     }
     return this.isAlive(target);
@@ -86,17 +86,17 @@
     const {dataCentre, service} = lost.record;
     const key = `${dataCentre} ${service}`;
     const nowMs = clock.now();
-    const lastMs = this.sweptMs.get(key) ?? Number.NEGATIVE_INFINITY;
+    const lastMs = this.dataCentreProbedMs.get(key) ?? Number.NEGATIVE_INFINITY;
     if (nowMs - lastMs < DATA_CENTRE_PROBE_INTERVAL_MS) return;
-    this.sweptMs.set(key, nowMs);
+    this.dataCentreProbedMs.set(key, nowMs);
     for (const target of targets.ofService(service)) {
-      const isBeside = target.record.dataCentre === dataCentre;
-      if (isBeside && !target.isPaused()) void this.isAlive(target);
+      const isInDataCentre = target.record.dataCentre === dataCentre;
+      if (isInDataCentre && !target.isPaused()) void this.isAlive(target);
     }
   }
 
   /** The time limit also covers the opening of a connection. */
-  private reportInTime(target: Target): Promise<Result<ReportedLoad, string>> {
+  private requestReport(target: Target): Promise<Result<ReportedLoad, string>> {
     const {client, clock} = this.options;
     return new Promise((resolve) => {
       const timer = clock.schedule({
@@ -122,21 +122,21 @@
     });
   }
 
-  private async isHealthy(target: Target): Promise<boolean> {
+  private async checkHealth(target: Target): Promise<boolean> {
     const path = this.options.healthPathOf(target);
     if (path === undefined) return false;
-    const answer = await this.options.client.askHealth({
+    const health = await this.options.client.askHealth({
       target: target.record,
       path,
       timeoutMs: PROBE_TIMEOUT_MS,
     });
-    return answer.isOk() && answer.value === target.id;
+    return health.isOk() && health.value === target.id;
   }
 
   private async probe(target: Target): Promise<boolean> {
     const {logger} = this.options;
-    const report = await this.reportInTime(target);
-    if (report.isOk() && isAnotherLife(target, report.value)) {
+    const report = await this.requestReport(target);
+    if (report.isOk() && isOtherIncarnation(target, report.value)) {
       target.noteGone();
       logger.info('target was replaced', {
         target: target.id,
@@ -161,7 +161,7 @@
 }
 
 /** Another target, or a restarted one, has the address now. */
-function isAnotherLife({record}: Target, {bornMs}: ReportedLoad): boolean {
-  const isTold = bornMs !== undefined && record.bornMs !== undefined;
-  return isTold && bornMs !== record.bornMs;
+function isOtherIncarnation({record}: Target, {bornMs}: ReportedLoad): boolean {
+  const isReported = bornMs !== undefined && record.bornMs !== undefined;
+  return isReported && bornMs !== record.bornMs;
 }
--- a/src/direct/service-retry-budgets.ts
+++ b/src/direct/service-retry-budgets.ts
@@ -27,7 +27,7 @@
  */
 export class ServiceRetryBudgets {
   private readonly losses: RetryBudgets;
-  private readonly unwritten: RetryBudgets;
+  private readonly noOutput: RetryBudgets;
   private readonly rejections: RetryBudgets;
 
   constructor(
@@ -43,7 +43,7 @@
       floor: MIN_LOSS_RETRIES,
       reserve,
     });
-    this.unwritten = new RetryBudgets({
+    this.noOutput = new RetryBudgets({
       clock,
       floor: MIN_NO_OUTPUT_RETRIES,
       reserve,
@@ -61,10 +61,10 @@
     service: string;
     reason: RetryReason;
     /** Whether the lost run had written for the request. */
-    hadWritten?: boolean;
+    hadOutput?: boolean;
   }): boolean {
-    const {service, reason, hadWritten = false} = options;
-    const [losses, unwritten, rejections] = this.budgetsOf(service);
+    const {service, reason, hadOutput: hadWritten = false} = options;
+    const [losses, noOutput, rejections] = this.budgetsOf(service);
     switch (reason) {
       case RetryReason.NOT_SENT:
         // Nothing reached the target, so nothing is repeated.
@@ -72,7 +72,7 @@
       case RetryReason.TARGET_REFUSED:
         return rejections.tryRetry();
       default:
-        if (!hadWritten && !unwritten.tryRetry()) return false;
+        if (!hadWritten && !noOutput.tryRetry()) return false;
         return losses.tryRetry();
     }
   }
@@ -83,7 +83,7 @@
     const rejectionRatio = ratio * REJECTION_BUDGET_SHARE;
     return [
       this.losses.of({name, retryRatio: lossRatio}),
-      this.unwritten.of({name, retryRatio: lossRatio}),
+      this.noOutput.of({name, retryRatio: lossRatio}),
       this.rejections.of({name, retryRatio: rejectionRatio}),
     ] as const;
   }
--- a/src/direct/settings-watcher.ts
+++ b/src/direct/settings-watcher.ts
@@ -8,7 +8,7 @@
 import type {DirectSettings} from '../core/settings/direct-settings.js';
 
 /** How often the file is compared with what is in force, in milliseconds. */
-const CHECK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 
 /**
  * Reads the settings file anew on a signal, and when its text has changed
@@ -37,7 +37,7 @@
   start(): void {
     const {clock} = this.options;
     const run = () => void this.check();
-    this.timer = clock.repeat({periodMs: CHECK_MS, run});
+    this.timer = clock.repeat({periodMs: CHECK_INTERVAL_MS, run});
   }
 
   stop(): void {
@@ -58,10 +58,10 @@
     const isFirst = this.text === undefined;
     if (text === this.text) return;
     this.text = text;
-    if (!isFirst) this.take(text);
+    if (!isFirst) this.apply(text);
   }
 
-  private take(text: string): void {
+  private apply(text: string): void {
     const {parse, onSettings, logger} = this.options;
     const settings = parse(text);
     if (settings.isErr()) {
--- a/src/direct/store-outage-log.ts
+++ b/src/direct/store-outage-log.ts
@@ -13,7 +13,7 @@
  * contact.noteHeard();
  */
 export class StoreOutageLog {
-  private lostMs?: number;
+  private lostSinceMs?: number;
   private failures = 0;
 
   constructor(
@@ -28,17 +28,17 @@
   recordFailure(err: SourceError): void {
     const {what, clock, logger} = this.options;
     this.failures++;
-    if (this.lostMs !== undefined) return;
-    this.lostMs = clock.now();
+    if (this.lostSinceMs !== undefined) return;
+    this.lostSinceMs = clock.now();
     logger.warn('store lost', {what, kind: err.kind, detail: err.detail});
   }
 
   recordSuccess(): void {
     const {what, clock, logger} = this.options;
-    if (this.lostMs === undefined) return;
-    const lostForMs = Math.round(clock.now() - this.lostMs);
+    if (this.lostSinceMs === undefined) return;
+    const lostForMs = Math.round(clock.now() - this.lostSinceMs);
     logger.info('store is back', {what, lostForMs, failures: this.failures});
-    this.lostMs = undefined;
+    this.lostSinceMs = undefined;
     this.failures = 0;
   }
 }
--- a/src/direct/streams/kv-cache-replicator.ts
+++ b/src/direct/streams/kv-cache-replicator.ts
@@ -36,18 +36,18 @@
 export class KvCacheReplicator {
   private current?: KvCacheCopy;
   /** Whether the copy has to be brought up to date by calls. */
-  private isAsked = false;
-  private isBusy = false;
+  private isCopyRequested = false;
+  private isRequesting = false;
   private isOver = false;
-  private askedMs: number;
+  private requestedMs: number;
 
   constructor(private readonly options: KvCacheReplicatorOptions) {
-    const {ctx, work, chooseHolder: choose} = options;
-    this.askedMs = ctx.clock.now();
-    const holder = choose();
+    const {ctx, work, chooseHolder} = options;
+    this.requestedMs = ctx.clock.now();
+    const holder = chooseHolder();
     if (holder === undefined) return;
     const reference = {address: holder.record.address, id: work.req.attemptId};
-    this.take({holder, reference});
+    this.setCopy({holder, reference});
   }
 
   /** The newest copy, wherever it is. */
@@ -57,17 +57,18 @@
 
   /** Looks after the copy; to be called while the run writes. */
   check(): void {
-    if (this.isBusy || this.current === undefined) return;
+    if (this.isRequesting || this.current === undefined) return;
     const {holder} = this.current;
-    const ageMs = this.options.ctx.clock.now() - this.askedMs;
-    const isSound = canResumeAt(holder) && !holder.record.isLeaving;
-    if (isSound) {
-      if (this.isAsked && ageMs >= COPY_REFRESH_MS) void this.ask(holder);
+    const ageMs = this.options.ctx.clock.now() - this.requestedMs;
+    const isUsable = canResumeAt(holder) && !holder.record.isLeaving;
+    if (isUsable) {
+      if (this.isCopyRequested && ageMs >= COPY_REFRESH_MS)
+        void this.requestCopy(holder);
       return;
     }
     if (ageMs < COPY_RETRY_MS) return;
     const next = this.options.chooseHolder();
-    if (next !== undefined && canResumeAt(next)) void this.ask(next);
+    if (next !== undefined && canResumeAt(next)) void this.requestCopy(next);
   }
 
   /** The run is over; or it is lost, and its copy is needed. */
@@ -76,11 +77,11 @@
     if (this.current === undefined) return;
     this.current.holder.removeCopy(this.options.tokens);
     // The runner itself frees the copy that it made with the request.
-    const isLeftOver = this.isAsked && !options.isNeeded;
-    if (isLeftOver) this.free(this.current.reference.id);
+    const mustFree = this.isCopyRequested && !options.isNeeded;
+    if (mustFree) this.freeCopy(this.current.reference.id);
   }
 
-  private free(id: string): void {
+  private freeCopy(id: string): void {
     const {ctx, runner, work} = this.options;
     void ctx.client.freeCopy({runner: runner.record, id}).mapErr((detail) => {
       const {attemptId} = work.req;
@@ -88,19 +89,19 @@
     });
   }
 
-  private async ask(holder: Target): Promise<void> {
+  private async requestCopy(holder: Target): Promise<void> {
     const {ctx, work, runner} = this.options;
-    this.isBusy = true;
-    this.askedMs = ctx.clock.now();
+    this.isRequesting = true;
+    this.requestedMs = ctx.clock.now();
     const {attemptId} = work.req;
     const handle = await ctx.client.copyRun({
       runner: runner.record,
       attemptId,
       to: holder.record.address,
     });
-    this.isBusy = false;
+    this.isRequesting = false;
     if (this.isOver) {
-      if (handle.isOk()) this.free(handle.value);
+      if (handle.isOk()) this.freeCopy(handle.value);
       return;
     }
     if (handle.isErr()) {
@@ -112,12 +113,12 @@
       });
       return;
     }
-    this.isAsked = true;
+    this.isCopyRequested = true;
     const {address} = runner.record;
-    this.take({holder, reference: {address, id: handle.value}});
+    this.setCopy({holder, reference: {address, id: handle.value}});
   }
 
-  private take(copy: KvCacheCopy): void {
+  private setCopy(copy: KvCacheCopy): void {
     const {tokens} = this.options;
     this.current?.holder.removeCopy(tokens);
     copy.holder.addCopy(tokens);
--- a/src/direct/streams/stall-detector.ts
+++ b/src/direct/streams/stall-detector.ts
@@ -23,7 +23,7 @@
  */
 export class StallDetector {
   private events = 0;
-  private lastMs: number;
+  private lastEventMs: number;
   private widestGapMs = 0;
   private timer?: TimerHandle;
   private isOver = false;
@@ -37,20 +37,20 @@
       onStalled: StallListener;
     },
   ) {
-    this.lastMs = options.ctx.clock.now();
+    this.lastEventMs = options.ctx.clock.now();
   }
 
   /** Begins to watch; the target is first asked after `firstCheckMs`. */
   start(firstCheckMs: number): void {
-    this.waitFor(firstCheckMs, () => void this.checkReading());
+    this.schedule(firstCheckMs, () => void this.checkPrefill());
   }
 
   recordEvent(): void {
     const nowMs = this.options.ctx.clock.now();
-    if (this.events > 0) this.noteGap(nowMs - this.lastMs);
+    if (this.events > 0) this.recordGap(nowMs - this.lastEventMs);
     this.events++;
-    this.lastMs = nowMs;
-    if (this.events === 1) this.watchGap();
+    this.lastEventMs = nowMs;
+    if (this.events === 1) this.watchSilence();
   }
 
   stop(): void {
@@ -58,55 +58,55 @@
     this.timer?.cancel();
   }
 
-  private noteGap(gapMs: number): void {
+  private recordGap(gapMs: number): void {
     this.options.target.noteGap(gapMs);
     this.widestGapMs = Math.max(this.widestGapMs * GAP_DECAY, gapMs);
   }
 
-  private async checkReading(): Promise<void> {
-    const isAlive = await this.askTarget();
+  private async checkPrefill(): Promise<void> {
+    const isAlive = await this.probeTarget();
     if (this.isOver || this.events > 0) return;
     if (isAlive) this.start(PREFILL_CHECK_MS);
-    else this.lose();
+    else this.reportStall();
   }
 
   /** Waits until the present gap has become suspicious. */
-  private watchGap(): void {
-    const leftMs = suspectLimitMs(this.facts()) - this.silentMs();
-    if (leftMs <= 0) void this.lookInto();
-    else this.waitFor(leftMs, () => this.watchGap());
+  private watchSilence(): void {
+    const leftMs = suspectLimitMs(this.limitOptions()) - this.silentMs();
+    if (leftMs <= 0) void this.probeSilent();
+    else this.schedule(leftMs, () => this.watchSilence());
   }
 
-  private async lookInto(): Promise<void> {
+  private async probeSilent(): Promise<void> {
     const {events} = this;
-    const isAlive = await this.askTarget();
+    const isAlive = await this.probeTarget();
     if (this.isOver) return;
-    if (this.events > events) this.watchGap();
-    else if (isAlive) this.awaitStall(events);
-    else this.lose();
+    if (this.events > events) this.watchSilence();
+    else if (isAlive) this.watchStall(events);
+    else this.reportStall();
   }
 
   /** The target is there, but it writes nothing. */
-  private awaitStall(events: number): void {
-    const leftMs = stallLimitMs(this.facts()) - this.silentMs();
-    if (this.events > events) this.watchGap();
-    else if (leftMs <= 0) this.lose();
-    else this.waitFor(leftMs, () => this.awaitStall(events));
+  private watchStall(events: number): void {
+    const leftMs = stallLimitMs(this.limitOptions()) - this.silentMs();
+    if (this.events > events) this.watchSilence();
+    else if (leftMs <= 0) this.reportStall();
+    else this.schedule(leftMs, () => this.watchStall(events));
   }
 
-  private askTarget(): Promise<boolean> {
+  private probeTarget(): Promise<boolean> {
     const {ctx, target} = this.options;
     return ctx.prober.isAlive(target);
   }
 
-  private lose(): void {
+  private reportStall(): void {
     const silentMs = Math.round(this.silentMs());
     this.stop();
     this.options.target.noteFailure();
     this.options.onStalled(silentMs);
   }
 
-  private waitFor(delayMs: number, run: () => void): void {
+  private schedule(delayMs: number, run: () => void): void {
     this.timer?.cancel();
     this.timer = this.options.ctx.clock.schedule({
       delayMs,
@@ -117,10 +117,10 @@
   }
 
   private silentMs(): number {
-    return this.options.ctx.clock.now() - this.lastMs;
+    return this.options.ctx.clock.now() - this.lastEventMs;
   }
 
-  private facts() {
+  private limitOptions() {
     const {maxPauseMs} = this.options;
     return {maxPauseMs, widestGapMs: this.widestGapMs};
   }
--- a/src/direct/streams/stream-attempt.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -72,15 +72,15 @@
  */
 export class StreamAttempt {
   readonly target: Target;
-  private readonly keeper: KvCacheReplicator;
+  private readonly replicator: KvCacheReplicator;
   private readonly work: TargetWork;
   private readonly exchange: Exchange;
-  private readonly watch: StallDetector;
+  private readonly stallDetector: StallDetector;
   private readonly splitter = new EventSplitter();
   /** The body of an answer that is no stream. */
   private readonly body = new ResponseBody();
   private head?: AnswerHead;
-  private count = 0;
+  private eventCount = 0;
   private isOver = false;
 
   constructor(private readonly options: StreamAttemptOptions) {
@@ -93,7 +93,7 @@
     } = options;
     this.target = target;
     this.work = target.begin({tokens});
-    this.keeper = new KvCacheReplicator({
+    this.replicator = new KvCacheReplicator({
       ctx,
       work: options.work,
       runner: target,
@@ -101,18 +101,18 @@
       chooseHolder: chooseCopy,
     });
     const {isResumable, maxPauseMs} = options.work.admitted.route;
-    this.watch = new StallDetector({
+    this.stallDetector = new StallDetector({
       ctx,
       target,
       maxPauseMs,
       onStalled: (silentMs) =>
-        this.lose({
+        this.reportLoss({
           reason: RetryReason.ENGINE_STALLED,
           detail: `silent for ${silentMs} ms`,
         }),
     });
     if (isResumable) {
-      this.watch.start(
+      this.stallDetector.start(
         copyFrom === undefined ? PREFILL_CHECK_MS : RESUME_CHECK_MS,
       );
     }
@@ -121,7 +121,7 @@
 
   /** The newest copy of the run's memory. */
   get copy(): KvCacheCopy | undefined {
-    return this.keeper.copy;
+    return this.replicator.copy;
   }
 
   /** When the request came to the target, on the process's clock. */
@@ -131,15 +131,15 @@
 
   /** Events that this target has written. */
   get events(): number {
-    return this.count;
+    return this.eventCount;
   }
 
   /** Ends the work at the target. */
   cancel(): void {
-    this.leave({copyIsNeeded: false});
+    this.stop({copyIsNeeded: false});
   }
 
-  private leave(options: {copyIsNeeded: boolean}): void {
+  private stop(options: {copyIsNeeded: boolean}): void {
     if (this.isOver) return;
     this.close(options);
     this.exchange.cancel();
@@ -147,7 +147,7 @@
 
   private send(): Exchange {
     const {ctx, work, target, lastEventId, copyFrom} = this.options;
-    const {hasDelivered: isUnderWay} = this.options;
+    const {hasDelivered} = this.options;
     const {route, account} = work.admitted;
     return ctx.client.send({
       target: target.record,
@@ -155,7 +155,7 @@
       req: toTargetRequest({
         work,
         leftMs: work.deadlineAtMs - ctx.clock.now(),
-        priority: urgencyClass({route, account, isUnderWay}),
+        priority: urgencyClass({route, account, isUnderWay: hasDelivered}),
         lastEventId: lastEventId?.toString(),
         copyTo: this.copy?.holder.record.address,
         copyFrom,
@@ -178,36 +178,36 @@
     if (this.isOver || this.head === undefined) return;
     if (this.head.status !== OK) {
       this.body.push(chunk);
-      if (this.body.isTooLarge) this.loseEndless();
+      if (this.body.isTooLarge) this.failOversized();
       return;
     }
     for (const event of this.splitter.push(chunk)) {
-      this.noteEvent();
+      this.recordEvent();
       this.options.listener.onEvent(this.head, event);
       // The listener may have left this target.
       if (this.isOver) return;
     }
-    if (this.splitter.pendingBytes > MAX_RESPONSE_BYTES) this.loseEndless();
+    if (this.splitter.pendingBytes > MAX_RESPONSE_BYTES) this.failOversized();
   }
 
   /** The target sends without end what is no event and no answer. */
-  private loseEndless(): void {
+  private failOversized(): void {
     const failure = ExchangeFailure.BROKEN;
     recordTargetFailure(this.target, failure);
-    this.lose({
+    this.reportLoss({
       reason: RetryReason.ENGINE_DIED,
       failure,
       detail: TOO_LARGE_DETAIL,
     });
   }
 
-  private noteEvent(): void {
-    this.count++;
+  private recordEvent(): void {
+    this.eventCount++;
     this.work.isReading = false;
     this.target.noteSeen();
     if (!this.options.work.admitted.route.isResumable) return;
-    this.watch.recordEvent();
-    this.keeper.check();
+    this.stallDetector.recordEvent();
+    this.replicator.check();
   }
 
   private onComplete(): void {
@@ -218,7 +218,7 @@
       this.options.listener.onOtherResponse(head, this.body.toBytes());
     } else if (this.splitter.pendingBytes > 0) {
       const reason = RetryReason.ENGINE_DIED;
-      this.lose({reason, detail: 'ended within an event'});
+      this.reportLoss({reason, detail: 'ended within an event'});
     } else {
       this.close({copyIsNeeded: false});
       this.target.noteSuccess();
@@ -231,18 +231,18 @@
     recordTargetFailure(this.target, failure);
     this.options.ctx.prober.probeDataCentreOf(this.target);
     const reason = retryReasonOf(failure, RetryReason.ENGINE_DIED);
-    this.lose({reason, failure, detail: `${failure}: ${detail}`});
+    this.reportLoss({reason, failure, detail: `${failure}: ${detail}`});
   }
 
-  private lose(loss: TargetLoss): void {
-    this.leave({copyIsNeeded: true});
+  private reportLoss(loss: TargetLoss): void {
+    this.stop({copyIsNeeded: true});
     this.options.listener.onLost(loss);
   }
 
   private close({copyIsNeeded}: {copyIsNeeded: boolean}): void {
     this.isOver = true;
-    this.watch.stop();
+    this.stallDetector.stop();
     this.target.end(this.work);
-    this.keeper.close({isNeeded: copyIsNeeded});
+    this.replicator.close({isNeeded: copyIsNeeded});
   }
 }
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -16,9 +16,9 @@
 export class StreamDelivery {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
-  private opened = false;
+  private isOpened = false;
   private isResuming = false;
-  private firstMs = 0;
+  private firstEventAfterMs = 0;
   private longestPauseMs = 0;
   private lastWrittenMs?: number;
 
@@ -29,43 +29,43 @@
 
   /** Whether the caller has got a part of the answer. */
   get isOpen(): boolean {
-    return this.opened;
+    return this.isOpened;
   }
 
   /** Time from the request to its first event, in milliseconds. */
   get firstEventMs(): number {
-    return this.firstMs;
+    return this.firstEventAfterMs;
   }
 
   /** The next event comes from another target. */
   markResumed(): void {
-    this.isResuming = this.opened;
+    this.isResuming = this.isOpened;
   }
 
   writeEvent(head: AnswerHead, event: RawEvent): void {
     this.open(head);
     this.work.res.write(event.bytes);
-    this.notePause();
+    this.recordPause();
   }
 
   /** Ends the answer as a whole one. */
   finish(head: AnswerHead): void {
     this.open(head);
     this.work.res.end();
-    this.noteLate();
+    this.logIfLate();
   }
 
   private open(head: AnswerHead): void {
-    if (this.opened) return;
-    this.opened = true;
+    if (this.isOpened) return;
+    this.isOpened = true;
     this.work.res.open(head);
   }
 
-  private notePause(): void {
+  private recordPause(): void {
     const nowMs = this.ctx.clock.now();
     if (this.lastWrittenMs === undefined) {
-      this.firstMs = nowMs - this.work.req.receivedMs;
-      this.observe(LatencyName.FIRST_TOKEN, this.firstMs);
+      this.firstEventAfterMs = nowMs - this.work.req.receivedMs;
+      this.observe(LatencyName.FIRST_TOKEN, this.firstEventAfterMs);
     } else {
       const pauseMs = nowMs - this.lastWrittenMs;
       this.longestPauseMs = Math.max(this.longestPauseMs, pauseMs);
@@ -79,14 +79,15 @@
     this.ctx.metrics.observe({name, ms});
   }
 
-  private noteLate(): void {
+  private logIfLate(): void {
     const {objectiveMs, maxPauseMs = Infinity} = this.work.admitted.route;
     const isOnTime =
-      this.firstMs <= objectiveMs && this.longestPauseMs <= maxPauseMs;
+      this.firstEventAfterMs <= objectiveMs &&
+      this.longestPauseMs <= maxPauseMs;
     if (isOnTime) return;
     this.ctx.logger.info('stream was late', {
       id: this.work.req.attemptId,
-      firstEventMs: Math.round(this.firstMs),
+      firstEventMs: Math.round(this.firstEventAfterMs),
       longestPauseMs: Math.round(this.longestPauseMs),
     });
   }
--- a/src/direct/streams/stream-durations.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -11,13 +11,13 @@
  * times.of('drafts').isHopeless({need, leftMs});
  */
 export class StreamDurations {
-  private readonly times = new Map<string, StreamTime>();
+  private readonly durations = new Map<string, StreamTime>();
 
   of(service: string): StreamTime {
-    let time = this.times.get(service);
+    let time = this.durations.get(service);
     if (time === undefined) {
       time = new StreamTime();
-      this.times.set(service, time);
+      this.durations.set(service, time);
     }
     return time;
   }
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -30,19 +30,19 @@
 import {StreamAttempt} from './stream-attempt.js';
 
 /** Losses by which the data centre is seen to be there. */
-const SIGNS_OF_LIFE: ReadonlySet<RetryReason> = new Set([
+const DATA_CENTRE_ALIVE_REASONS: ReadonlySet<RetryReason> = new Set([
   RetryReason.TARGET_REFUSED,
   RetryReason.TARGET_REPLACED,
 ]);
 
 /** Losses of which a request may be the cause. */
-const UNEXPLAINED: ReadonlySet<RetryReason> = new Set([
+const POSSIBLE_CRASH_REASONS: ReadonlySet<RetryReason> = new Set([
   RetryReason.ENGINE_DIED,
   RetryReason.ENGINE_STALLED,
 ]);
 
 /** First status that says that the target failed. */
-const FIRST_FAILURE_STATUS = 500;
+const MIN_FAILURE_STATUS = 500;
 
 /**
  * One stream. Its events go to the caller as they come; when a target is
@@ -57,17 +57,17 @@
   private readonly sequence: EventSequence;
   private readonly delivery: StreamDelivery;
   private readonly placer: StreamPlacer;
-  private readonly poison: PoisonDetector;
+  private readonly poisonDetector: PoisonDetector;
   private readonly deadline: TimerHandle;
-  private pause?: TimerHandle;
+  private placementTimer?: TimerHandle;
   private current?: StreamAttempt;
   /** The copy of what the lost run had in memory. */
-  private copy?: KvCacheCopy;
+  private resumableCopy?: KvCacheCopy;
   private isOver = false;
   /** Targets that began with the prompt. */
-  private tries = 0;
+  private promptAttempts = 0;
   /** Targets to which the stream, or the rest of it, was sent. */
-  private sends = 0;
+  private attempts = 0;
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
@@ -75,48 +75,48 @@
     this.work = options.work;
     this.delivery = new StreamDelivery(options);
     this.placer = new StreamPlacer(options);
-    this.poison = new PoisonDetector({
+    this.poisonDetector = new PoisonDetector({
       ...options,
-      onPoison: () => this.endAsPoison(),
+      onPoison: () => this.failAsPoison(),
     });
     const {clock} = this.ctx;
     const {lastEventId} = this.work.req;
     this.sequence = new EventSequence({lastId: toPosition(lastEventId)});
     this.deadline = clock.schedule({
       delayMs: Math.max(0, this.work.deadlineAtMs - clock.now()),
-      run: () => this.giveUp(true),
+      run: () => this.fail(true),
     });
-    this.work.res.onGone(() => this.leave());
+    this.work.res.onGone(() => this.abandon());
   }
 
   start(): void {
-    if (this.poison.isPoison()) {
+    if (this.poisonDetector.isPoison()) {
       this.refuse(RefusalReason.POISON);
       return;
     }
-    if (this.isHopeless()) {
+    if (this.cannotMeetDeadline()) {
       this.refuse(RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
     this.ctx.retryBudgets.recordFirstAttempt(this.work.service.name);
-    if (this.poison.mayBePoison()) void this.beginWithCare();
+    if (this.poisonDetector.mayBePoison()) void this.placeAfterDiagnosis();
     else void this.place();
   }
 
   /** The request lost targets before, here or at other entries. */
-  private async beginWithCare(): Promise<void> {
-    const mayGo = await this.poison.maySend();
+  private async placeAfterDiagnosis(): Promise<void> {
+    const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
-    if (mayGo) void this.place();
+    if (maySend) void this.place();
     else this.refuse(RefusalReason.POISON);
   }
 
   /** Whether the time left is too short for any engine. */
-  private isHopeless(): boolean {
-    const {req, service, deadlineAtMs: endMs} = this.work;
+  private cannotMeetDeadline(): boolean {
+    const {req, service, deadlineAtMs} = this.work;
     const need = toGenerationNeed(req, service);
     if (need === undefined) return false;
-    const leftMs = endMs - this.ctx.clock.now();
+    const leftMs = deadlineAtMs - this.ctx.clock.now();
     return this.ctx.streamDurations.of(service.name).isHopeless({need, leftMs});
   }
 
@@ -127,25 +127,28 @@
   }
 
   private async place(): Promise<void> {
-    const {copy} = this;
-    this.copy = undefined;
-    if (this.poison.isSuspect()) {
-      this.placer.isolate(this.poison.fingerprint);
-    } else if (copy !== undefined && canResumeAt(copy.holder)) {
-      this.send(copy.holder, copy.reference);
+    const {resumableCopy} = this;
+    this.resumableCopy = undefined;
+    if (this.poisonDetector.isSuspect()) {
+      this.placer.isolate(this.poisonDetector.fingerprint);
+    } else if (
+      resumableCopy !== undefined &&
+      canResumeAt(resumableCopy.holder)
+    ) {
+      this.send(resumableCopy.holder, resumableCopy.reference);
       return;
-    } else if (copy !== undefined) {
-      this.noteCopyLost(copy.holder);
+    } else if (resumableCopy !== undefined) {
+      this.logCopyLost(resumableCopy.holder);
     }
     const target = await this.placer.findTarget();
     if (this.isOver) return;
-    if (target === undefined) this.wait();
+    if (target === undefined) this.schedulePlacement();
     else this.send(target);
   }
 
-  private wait(): void {
+  private schedulePlacement(): void {
     this.placer.clearExcluded();
-    this.pause = this.ctx.clock.schedule({
+    this.placementTimer = this.ctx.clock.schedule({
       delayMs: PLACEMENT_RETRY_MS,
       run: () => void this.place(),
     });
@@ -153,8 +156,8 @@
 
   private send(target: Target, copyFrom?: CopyReference): void {
     const usesCopy = copyFrom !== undefined;
-    this.sends++;
-    if (!usesCopy) this.tries++;
+    this.attempts++;
+    if (!usesCopy) this.promptAttempts++;
     this.current = new StreamAttempt({
       ctx: this.ctx,
       work: this.work,
@@ -171,7 +174,8 @@
         onLost: (loss) => this.onLost(loss),
       },
     });
-    if (usesCopy || this.tries > 1) this.notePlaced(this.current, usesCopy);
+    if (usesCopy || this.promptAttempts > 1)
+      this.logPlacement(this.current, usesCopy);
   }
 
   private onEvent(head: AnswerHead, event: RawEvent): void {
@@ -187,14 +191,14 @@
 
   private finish(head: AnswerHead): void {
     // Several targets may each have been ended by their part of it.
-    if (this.sends === 1) this.poison.recordServed();
+    if (this.attempts === 1) this.poisonDetector.recordServed();
     this.stop();
-    this.learnTimes();
+    this.recordDurations();
     this.delivery.finish(head);
   }
 
   private onOtherAnswer(head: AnswerHead, body: Uint8Array): void {
-    const isFailure = head.status >= FIRST_FAILURE_STATUS;
+    const isFailure = head.status >= MIN_FAILURE_STATUS;
     if (isFailure || this.delivery.isOpen) {
       const reason = RetryReason.TARGET_REFUSED;
       this.mayHaveRun = true;
@@ -210,49 +214,54 @@
     const lost = this.current;
     if (lost === undefined || this.isOver) return;
     this.current = undefined;
-    this.noteLoss(lost, loss);
+    this.logLoss(lost, loss);
     const {failure, reason} = loss;
     const didNotRun = failure !== undefined && certainlyDidNotRun(failure);
     if (didNotRun) this.placer.exclude(lost.target);
     else this.mayHaveRun = true;
-    const mayBeCause = !didNotRun && UNEXPLAINED.has(reason);
-    if (mayBeCause) this.poison.recordLoss(lost);
-    if (!SIGNS_OF_LIFE.has(reason)) this.placer.avoidDataCentreOf(lost.target);
-    if (!this.mayGoOn(reason, lost.events > 0)) {
-      this.giveUp(false);
+    const mayBeCrash = !didNotRun && POSSIBLE_CRASH_REASONS.has(reason);
+    if (mayBeCrash) this.poisonDetector.recordLoss(lost);
+    if (!DATA_CENTRE_ALIVE_REASONS.has(reason))
+      this.placer.avoidDataCentreOf(lost.target);
+    if (!this.mayResume(reason, lost.events > 0)) {
+      this.fail(false);
       return;
     }
-    if (lost.events >= MIN_EVENTS_FOR_COPY) this.copy = lost.copy;
+    if (lost.events >= MIN_EVENTS_FOR_COPY) this.resumableCopy = lost.copy;
     this.ctx.metrics.countRetry(reason);
     this.delivery.markResumed();
-    if (mayBeCause && this.poison.isSuspect()) void this.goOnWithCare();
+    if (mayBeCrash && this.poisonDetector.isSuspect())
+      void this.resumeAfterDiagnosis();
     else void this.place();
   }
 
   /** A request that lost several targets waits until their causes are known. */
-  private async goOnWithCare(): Promise<void> {
-    const mayGoOn = await this.poison.mayRetry();
+  private async resumeAfterDiagnosis(): Promise<void> {
+    const maySend = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
-    if (mayGoOn) void this.place();
-    else this.giveUp(false);
+    if (maySend) void this.place();
+    else this.fail(false);
   }
 
-  private mayGoOn(reason: RetryReason, hadWritten: boolean): boolean {
+  private mayResume(reason: RetryReason, hadOutput: boolean): boolean {
     const {isResumable} = this.work.admitted.route;
-    const mayRepeat = isResumable && this.sequence.isResumable;
-    if (this.mayHaveRun && !mayRepeat) return false;
-    if (this.tries >= MAX_PROMPT_ATTEMPTS || this.poison.isPoison())
+    const canResume = isResumable && this.sequence.isResumable;
+    if (this.mayHaveRun && !canResume) return false;
+    if (
+      this.promptAttempts >= MAX_PROMPT_ATTEMPTS ||
+      this.poisonDetector.isPoison()
+    )
       return false;
     const service = this.work.service.name;
-    return this.ctx.retryBudgets.takeRetry({service, reason, hadWritten});
+    return this.ctx.retryBudgets.takeRetry({service, reason, hadOutput});
   }
 
-  private giveUp(isTimedOut: boolean): void {
+  private fail(isTimedOut: boolean): void {
     if (this.isOver) return;
     const {isOpen} = this.delivery;
     const mayHaveRun = this.mayHaveRun || this.current !== undefined || isOpen;
     const target = this.current?.target;
-    this.leave();
+    this.abandon();
     const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
     this.ctx.logger.info('stream given up', {
@@ -260,7 +269,7 @@
       status,
       reason,
       events: this.sequence.count,
-      tries: this.tries,
+      tries: this.promptAttempts,
       target: target?.id,
       unread: target?.estimatedUnread(),
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
@@ -275,45 +284,46 @@
   }
 
   /** The request has just turned out to be poison. */
-  private endAsPoison(): void {
+  private failAsPoison(): void {
     if (this.isOver) return;
-    const isUntried = !this.mayHaveRun && this.current === undefined;
-    if (isUntried) this.refuse(RefusalReason.POISON);
-    else this.giveUp(false);
+    const isUnsent = !this.mayHaveRun && this.current === undefined;
+    if (isUnsent) this.refuse(RefusalReason.POISON);
+    else this.fail(false);
   }
 
   /** Ends without an answer; the caller may come again elsewhere. */
-  private leave(): void {
+  private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.poison.recordUnresponsive(current);
+    if (current !== undefined) this.poisonDetector.recordUnresponsive(current);
     this.stop();
   }
 
   private stop(): void {
     this.isOver = true;
-    this.poison.close();
+    this.poisonDetector.close();
     this.deadline.cancel();
-    this.pause?.cancel();
+    this.placementTimer?.cancel();
     this.current?.cancel();
     this.current = undefined;
   }
 
-  private learnTimes(): void {
+  private recordDurations(): void {
     const {req, service} = this.work;
     const need = toGenerationNeed(req, service);
-    if (need === undefined || need.hasEvents > 0 || this.tries > 1) return;
-    const takenMs = this.ctx.clock.now() - req.receivedMs;
+    if (need === undefined || need.hasEvents > 0 || this.promptAttempts > 1)
+      return;
+    const totalMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
     this.ctx.streamDurations.of(service.name).learn({
       ...need,
       events: this.sequence.count,
       firstEventMs,
-      writingMs: takenMs - firstEventMs,
+      writingMs: totalMs - firstEventMs,
     });
   }
 
-  private noteLoss(lost: StreamAttempt, loss: TargetLoss): void {
+  private logLoss(lost: StreamAttempt, loss: TargetLoss): void {
     this.ctx.logger.info('stream lost its target', {
       id: this.work.req.attemptId,
       target: lost.target.id,
@@ -325,7 +335,7 @@
     });
   }
 
-  private noteCopyLost(holder: Target): void {
+  private logCopyLost(holder: Target): void {
     this.ctx.logger.info('copy of a stream is lost', {
       id: this.work.req.attemptId,
       holder: holder.id,
@@ -335,7 +345,7 @@
     });
   }
 
-  private notePlaced({target, copy}: StreamAttempt, usesCopy: boolean): void {
+  private logPlacement({target, copy}: StreamAttempt, usesCopy: boolean): void {
     this.ctx.logger.info('stream goes on', {
       id: this.work.req.attemptId,
       target: target.id,
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -28,9 +28,9 @@
   /** Targets that did not take the stream. */
   private readonly excluded = new Set<string>();
   /** Present where the stream is kept apart from others. */
-  private identity?: string;
+  private isolatedFingerprint?: string;
   /** Data centres in which the stream has just lost a target. */
-  private readonly doubtful = new Set<string>();
+  private readonly avoidedDataCentres = new Set<string>();
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
     this.ctx = options.ctx;
@@ -41,17 +41,18 @@
   }
 
   /** Keeps the stream apart from others that lost the same targets. */
-  isolate(identity: string): void {
-    this.identity = identity;
+  isolate(fingerprint: string): void {
+    this.isolatedFingerprint = fingerprint;
   }
 
   /** Asks the best engines for their load, then takes the best of them. */
   async findTarget(): Promise<Target | undefined> {
     const candidates = this.shortlist();
     await this.ctx.prober.refreshReports(candidates);
-    if (this.identity !== undefined) return candidates.find(isHere);
-    const target = chooseEngine({...this.choice(), targets: candidates});
-    const isUsable = target !== undefined && isHere(target);
+    if (this.isolatedFingerprint !== undefined)
+      return candidates.find(isAvailable);
+    const target = chooseEngine({...this.engineChoice(), targets: candidates});
+    const isUsable = target !== undefined && isAvailable(target);
     return isUsable ? target : undefined;
   }
 
@@ -63,9 +64,9 @@
       return undefined;
     }
     return chooseEngine({
-      ...this.choice(),
+      ...this.engineChoice(),
       excluded: new Set([runner.id]),
-      avoided: new Set([...this.doubtful, runner.record.dataCentre]),
+      avoided: new Set([...this.avoidedDataCentres, runner.record.dataCentre]),
       isSeenLately: true,
     });
   }
@@ -82,29 +83,32 @@
   /** Data centres fail as a whole: none that was just lost is chosen. */
   avoidDataCentreOf(lost: Target): void {
     const {dataCentre} = lost.record;
-    this.doubtful.add(dataCentre);
+    this.avoidedDataCentres.add(dataCentre);
     this.ctx.clock.schedule({
       delayMs: AVOID_DATA_CENTRE_MS,
-      run: () => void this.doubtful.delete(dataCentre),
+      run: () => void this.avoidedDataCentres.delete(dataCentre),
     });
   }
 
   private shortlist(): Target[] {
-    const {identity} = this;
-    if (identity === undefined)
-      return shortlistEngines(this.choice(), SHORTLIST_SIZE);
-    const all = shortlistEngines(this.choice(), Number.POSITIVE_INFINITY);
-    return rankApart(identity, all.filter(isHere)).slice(0, SHORTLIST_SIZE);
+    const {isolatedFingerprint} = this;
+    if (isolatedFingerprint === undefined)
+      return shortlistEngines(this.engineChoice(), SHORTLIST_SIZE);
+    const all = shortlistEngines(this.engineChoice(), Number.POSITIVE_INFINITY);
+    return rankApart(isolatedFingerprint, all.filter(isAvailable)).slice(
+      0,
+      SHORTLIST_SIZE,
+    );
   }
 
-  private choice(): EngineChoice {
+  private engineChoice(): EngineChoice {
     const {ctx, work, tokens} = this;
     return {
       targets: ctx.targets.ofService(work.service.name),
       tokens,
       memoryTokens: work.service.engine?.memoryTokens ?? Infinity,
       excluded: this.excluded,
-      avoided: this.doubtful,
+      avoided: this.avoidedDataCentres,
       random: ctx.random,
     };
   }
@@ -122,6 +126,6 @@
   return leavingForMs < DRAINING_RESUME_WINDOW_MS && !holder.isPaused();
 }
 
-function isHere(target: Target): boolean {
+function isAvailable(target: Target): boolean {
   return !target.record.isLeaving && !target.isPaused();
 }
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -43,7 +43,7 @@
 ];
 
 /** Connects, tells so, then sends its request and leaves. */
-const HASTY_CALLER = `
+const DISCONNECTING_CALLER = `
 const {connect} = require('node:net');
 const {parentPort, workerData} = require('node:worker_threads');
 const {port, text} = workerData;
@@ -58,7 +58,7 @@
 /** Time for which the entry is too busy to read, in milliseconds. */
 const BUSY_MS = 250;
 
-function blockFor(ms: number): void {
+function blockEventLoop(ms: number): void {
   const untilMs = performance.now() + ms;
   while (performance.now() < untilMs);
 }
@@ -133,12 +133,12 @@
         'Content-Length: 0',
       ];
       const text = `${head.join('\r\n')}\r\n\r\n`;
-      const worker = new Worker(HASTY_CALLER, {
+      const worker = new Worker(DISCONNECTING_CALLER, {
         eval: true,
         workerData: {port: site.port, text},
       });
       await once(worker, 'message');
-      blockFor(BUSY_MS);
+      blockEventLoop(BUSY_MS);
       await once(worker, 'exit');
       await new Promise((resolve) => setTimeout(resolve, 50));
       expect([...near.runs, ...far.runs]).toEqual([]);
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -15,12 +15,12 @@
 
 const REVOKE_MS = 1_500;
 /** The entry's longest wait for a change, and its slack, in milliseconds. */
-const LOST_WAIT_MS = 2_500;
+const OUTAGE_DETECTION_MS = 2_500;
 
 /** Registrations that lapsed in an outage have two seconds to come back. */
-const LAPSE_EARLIEST_MS = 1_900;
+const MIN_REMOVAL_MS = 1_900;
 /** Those two seconds, and the entry's longest pause between two calls. */
-const LAPSE_LATEST_MS = 2_900;
+const MAX_REMOVAL_MS = 2_900;
 
 describe('a direct entry', () => {
   let site: DirectSite;
@@ -42,7 +42,7 @@
       spec: siteConfig({version, keys}),
     });
 
-  const versionInForce = () => site.entry.routes.get()?.version;
+  const activeVersion = () => site.entry.routes.get()?.version;
 
   it.each([
     {name: 'a known key', key: KEY, path: SitePath.SAFE, expected: 200},
@@ -54,11 +54,11 @@
 
   it('takes a key away at once, and never goes back', async () => {
     putConfig(7, ['new']);
-    await waitFor(() => versionInForce() === 7);
+    await waitFor(() => activeVersion() === 7);
     expect(await status()).toBe(401);
     putConfig(3);
     await sleep(50);
-    expect(versionInForce()).toBe(7);
+    expect(activeVersion()).toBe(7);
   });
 
   it('refuses keys, not routes, once the store is silent for long', async () => {
@@ -78,7 +78,7 @@
     site.store.dropHistory();
     putConfig(9);
     site.store.dropHistory();
-    await waitFor(() => versionInForce() === 9);
+    await waitFor(() => activeVersion() === 9);
   });
 
   it.each([StoreMode.SILENT, StoreMode.RESET, StoreMode.BUSY])(
@@ -122,18 +122,18 @@
     const [first] = site.targets;
     site.store.mode = StoreMode.RESET;
     site.store.cutWaiters();
-    await sleep(LOST_WAIT_MS);
+    await sleep(OUTAGE_DETECTION_MS);
     site.store.remove({kind: Kind.TARGETS, name: first!.id});
     site.store.mode = StoreMode.UP;
     const backMs = performance.now();
     await waitFor(() => site.entry.isReady());
     let last = await status();
-    while (last === 200 && performance.now() - backMs < LAPSE_LATEST_MS) {
+    while (last === 200 && performance.now() - backMs < MAX_REMOVAL_MS) {
       await sleep(50);
       last = await status();
     }
     expect(last).toBe(503);
-    expect(performance.now() - backMs).toBeGreaterThan(LAPSE_EARLIEST_MS);
+    expect(performance.now() - backMs).toBeGreaterThan(MIN_REMOVAL_MS);
   });
 
   it('closes callers’ connections with their answers when it stops', async () => {
--- a/test/direct/endless-responses.test.ts
+++ b/test/direct/endless-responses.test.ts
@@ -10,10 +10,10 @@
 const {SAFE, UNSAFE, STREAM} = SitePath;
 
 /** Most that an entry may take of one answer, with what is on its way. */
-const MOST_BYTES = 16 * 1024 * 1024;
+const MAX_BYTES = 16 * 1024 * 1024;
 
 /** Calls until the target without end has been chosen. */
-const MOST_CALLS = 50;
+const MAX_CALLS = 50;
 
 const EVENTS = 20;
 const PACE = {events: EVENTS, firstMs: 5, gapMs: 2};
@@ -53,14 +53,14 @@
     endless!.fault = fault;
     // Either target may be chosen first.
     let reply = await site.call({path, agent: new Agent()});
-    for (let i = 0; i < MOST_CALLS && endless!.runs.length === 0; i++) {
+    for (let i = 0; i < MAX_CALLS && endless!.runs.length === 0; i++) {
       reply = await site.call({path, agent: new Agent()});
     }
     expect(endless!.runs).toHaveLength(1);
     expect(reply.status).toBe(status);
     if (isStream) expect(reply.text).toContain(`id: ${EVENTS}\n`);
     const sent = endless!.endlessBytes;
-    expect(sent).toBeLessThan(MOST_BYTES);
+    expect(sent).toBeLessThan(MAX_BYTES);
     await new Promise((resolve) => setTimeout(resolve, 100));
     expect(endless!.endlessBytes).toBe(sent);
   });
--- a/test/direct/graceful-shutdown.test.ts
+++ b/test/direct/graceful-shutdown.test.ts
@@ -7,38 +7,38 @@
 const GRACE_MS = 8_000;
 
 /** Notes what a stop asks of the listener for callers. */
-class NotingListener {
+class RecordingListener {
   openRequests = 0;
   readonly calls: string[] = [];
 
   closeIdle(): void {
-    this.note('closeIdle');
+    this.record('closeIdle');
   }
 
   closeListener(): void {
-    this.note('closeListener');
+    this.record('closeListener');
   }
 
   closeAll(): void {
-    this.note('closeAll');
+    this.record('closeAll');
   }
 
-  private note(call: string): void {
+  private record(call: string): void {
     if (this.calls.at(-1) !== call) this.calls.push(call);
   }
 }
 
 describe('PlannedStop', () => {
   let clock: ManualClock;
-  let listener: NotingListener;
+  let listener: RecordingListener;
   let stoppedMs: number | undefined;
-  let stop: GracefulShutdown;
+  let shutdown: GracefulShutdown;
 
   beforeEach(() => {
     clock = new ManualClock();
-    listener = new NotingListener();
+    listener = new RecordingListener();
     stoppedMs = undefined;
-    stop = new GracefulShutdown({
+    shutdown = new GracefulShutdown({
       clock,
       logger: SILENT_LOGGER,
       listener,
@@ -48,13 +48,13 @@
   });
 
   it('leaves connections alone until the balancer has noticed', () => {
-    stop.begin();
+    shutdown.begin();
     clock.advance(2_500);
     expect(listener.calls).toEqual([]);
   });
 
   it('ends soon after that where nothing is open', () => {
-    stop.begin();
+    shutdown.begin();
     clock.advance(3_000);
     expect(stoppedMs).toBeLessThan(3_000);
     expect(listener.calls).toEqual(['closeIdle', 'closeListener', 'closeAll']);
@@ -62,7 +62,7 @@
 
   it('waits for open requests, and closes what becomes idle', () => {
     listener.openRequests = 1;
-    stop.begin();
+    shutdown.begin();
     clock.advance(6_000);
     expect(stoppedMs).toBeUndefined();
     listener.openRequests = 0;
@@ -72,15 +72,15 @@
 
   it('ends before it is killed, whatever is open', () => {
     listener.openRequests = 1;
-    stop.begin();
+    shutdown.begin();
     clock.advance(GRACE_MS);
     expect(stoppedMs).toBeLessThan(GRACE_MS);
   });
 
   it('takes a second signal for the first', () => {
-    stop.begin();
+    shutdown.begin();
     clock.advance(1_000);
-    stop.begin();
+    shutdown.begin();
     clock.advance(2_000);
     expect(stoppedMs).toBeDefined();
   });
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -17,15 +17,15 @@
 const VM = 'entry-1';
 const OTHER = 'entry-2';
 const REQUEST = 'a request';
-const LIFE = 'i-1@1000';
+const INCARNATION = 'i-1@1000';
 
-const notesOf = (...lives: string[]): LossNotes => ({
+const recordsOf = (...lives: string[]): LossNotes => ({
   losses: lives.map((life) => ({request: REQUEST, life, isSettled: true})),
   harmless: [],
 });
 
 /** Lists what it is given, when it is told to. */
-class Source implements StateSource<LossNotes> {
+class ManualSource implements StateSource<LossNotes> {
   private waiting: Array<(items: Array<SourceItem<LossNotes>>) => void> = [];
 
   list() {
@@ -42,30 +42,30 @@
     return errAsync({kind, detail: 'status 410'});
   }
 
-  async answer(items: Record<string, LossNotes>): Promise<void> {
+  async respond(items: Record<string, LossNotes>): Promise<void> {
     const all = Object.entries(items).map(([name, value]) => ({name, value}));
     for (const resolve of this.waiting.splice(0)) resolve(all);
-    await turns();
+    await flushMicrotasks();
   }
 }
 
-async function turns(): Promise<void> {
+async function flushMicrotasks(): Promise<void> {
   for (let i = 0; i < 30; i++) await Promise.resolve();
 }
 
 describe('LossShare', () => {
   let clock: ManualClock;
   let ledger: LossLedger;
-  let source: Source;
+  let source: ManualSource;
   let written: LossNotes[];
-  let share: LossSync;
+  let sync: LossSync;
 
   beforeEach(async () => {
     clock = new ManualClock();
     ledger = new LossLedger({clock});
-    source = new Source();
+    source = new ManualSource();
     written = [];
-    share = new LossSync({
+    sync = new LossSync({
       vm: VM,
       ledger,
       source,
@@ -82,43 +82,43 @@
         },
       },
     });
-    share.start();
-    await turns();
+    sync.start();
+    await flushMicrotasks();
   });
 
-  const lose = (life: string) => {
+  const recordLoss = (life: string) => {
     ledger.note({request: REQUEST, life});
     ledger.settle({request: REQUEST, life});
-    share.publish();
+    sync.publish();
   };
 
-  const pass = async () => {
+  const advance = async () => {
     clock.advance(1_000);
-    await turns();
+    await flushMicrotasks();
   };
 
   it('keeps what an earlier life of the entry had left', async () => {
-    lose('i-2@1000');
-    await pass();
-    await source.answer({[VM]: notesOf(LIFE)});
-    await pass();
+    recordLoss('i-2@1000');
+    await advance();
+    await source.respond({[VM]: recordsOf(INCARNATION)});
+    await advance();
     const lives = written.map(({losses}) =>
       losses.map(({life}) => life).sort(),
     );
-    expect(lives).toEqual([[LIFE, 'i-2@1000']]);
+    expect(lives).toEqual([[INCARNATION, 'i-2@1000']]);
   });
 
   it('forgets what an entry told whose notes are gone', async () => {
-    await source.answer({[OTHER]: notesOf(LIFE)});
+    await source.respond({[OTHER]: recordsOf(INCARNATION)});
     expect(ledger.livesOf(REQUEST).size).toBe(1);
-    await source.answer({});
+    await source.respond({});
     expect(ledger.livesOf(REQUEST).size).toBe(0);
   });
 
   it('writes nothing where nothing is lost', async () => {
-    await source.answer({});
-    share.publish();
-    await pass();
+    await source.respond({});
+    sync.publish();
+    await advance();
     expect(written).toEqual([]);
   });
 });
--- a/test/direct/poison-unrelated.test.ts
+++ b/test/direct/poison-unrelated.test.ts
@@ -27,13 +27,13 @@
 const DATA_CENTRES = 3;
 
 /** Time after which a fallen target is there again, in milliseconds. */
-const REVIVAL_MS = 300;
+const RESTART_DELAY_MS = 300;
 
 /** Time in which a breaking target breaks what it is sent. */
-const BREAKING_MS = 600;
+const FAULT_MS = 600;
 
 /** Callers beside the request that ends its targets. */
-const INNOCENTS = 6;
+const UNRELATED_CALLERS = 6;
 
 const TIMEOUT_MS = 20_000;
 
@@ -46,11 +46,11 @@
 
   afterEach(() => site.stop());
 
-  const ask = (entry: number, body: string, path = STREAM) =>
+  const call = (entry: number, body: string, path = STREAM) =>
     site.call({path, body, entry: entry % ENTRIES, agent: new Agent()});
 
-  const isServed = async (entry: number, body: string) => {
-    const reply = await ask(entry, body);
+  const expectServed = async (entry: number, body: string) => {
+    const reply = await call(entry, body);
     expect(reply.status).toBe(200);
     expect(reply.text).toContain(LAST_EVENT);
   };
@@ -58,32 +58,33 @@
   const dataCentreOf = (target: StandInTarget) =>
     Math.floor(site.targets.indexOf(target) / TARGETS_PER_DATA_CENTRE);
 
-  function fell(i: number): void {
+  function crashDataCentre(i: number): void {
     const here = site;
     for (const target of targetsInDataCentre(site, i)) {
       target.crash();
-      setTimeout(() => void here.restartTarget(target), REVIVAL_MS);
+      setTimeout(() => void here.restartTarget(target), RESTART_DELAY_MS);
     }
   }
 
-  const running = (body: string) =>
+  const targetsRunning = (body: string) =>
     site.targets.filter((t) => t.runs.some((run) => run.body === body));
 
   it.each([{afterEvents: 0}, {afterEvents: 10}])(
     'ends whole beside one that ends its targets after $afterEvents events',
     {timeout: TIMEOUT_MS},
     async ({afterEvents}) => {
-      let isPlaying = true;
-      const serveOn = async (i: number) => {
-        for (let n = 0; isPlaying; n++) await isServed(i, `innocent ${i} ${n}`);
+      let isRunning = true;
+      const callRepeatedly = async (i: number) => {
+        for (let n = 0; isRunning; n++)
+          await expectServed(i, `innocent ${i} ${n}`);
       };
-      const play = async () => {
+      const runScenario = async () => {
         const caller = CallerBehaviour.WAITS_FOR_RESPONSE;
         await runPoisonScenario({site, path: STREAM, caller, afterEvents});
-        isPlaying = false;
+        isRunning = false;
       };
-      const entries = Array.from({length: INNOCENTS}, (_, i) => i);
-      await Promise.all([play(), ...entries.map(serveOn)]);
+      const entries = Array.from({length: UNRELATED_CALLERS}, (_, i) => i);
+      await Promise.all([runScenario(), ...entries.map(callRepeatedly)]);
     },
   );
 
@@ -92,19 +93,19 @@
     {timeout: TIMEOUT_MS},
     async ({atMs}) => {
       const body = 'unlucky';
-      const call = ask(0, body);
-      for (let falls = 0; falls < DATA_CENTRES; falls++) {
-        await waitFor(() => running(body).length > falls);
+      const pending = call(0, body);
+      for (let outages = 0; outages < DATA_CENTRES; outages++) {
+        await waitFor(() => targetsRunning(body).length > outages);
         await sleep(atMs);
-        fell(dataCentreOf(latest(body)));
+        crashDataCentre(dataCentreOf(latestTarget(body)));
       }
-      const reply = await call;
+      const reply = await pending;
       expect(reply.text).toContain(LAST_EVENT);
-      for (let i = 0; i < ENTRIES; i++) await isServed(i, body);
+      for (let i = 0; i < ENTRIES; i++) await expectServed(i, body);
     },
   );
 
-  const latest = (body: string): StandInTarget => {
+  const latestTarget = (body: string): StandInTarget => {
     const lastRun = (target: StandInTarget) =>
       Math.max(
         -1,
@@ -118,17 +119,17 @@
     {timeout: TIMEOUT_MS},
     async () => {
       const body = 'equal';
-      const calls = Array.from({length: 12}, (_, i) => ask(i, body));
+      const calls = Array.from({length: 12}, (_, i) => call(i, body));
       for (let i = 0; i < DATA_CENTRES; i++) {
         await sleep(40);
-        fell(i);
-        await sleep(REVIVAL_MS * 2);
+        crashDataCentre(i);
+        await sleep(RESTART_DELAY_MS * 2);
       }
       for (const reply of await Promise.all(calls)) {
         expect(reply.status).toBe(200);
         expect(reply.text).toContain(LAST_EVENT);
       }
-      for (let i = 0; i < ENTRIES; i++) await isServed(i, body);
+      for (let i = 0; i < ENTRIES; i++) await expectServed(i, body);
     },
   );
 
@@ -137,14 +138,14 @@
     {timeout: TIMEOUT_MS},
     async () => {
       for (const target of site.targets) target.fault = Fault.DROP_RUNS;
-      const endMs = performance.now() + BREAKING_MS;
+      const endMs = performance.now() + FAULT_MS;
       while (performance.now() < endMs) {
-        for (let i = 0; i < ENTRIES; i++) await ask(i, 'broken off');
+        for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off');
       }
       for (const target of site.targets) target.fault = Fault.NONE;
       // Targets that broke connections are left alone for a while.
       await sleep(1_000);
-      for (let i = 0; i < ENTRIES; i++) await isServed(i, 'broken off');
+      for (let i = 0; i < ENTRIES; i++) await expectServed(i, 'broken off');
     },
   );
 
@@ -158,14 +159,14 @@
         places.map((zone) => ({service, zone})),
       );
       for (const target of desks) target.fault = Fault.CUT;
-      const endMs = performance.now() + BREAKING_MS;
+      const endMs = performance.now() + FAULT_MS;
       while (performance.now() < endMs) {
-        for (let i = 0; i < ENTRIES; i++) await ask(i, 'broken off', SAFE);
+        for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off', SAFE);
       }
       for (const target of desks) target.fault = Fault.NONE;
       await sleep(1_000);
       for (let i = 0; i < ENTRIES; i++) {
-        expect((await ask(i, 'broken off', SAFE)).status).toBe(200);
+        expect((await call(i, 'broken off', SAFE)).status).toBe(200);
       }
     },
   );
@@ -180,7 +181,7 @@
         caller: CallerBehaviour.WAITS_FOR_RESPONSE,
       });
       for (let i = 0; i < ENTRIES; i++)
-        await isServed(i, `not ${CRASH_MARK.length}`);
+        await expectServed(i, `not ${CRASH_MARK.length}`);
     },
   );
 });
--- a/test/direct/poison.test.ts
+++ b/test/direct/poison.test.ts
@@ -17,31 +17,31 @@
 } from '../support/poison-scenario.js';
 
 /** Losses that name a request; one more where others share them all. */
-const NAMED_AFTER = 3;
-const SHARED = 1;
+const LOSSES_TO_QUARANTINE = 3;
+const SHARED_LOSS_MARGIN = 1;
 
 /** Time from the third loss until all entries know, in milliseconds. */
-const NEWS_MS = 700;
+const PROPAGATION_MS = 700;
 
-const PLAY_TIMEOUT_MS = 20_000;
+const TEST_TIMEOUT_MS = 20_000;
 
 /** What befalls the site meanwhile. */
-enum Trouble {
+enum Disturbance {
   NONE = 'nothing else',
-  STORE_AWAY = 'the store away',
+  STORE_UNAVAILABLE = 'the store away',
   STORE_SLOW = 'the store slow',
-  ONE_TURNED_AWAY = 'one entry turned away by the store',
-  RESTARTS = 'entries that restart',
+  STORE_REJECTS_ONE_ENTRY = 'one entry turned away by the store',
+  ENTRY_RESTARTS = 'entries that restart',
   POWER_LOSS = 'all entries losing power',
-  DATA_CENTRE = 'a data centre falling',
+  DATA_CENTRE_OUTAGE = 'a data centre falling',
 }
 
 interface Row {
   readonly path: SitePath;
   readonly afterEvents: number;
   readonly caller: CallerBehaviour;
-  readonly trouble: Trouble;
-  readonly mostLosses: number;
+  readonly disturbance: Disturbance;
+  readonly maxLosses: number;
 }
 
 const {STREAM, SAFE, UNSAFE} = SitePath;
@@ -51,81 +51,105 @@
   TIMES_OUT,
   ALL_ENTRIES: AT_ONCE,
 } = CallerBehaviour;
-const CALM = {trouble: Trouble.NONE, mostLosses: NAMED_AFTER + SHARED};
+const UNDISTURBED = {
+  disturbance: Disturbance.NONE,
+  maxLosses: LOSSES_TO_QUARANTINE + SHARED_LOSS_MARGIN,
+};
 const STREAM_HANGS = {path: STREAM, afterEvents: 0, caller: HANGS_UP};
 
 /** Each entry may have one under way when the third is lost. */
-const FLOOD = {...CALM, mostLosses: NAMED_AFTER + ENTRIES};
+const CONCURRENT = {...UNDISTURBED, maxLosses: LOSSES_TO_QUARANTINE + ENTRIES};
 
 /** Entries that cannot hear of each other each count for themselves. */
-const ALONE = NAMED_AFTER * ENTRIES;
+const MAX_UNSHARED_LOSSES = LOSSES_TO_QUARANTINE * ENTRIES;
 
 const ROWS: readonly Row[] = [
   ...[WAITS, HANGS_UP, TIMES_OUT].flatMap((caller) => [
-    {path: STREAM, afterEvents: 0, caller, ...CALM},
-    {path: STREAM, afterEvents: 2, caller, ...CALM},
-    {path: STREAM, afterEvents: 20, caller, ...CALM},
-    {path: SAFE, afterEvents: 0, caller, ...CALM},
-    {path: UNSAFE, afterEvents: 0, caller, ...CALM},
+    {path: STREAM, afterEvents: 0, caller, ...UNDISTURBED},
+    {path: STREAM, afterEvents: 2, caller, ...UNDISTURBED},
+    {path: STREAM, afterEvents: 20, caller, ...UNDISTURBED},
+    {path: SAFE, afterEvents: 0, caller, ...UNDISTURBED},
+    {path: UNSAFE, afterEvents: 0, caller, ...UNDISTURBED},
   ]),
-  {path: STREAM, afterEvents: 0, caller: AT_ONCE, ...FLOOD},
-  {path: STREAM, afterEvents: 20, caller: AT_ONCE, ...FLOOD},
-  {path: SAFE, afterEvents: 0, caller: AT_ONCE, ...FLOOD},
-  {path: UNSAFE, afterEvents: 0, caller: AT_ONCE, ...FLOOD},
-  {...STREAM_HANGS, trouble: Trouble.STORE_AWAY, mostLosses: ALONE},
-  {...STREAM_HANGS, trouble: Trouble.STORE_SLOW, mostLosses: FLOOD.mostLosses},
+  {path: STREAM, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
+  {path: STREAM, afterEvents: 20, caller: AT_ONCE, ...CONCURRENT},
+  {path: SAFE, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
+  {path: UNSAFE, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
   {
     ...STREAM_HANGS,
-    trouble: Trouble.ONE_TURNED_AWAY,
-    mostLosses: NAMED_AFTER * 2,
+    disturbance: Disturbance.STORE_UNAVAILABLE,
+    maxLosses: MAX_UNSHARED_LOSSES,
+  },
+  {
+    ...STREAM_HANGS,
+    disturbance: Disturbance.STORE_SLOW,
+    maxLosses: CONCURRENT.maxLosses,
+  },
+  {
+    ...STREAM_HANGS,
+    disturbance: Disturbance.STORE_REJECTS_ONE_ENTRY,
+    maxLosses: LOSSES_TO_QUARANTINE * 2,
+  },
+  {...STREAM_HANGS, ...UNDISTURBED, disturbance: Disturbance.ENTRY_RESTARTS},
+  {...STREAM_HANGS, ...UNDISTURBED, disturbance: Disturbance.POWER_LOSS},
+  {
+    ...STREAM_HANGS,
+    ...UNDISTURBED,
+    disturbance: Disturbance.DATA_CENTRE_OUTAGE,
+  },
+  {
+    ...STREAM_HANGS,
+    ...UNDISTURBED,
+    caller: WAITS,
+    disturbance: Disturbance.DATA_CENTRE_OUTAGE,
   },
-  {...STREAM_HANGS, ...CALM, trouble: Trouble.RESTARTS},
-  {...STREAM_HANGS, ...CALM, trouble: Trouble.POWER_LOSS},
-  {...STREAM_HANGS, ...CALM, trouble: Trouble.DATA_CENTRE},
-  {...STREAM_HANGS, ...CALM, caller: WAITS, trouble: Trouble.DATA_CENTRE},
 ];
 
 /** Visit of the play in which its trouble begins. */
-const FIRST_TROUBLE = 1;
+const DISTURBANCE_ROUND = 1;
 
 /** Visit of the play in which the store is back. */
-const STORE_BACK = 9;
-
-async function befall(site: DirectSite, trouble: Trouble, visit: number) {
-  const isBegin = visit === FIRST_TROUBLE;
-  const isEnd = visit === STORE_BACK;
-  switch (trouble) {
-    case Trouble.STORE_AWAY:
+const STORE_RECOVERY_ROUND = 9;
+
+async function disturb(
+  site: DirectSite,
+  disturbance: Disturbance,
+  round: number,
+) {
+  const isBegin = round === DISTURBANCE_ROUND;
+  const isEnd = round === STORE_RECOVERY_ROUND;
+  switch (disturbance) {
+    case Disturbance.STORE_UNAVAILABLE:
       if (isBegin) site.store.mode = StoreMode.BUSY;
       if (isEnd) site.store.mode = StoreMode.UP;
       break;
-    case Trouble.STORE_SLOW:
+    case Disturbance.STORE_SLOW:
       if (isBegin) site.store.delayMs = 100;
       break;
-    case Trouble.ONE_TURNED_AWAY:
+    case Disturbance.STORE_REJECTS_ONE_ENTRY:
       if (isBegin) site.storeEndpoints[0]!.mode = StoreMode.BUSY;
       break;
-    case Trouble.RESTARTS:
-      await restart(site, [visit % ENTRIES]);
+    case Disturbance.ENTRY_RESTARTS:
+      await restartEntries(site, [round % ENTRIES]);
       break;
-    case Trouble.POWER_LOSS:
-      if (visit % 2 === 0) await restart(site, [0, 1, 2]);
+    case Disturbance.POWER_LOSS:
+      if (round % 2 === 0) await restartEntries(site, [0, 1, 2]);
       break;
-    case Trouble.DATA_CENTRE:
-      if (visit % 2 === 1) fell(site, visit);
+    case Disturbance.DATA_CENTRE_OUTAGE:
+      if (round % 2 === 1) crashDataCentre(site, round);
       break;
     default:
   }
 }
 
-async function restart(site: DirectSite, entries: readonly number[]) {
+async function restartEntries(site: DirectSite, entries: readonly number[]) {
   for (const i of entries) site.entries[i]!.stop();
   for (const i of entries) await site.startEntry(i);
   while (!site.entries.every(({process}) => process.isReady())) await sleep(5);
 }
 
-function fell(site: DirectSite, visit: number): void {
-  for (const target of targetsInDataCentre(site, visit % 3)) {
+function crashDataCentre(site: DirectSite, round: number): void {
+  for (const target of targetsInDataCentre(site, round % 3)) {
     target.crash();
     target.onCrash();
   }
@@ -137,28 +161,28 @@
   afterEach(() => site.stop());
 
   it.each(ROWS)(
-    'is kept from targets: $path after $afterEvents events, its caller $caller, with $trouble',
-    {timeout: PLAY_TIMEOUT_MS},
+    'is kept from targets: $path after $afterEvents events, its caller $caller, with $disturbance',
+    {timeout: TEST_TIMEOUT_MS},
     async (row) => {
-      const {path, caller, afterEvents, trouble, mostLosses} = row;
+      const {path, caller, afterEvents, disturbance, maxLosses} = row;
       site = await startPoisonSite(path);
       await runPoisonScenario({
         site,
         path,
         caller,
         afterEvents,
-        beforeRound: (visit) => befall(site, trouble, visit),
+        beforeRound: (round) => disturb(site, disturbance, round),
       });
-      const isHeard = trouble !== Trouble.STORE_AWAY;
+      const isStoreAvailable = disturbance !== Disturbance.STORE_UNAVAILABLE;
       const losses = crashesOf(site).length;
-      const late = requestsAfterThirdCrash(site, NEWS_MS);
-      if (isHeard) expect({losses, late}).toEqual({losses, late: 0});
-      expect(losses).toBeLessThanOrEqual(mostLosses);
+      const late = requestsAfterThirdCrash(site, PROPAGATION_MS);
+      if (isStoreAvailable) expect({losses, late}).toEqual({losses, late: 0});
+      expect(losses).toBeLessThanOrEqual(maxLosses);
       // What is known by now holds at each entry, whatever came before.
       const before = crashesOf(site).length;
       site.store.mode = StoreMode.UP;
       for (const door of site.storeEndpoints) door.mode = StoreMode.UP;
-      await sleep(NEWS_MS * 2);
+      await sleep(PROPAGATION_MS * 2);
       for (let entry = 0; entry < ENTRIES; entry++) {
         const reply = await site.call({path, body: CRASH_MARK, entry});
         expect(reply.status).toBe(503);
@@ -169,16 +193,16 @@
 
   it(
     'is told from another that comes at the same time',
-    {timeout: PLAY_TIMEOUT_MS},
+    {timeout: TEST_TIMEOUT_MS},
     async () => {
       const bodies = [`${CRASH_MARK} one`, `${CRASH_MARK} two`];
       site = await startPoisonSite(STREAM);
       await runPoisonScenario({site, path: STREAM, caller: HANGS_UP, bodies});
       for (const body of bodies) {
         expect(crashesOf(site, body).length).toBeLessThanOrEqual(
-          FLOOD.mostLosses,
+          CONCURRENT.maxLosses,
         );
-        expect(requestsAfterThirdCrash(site, NEWS_MS, body)).toBe(0);
+        expect(requestsAfterThirdCrash(site, PROPAGATION_MS, body)).toBe(0);
       }
     },
   );
--- a/test/direct/service-retry-budgets.test.ts
+++ b/test/direct/service-retry-budgets.test.ts
@@ -31,20 +31,20 @@
     '$entries entries with $requests requests each keep to the bound: $reason',
     ({entries, requests, reason}) => {
       const clock = new ManualClock();
-      let repeats = 0;
+      let retries = 0;
       for (let entry = 0; entry < entries; entry++) {
         const budgets = new ServiceRetryBudgets({
           clock,
           settings: () => SETTINGS,
         });
         for (let i = 0; i < requests; i++) budgets.recordFirstAttempt('s');
-        for (const hadWritten of [true, false]) {
-          const query = {service: 's', reason, hadWritten};
-          while (budgets.takeRetry(query)) repeats++;
+        for (const hadOutput of [true, false]) {
+          const query = {service: 's', reason, hadOutput};
+          while (budgets.takeRetry(query)) retries++;
         }
       }
       const bound = SETTINGS.ratio * entries * requests + SETTINGS.slack;
-      expect(repeats).toBeLessThanOrEqual(bound);
+      expect(retries).toBeLessThanOrEqual(bound);
     },
   );
 
@@ -66,7 +66,7 @@
     for (let i = 0; i < 8; i++) budgets.recordFirstAttempt('s');
     const reason = RetryReason.ENGINE_DIED;
     const runs = Array.from({length: 19}, () =>
-      budgets.takeRetry({service: 's', reason, hadWritten: true}),
+      budgets.takeRetry({service: 's', reason, hadOutput: true}),
     );
     expect(runs).not.toContain(false);
   });
--- a/test/direct/settings-watcher.test.ts
+++ b/test/direct/settings-watcher.test.ts
@@ -13,23 +13,23 @@
 describe('SettingsWatch', () => {
   let folder: string;
   let path: string;
-  let taken: string[];
-  let watch: SettingsWatcher;
+  let applied: string[];
+  let watcher: SettingsWatcher;
 
   beforeEach(async () => {
     folder = mkdtempSync(join(tmpdir(), 'plantainrill-settings-'));
     path = join(folder, 'boot.yaml');
-    taken = [];
+    applied = [];
     writeFileSync(path, 'one');
-    watch = new SettingsWatcher({
+    watcher = new SettingsWatcher({
       path,
       parse: (text) =>
         text === 'bad' ? err('bad') : ok({vm: text} as DirectSettings),
-      onSettings: ({vm}) => taken.push(vm),
+      onSettings: ({vm}) => applied.push(vm),
       clock: new ManualClock(),
       logger: SILENT_LOGGER,
     });
-    await watch.check();
+    await watcher.check();
   });
 
   afterEach(() => rmSync(folder, {recursive: true}));
@@ -42,14 +42,14 @@
   ])('takes $expected from $name', async ({texts, expected}) => {
     for (const text of texts) {
       writeFileSync(path, text);
-      await watch.check();
+      await watcher.check();
     }
-    expect(taken).toEqual(expected);
+    expect(applied).toEqual(expected);
   });
 
   it('keeps what is in force while there is no file', async () => {
     rmSync(path);
-    await watch.check();
-    expect(taken).toEqual([]);
+    await watcher.check();
+    expect(applied).toEqual([]);
   });
 });
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -16,12 +16,12 @@
 const PACE = {events: EVENTS, firstMs: 30, gapMs: 16};
 
 /** Time for a change in the store to reach an entry, in milliseconds. */
-const NEWS_MS = 300;
+const PROPAGATION_MS = 300;
 
 /** How a target is lost. */
 enum Loss {
   CRASH = 'crash',
-  DARK = 'dark',
+  UNREACHABLE = 'dark',
 }
 
 /** What the loss takes with it. */
@@ -58,7 +58,7 @@
   }
 
   /** Each target that runs a request with this body is lost. */
-  function endTargetsBy(mark: string): void {
+  function crashTargetsOn(mark: string): void {
     for (const target of site.targets) {
       target.crashOn = {mark, afterEvents: 0};
     }
@@ -101,11 +101,11 @@
     expect(reply.status).toBe(200);
     expect(reply.isWhole).toBe(true);
     expect(reply.text).toBe(expected('try-1'));
-    const readAnew = site.targets
+    const recomputed = site.targets
       .flatMap((target) => target.runs)
       .filter((run) => run.isReadAnew).length;
     const hasCopy = row.extent !== Extent.RUNNER_AND_COPY;
-    expect(readAnew).toBe(hasCopy ? 1 : 2);
+    expect(recomputed).toBe(hasCopy ? 1 : 2);
   });
 
   it('goes on a class more urgent than it began', async () => {
@@ -177,7 +177,7 @@
   });
 
   it('reaches three engines if it crashes them, and none when it comes again', async () => {
-    endTargetsBy('poison');
+    crashTargetsOn('poison');
     const runs = () => site.targets.flatMap((target) => target.runs).length;
     const first = await site.call({path: SitePath.STREAM, body: 'poison'});
     expect(first.status).toBe(502);
@@ -200,14 +200,14 @@
   });
 
   it('tells the other entries of a request that crashes engines', async () => {
-    endTargetsBy('poison');
+    crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
     const culprits = () => site.store.namesOf(Kind.QUARANTINE);
     await waitFor(() => culprits().length === 1);
   });
 
   it('refuses a request that crashed engines at another entry', async () => {
-    endTargetsBy('poison');
+    crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
     await waitFor(() => site.store.namesOf(Kind.QUARANTINE).length === 1);
     const other = await DirectSite.start();
@@ -218,12 +218,12 @@
         {service: SiteService.WRITERS, zone: 'a', pace: PACE},
       ]);
       other.store.put({kind: Kind.QUARANTINE, name, spec});
-      await new Promise((resolve) => setTimeout(resolve, NEWS_MS));
+      await new Promise((resolve) => setTimeout(resolve, PROPAGATION_MS));
       const reply = await other.call({path: SitePath.STREAM, body: 'poison'});
       expect(reply.status).toBe(503);
       expect(target!.runs).toHaveLength(0);
       other.store.remove({kind: Kind.QUARANTINE, name});
-      await new Promise((resolve) => setTimeout(resolve, NEWS_MS));
+      await new Promise((resolve) => setTimeout(resolve, PROPAGATION_MS));
       const released = await other.call({
         path: SitePath.STREAM,
         body: 'poison',
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -39,7 +39,7 @@
   readonly entries: DirectEntry[] = [];
   /** The address of the store for each entry. */
   readonly storeEndpoints: StoreDoor[] = [];
-  private readonly places = new Map<StandInTarget, TargetOptions>();
+  private readonly targetOptions = new Map<StandInTarget, TargetOptions>();
   private readonly copyNetwork = new TargetWorld();
   private attempts = 0;
 
@@ -114,7 +114,7 @@
       await target.start();
       this.copyNetwork.byAddress.set(target.listensAt, target);
       this.targets.push(target);
-      this.places.set(target, {service, zone, pace});
+      this.targetOptions.set(target, {service, zone, pace});
       added.push(target);
       this.register(target, {service, zone});
     }
@@ -130,7 +130,7 @@
   /** Has a target start again as another life, and register itself. */
   async restartTarget(target: StandInTarget): Promise<void> {
     await target.restart();
-    this.register(target, this.places.get(target)!);
+    this.register(target, this.targetOptions.get(target)!);
   }
 
   register(
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -14,18 +14,18 @@
 export const ENTRIES = 3;
 
 /** Time after which an ended target is there again, in milliseconds. */
-const REVIVAL_MS = 400;
+const RESTART_DELAY_MS = 400;
 
 /** Time between two visits of a caller, in milliseconds. */
-const VISIT_PAUSE_MS = 60;
+const ROUND_PAUSE_MS = 60;
 
 /** Time from a loss until its caller hangs up, in milliseconds. */
-const HANG_UP_MS = 15;
+const HANG_UP_DELAY_MS = 15;
 
 /** Time that callers who run out of it have after a loss, in milliseconds. */
-const SHORT_MS = 80;
+const SHORT_DEADLINE_MARGIN_MS = 80;
 
-const VISITS = 12;
+const ROUNDS = 12;
 
 /** Events that a target writes for a whole stream. */
 export const EVENTS = 40;
@@ -33,7 +33,7 @@
 const PACE = {events: EVENTS, firstMs: 30, gapMs: 5};
 
 /** Time that an event takes where timers are late, in milliseconds. */
-const EVENT_MS = 6;
+const MAX_EVENT_MS = 6;
 
 /** Targets in each of the site's data centres. */
 export const TARGETS_PER_DATA_CENTRE = 3;
@@ -94,11 +94,11 @@
   for (const target of site.targets) {
     target.crashOn = {mark: CRASH_MARK, afterEvents};
     target.onCrash = () => {
-      setTimeout(() => void site.restartTarget(target), REVIVAL_MS);
+      setTimeout(() => void site.restartTarget(target), RESTART_DELAY_MS);
     };
   }
-  await Promise.all(bodies.map((body) => visitAll(options, body)));
-  await sleep(REVIVAL_MS * 2);
+  await Promise.all(bodies.map((body) => runRounds(options, body)));
+  await sleep(RESTART_DELAY_MS * 2);
 }
 
 /** The targets of one of the site's data centres, numbered from 0. */
@@ -132,19 +132,19 @@
     .length;
 }
 
-async function visitAll(
+async function runRounds(
   options: PoisonScenarioOptions,
   body: string,
 ): Promise<void> {
   const {caller, beforeRound: beforeVisit} = options;
-  for (let visit = 0; visit < VISITS; visit++) {
-    await beforeVisit?.(visit);
+  for (let round = 0; round < ROUNDS; round++) {
+    await beforeVisit?.(round);
     const entries =
       caller === CallerBehaviour.ALL_ENTRIES
         ? Array.from({length: ENTRIES}, (_, i) => i)
-        : [visit % ENTRIES];
+        : [round % ENTRIES];
     await Promise.all(entries.map((entry) => callOnce(options, body, entry)));
-    await sleep(VISIT_PAUSE_MS);
+    await sleep(ROUND_PAUSE_MS);
   }
 }
 
@@ -153,24 +153,24 @@
   body: string,
   entry: number,
 ): Promise<Reply | undefined> {
-  const leaving = new AbortController();
-  const lost = crashesOf(site, body).length;
+  const hangUp = new AbortController();
+  const crashesBefore = crashesOf(site, body).length;
   const watch = setInterval(() => {
     if (caller !== CallerBehaviour.HANGS_UP) return;
-    if (crashesOf(site, body).length === lost) return;
+    if (crashesOf(site, body).length === crashesBefore) return;
     clearInterval(watch);
-    setTimeout(() => leaving.abort(), HANG_UP_MS);
+    setTimeout(() => hangUp.abort(), HANG_UP_DELAY_MS);
   }, 2);
-  const lossMs = PACE.firstMs + afterEvents * EVENT_MS;
+  const crashMs = PACE.firstMs + afterEvents * MAX_EVENT_MS;
   const isShort = caller === CallerBehaviour.TIMES_OUT;
-  const deadlineMs = isShort ? lossMs + SHORT_MS : undefined;
+  const deadlineMs = isShort ? crashMs + SHORT_DEADLINE_MARGIN_MS : undefined;
   try {
     return await site.call({
       path,
       body,
       entry,
       agent: new Agent(),
-      signal: leaving.signal,
+      signal: hangUp.signal,
       ...(deadlineMs === undefined ? {} : {deadlineMs}),
     });
   } catch {
