--- a/src/direct/call-run.ts
+++ b/src/direct/call-handler.ts
@@ -20,18 +20,18 @@
 import type {AttemptResult} from '../core/retrying/index.js';
 import {OperationKind} from '../core/routes/index.js';
 import type {Target, TargetWork} from '../core/targets/index.js';
-import {AnswerBody, TOO_LARGE} from './answer-body.js';
-import {RETURN_AFTER_MS, SAFE_TRY_SHARE} from './consts.js';
+import {ResponseBody, TOO_LARGE_DETAIL} from './response-body.js';
+import {RETRY_AFTER_MS, SAFE_ATTEMPT_TIME_SHARE} from './consts.js';
 import type {DirectContext, DirectWork} from './context.js';
-import {noteFailureAt} from './note-failure.js';
-import {PoisonWatch} from './poison/index.js';
-import {refuseUntried} from './refuse-untried.js';
+import {recordTargetFailure} from './record-target-failure.js';
+import {PoisonDetector} from './poison/index.js';
+import {refuseUnsent} from './refuse-unsent.js';
 import {toTargetRequest} from './target-request.js';
 
 /** A try under way. */
-interface CallTry {
+interface CallAttempt {
   readonly target: Target;
-  readonly work: TargetWork;
+  readonly targetWork: TargetWork;
   readonly exchange: Exchange;
   readonly timer: TimerHandle;
 }
@@ -43,55 +43,55 @@
  * @example
  * new CallRun({ctx, work}).start();
  */
-export class CallRun {
+export class CallHandler {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
-  private readonly tried = new Set<string>();
+  private readonly triedTargets = new Set<string>();
   private readonly deadline: TimerHandle;
-  private readonly poison: PoisonWatch;
-  private current?: CallTry;
+  private readonly poisonDetector: PoisonDetector;
+  private current?: CallAttempt;
   private head?: TargetResponseHead;
-  private body = new AnswerBody();
-  private sent = 0;
+  private body = new ResponseBody();
+  private sentCount = 0;
   private isOver = false;
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
     this.ctx = options.ctx;
     this.work = options.work;
-    this.poison = new PoisonWatch({
+    this.poisonDetector = new PoisonDetector({
       ...options,
-      onNamed: () => this.endAsPoison(),
+      onPoison: () => this.failAsPoison(),
     });
     const {clock} = this.ctx;
     this.deadline = clock.schedule({
-      delayMs: Math.max(0, this.work.endMs - clock.now()),
-      run: () => this.giveUp(true),
+      delayMs: Math.max(0, this.work.deadlineAtMs - clock.now()),
+      run: () => this.fail(true),
     });
-    this.work.res.onDisconnect(() => this.leave());
+    this.work.res.onDisconnect(() => this.abandon());
   }
 
   start(): void {
-    if (this.poison.isPoison()) this.refuse(RefusalReason.POISON);
-    else if (this.poison.mayBePoison()) void this.beginWithCare();
-    else this.begin();
+    if (this.poisonDetector.isPoison()) this.refuse(RefusalReason.POISON);
+    else if (this.poisonDetector.mayBePoison()) void this.sendAfterDiagnosis();
+    else this.sendFirst();
   }
 
   /** The request lost targets before, here or at other entries. */
-  private async beginWithCare(): Promise<void> {
-    const mayGo = await this.poison.mayGo();
+  private async sendAfterDiagnosis(): Promise<void> {
+    const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
-    if (mayGo) this.begin();
+    if (maySend) this.sendFirst();
     else this.refuse(RefusalReason.POISON);
   }
 
-  private begin(): void {
+  private sendFirst(): void {
     const {service} = this.work;
-    this.ctx.budgets.noteFirstTry(service.name);
-    const target = this.choose();
+    this.ctx.retryBudgets.recordFirstAttempt(service.name);
+    const target = this.chooseTarget();
     if (target === undefined) {
       this.ctx.logger.warn('no target', {service: service.name});
-      this.giveUp(false);
+      this.fail(false);
       return;
     }
     this.send(target);
@@ -100,10 +100,10 @@
   private send(target: Target): void {
     const {ctx, work} = this;
     const {clock, client} = ctx;
-    this.tried.add(target.id);
+    this.triedTargets.add(target.id);
     this.head = undefined;
-    this.body = new AnswerBody();
-    const leftMs = work.endMs - clock.now();
+    this.body = new ResponseBody();
+    const leftMs = work.deadlineAtMs - clock.now();
     const targetWork = target.begin({tokens: 0});
     const exchange = client.send({
       target: target.record,
@@ -120,106 +120,107 @@
       },
     });
     const timer = clock.schedule({
-      delayMs: Math.max(0, this.tryLimitMs(leftMs)),
-      run: () => this.onSilence(),
+      delayMs: Math.max(0, this.attemptTimeoutMs(leftMs)),
+      run: () => this.onAttemptTimeout(),
     });
-    this.current = {target, work: targetWork, exchange, timer};
+    this.current = {target, targetWork, exchange, timer};
   }
 
   private onData(chunk: Uint8Array): void {
     this.body.push(chunk);
     if (!this.body.isTooLarge) return;
     this.current!.exchange.cancel();
-    this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE);
+    this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE_DETAIL);
   }
 
   /** An idempotent call leaves time for another try. */
-  private tryLimitMs(leftMs: number): number {
+  private attemptTimeoutMs(leftMs: number): number {
     const {operation, maxAttempts} = this.work.admitted.route;
-    const mayRepeat = operation === OperationKind.SAFE;
-    return mayRepeat && this.sent + 1 < maxAttempts
-      ? leftMs * SAFE_TRY_SHARE
+    const mayRetry = operation === OperationKind.SAFE;
+    return mayRetry && this.sentCount + 1 < maxAttempts
+      ? leftMs * SAFE_ATTEMPT_TIME_SHARE
       : leftMs * 2;
   }
 
-  private onSilence(): void {
+  private onAttemptTimeout(): void {
     const {current} = this;
     if (current === undefined) return;
-    const next = this.choose();
-    if (next === undefined || !this.takeFromBudget(RetryReason.CALL_SLOW)) {
+    const nextTarget = this.chooseTarget();
+    if (nextTarget === undefined || !this.takeRetry(RetryReason.CALL_SLOW)) {
       return;
     }
-    this.noteTaken(current);
+    this.recordUnresponsive(current);
     current.exchange.cancel();
     current.target.recordFailure();
-    this.closeTry();
-    this.sent++;
+    this.closeAttempt();
+    this.sentCount++;
     this.mayHaveRun = true;
-    this.noteRetry(RetryReason.CALL_SLOW, current.target);
-    this.send(next);
+    this.logRetry(RetryReason.CALL_SLOW, current.target);
+    this.send(nextTarget);
   }
 
   private onFailure(failure: ExchangeFailure, detail: string): void {
-    const {target, work} = this.current!;
-    const beganMs = work.startedAtMs;
+    const {target, targetWork} = this.current!;
+    const startedMs = targetWork.startedAtMs;
     if (!certainlyDidNotRun(failure)) this.mayHaveRun = true;
     const isLost = failure === ExchangeFailure.BROKEN;
-    if (isLost) this.poison.noteLoss({target, beganMs});
+    if (isLost) this.poisonDetector.recordLoss({target, startedMs});
     this.ctx.logger.info('try failed', {
       id: this.work.req.attemptId,
       target: target.id,
       failure,
       detail,
     });
-    noteFailureAt(target, failure);
+    recordTargetFailure(target, failure);
     this.onEnd({failure});
   }
 
   private onEnd(end: AttemptResult): void {
     const {target} = this.current!;
     target.recordResponse(isTargetFailure(end));
-    this.closeTry();
-    if (countsAsSent(end.failure)) this.sent++;
-    const next = this.choose();
+    this.closeAttempt();
+    if (countsAsSent(end.failure)) this.sentCount++;
+    const nextTarget = this.chooseTarget();
     const {operation, maxAttempts} = this.work.admitted.route;
     const reason = retryReasonOf(end.failure, RetryReason.CALL_LOST);
     const verdict = decideRetry({
       operation,
       result: end,
-      sentCount: this.sent,
+      sentCount: this.sentCount,
       maxAttempts,
-      hasOtherTarget: next !== undefined,
-      takeFromBudget: () => this.takeFromBudget(reason),
+      hasOtherTarget: nextTarget !== undefined,
+      takeFromBudget: () => this.takeRetry(reason),
     });
     if (verdict === RetryDecision.PASS_ON) {
       target.recordSuccess();
-      this.passOn();
+      this.forwardResponse();
     } else if (verdict === RetryDecision.RETRY) {
-      this.noteRetry(reason, target);
-      if (this.poison.isSuspect()) void this.goOnWithCare();
-      else this.send(next!);
+      this.logRetry(reason, target);
+      if (this.poisonDetector.isSuspect()) void this.retryAfterDiagnosis();
+      else this.send(nextTarget!);
     } else {
-      this.giveUp(false);
+      this.fail(false);
     }
   }
 
   /** A call that lost several targets waits until their causes are known. */
-  private async goOnWithCare(): Promise<void> {
-    const mayGoOn = await this.poison.mayGoOn();
+  private async retryAfterDiagnosis(): Promise<void> {
+    const mayRetry = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
-    const target = mayGoOn ? this.choose() : undefined;
-    if (target === undefined) this.giveUp(false);
+    const target = mayRetry ? this.chooseTarget() : undefined;
+    if (target === undefined) this.fail(false);
     else this.send(target);
   }
 
   private refuse(reason: RefusalReason): void {
     this.stop();
     const {ctx, work} = this;
-    refuseUntried({ctx, work, reason});
+    refuseUnsent({ctx, work, reason});
   }
 
-  private passOn(): void {
-    if (!isTargetFailure({status: this.head!.status})) this.poison.noteServed();
+  private forwardResponse(): void {
+    if (!isTargetFailure({status: this.head!.status}))
+      this.poisonDetector.recordServed();
     this.stop();
     const ms = this.ctx.clock.now() - this.work.req.receivedMs;
     this.ctx.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
@@ -230,74 +231,76 @@
     else res.sendCloseDelimited({status, headers}, body);
   }
 
-  private giveUp(isTimedOut: boolean): void {
+  private fail(isTimedOut: boolean): void {
     if (this.isOver) return;
-    const wasUnderWay = this.current !== undefined;
+    const hadActiveAttempt = this.current !== undefined;
     const target = this.current?.target;
-    this.leave();
-    const mayHaveRun = this.mayHaveRun || wasUnderWay;
+    this.abandon();
+    const mayHaveRun = this.mayHaveRun || hadActiveAttempt;
     const {status, reason} = toFailureResponse({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
     this.ctx.logger.info('refused', {
       id: this.work.req.attemptId,
       status,
       reason,
-      sent: this.sent,
+      sent: this.sentCount,
       target: target?.id,
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
     });
-    const retryAfterMs = mayHaveRun ? undefined : RETURN_AFTER_MS;
+    const retryAfterMs = mayHaveRun ? undefined : RETRY_AFTER_MS;
     this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
   /** The request has just turned out to be poison. */
-  private endAsPoison(): void {
+  private failAsPoison(): void {
     if (this.isOver) return;
-    const isUntried = !this.mayHaveRun && this.current === undefined;
-    if (isUntried) this.refuse(RefusalReason.POISON);
-    else this.giveUp(false);
+    const isUnsent = !this.mayHaveRun && this.current === undefined;
+    if (isUnsent) this.refuse(RefusalReason.POISON);
+    else this.fail(false);
   }
 
   /** Ends without an answer; the caller may come again elsewhere. */
-  private leave(): void {
+  private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.noteTaken(current);
+    if (current !== undefined) this.recordUnresponsive(current);
     this.stop();
   }
 
-  private noteTaken({target, work}: CallTry): void {
-    this.poison.noteTaken({target, beganMs: work.startedAtMs});
+  private recordUnresponsive({target, targetWork}: CallAttempt): void {
+    this.poisonDetector.recordUnresponsive({
+      target,
+      startedMs: targetWork.startedAtMs});
   }
 
   private stop(): void {
     this.isOver = true;
-    this.poison.noteLeft();
+    this.poisonDetector.close();
     this.deadline.cancel();
     this.current?.exchange.cancel();
-    this.closeTry();
+    this.closeAttempt();
   }
 
-  private closeTry(): void {
+  private closeAttempt(): void {
     const {current} = this;
     if (current === undefined) return;
     current.timer.cancel();
-    current.target.end(current.work);
+    current.target.end(current.targetWork);
     this.current = undefined;
   }
 
-  private choose(): Target | undefined {
-    const {ctx, work, tried} = this;
+  private chooseTarget(): Target | undefined {
+    const {ctx, work, triedTargets} = this;
     return chooseCallTarget({
       targets: ctx.targets.ofService(work.service.name),
       dataCentre: ctx.dataCentre,
-      tried,
+      tried: triedTargets,
       random: ctx.random,
     });
   }
 
-  private noteRetry(reason: RetryReason, from: Target): void {
+  private logRetry(reason: RetryReason, from: Target): void {
     this.ctx.metrics.countRetry(reason);
     this.ctx.logger.info('retry', {
       id: this.work.req.attemptId,
@@ -306,8 +309,8 @@
     });
   }
 
-  private takeFromBudget(reason: RetryReason): boolean {
+  private takeRetry(reason: RetryReason): boolean {
     const service = this.work.service.name;
-    return this.ctx.budgets.tryRetry({service, reason});
+    return this.ctx.retryBudgets.takeRetry({service, reason});
   }
 }
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -26,24 +26,24 @@
 import {Follower, KeyTrust} from '../core/sync/index.js';
 import type {TargetRecord} from '../core/targets/index.js';
 import {TargetSet} from '../core/targets/index.js';
-import {CallRun} from './call-run.js';
-import {ContactLog} from './contact-log.js';
+import {CallHandler} from './call-handler.js';
+import {StoreOutageLog} from './store-outage-log.js';
 import {
-  CALL_GRACE_SHARE,
-  CONFIG_WAIT_MS,
-  LOSSES_GRACE_MS,
-  RETURN_AFTER_MS,
-  STREAM_GRACE_SHARE,
-  TARGETS_PACE_SHARE,
-  TARGETS_WAIT_MS,
-  WAIT_SHARE,
+  MIN_CALL_GRACE_SHARE,
+  CONFIG_LONG_POLL_MS,
+  STARTUP_LOSSES_WAIT_MS,
+  RETRY_AFTER_MS,
+  MIN_STREAM_GRACE_SHARE,
+  TARGETS_READ_INTERVAL_SHARE,
+  TARGETS_LONG_POLL_MS,
+  CONFIG_LONG_POLL_SHARE,
 } from './consts.js';
 import type {DirectContext} from './context.js';
-import {Losses, QuarantineShare} from './poison/index.js';
+import {LossTracker, QuarantineSync} from './poison/index.js';
 import {Prober} from './prober.js';
-import {RepeatBudgets} from './repeat-budgets.js';
-import {StreamTimes} from './streams/stream-times.js';
-import {StreamRun} from './streams/stream-run.js';
+import {ServiceRetryBudgets} from './service-retry-budgets.js';
+import {StreamDurations} from './streams/stream-durations.js';
+import {StreamHandler} from './streams/stream-handler.js';
 
 /** What a direct entry is built from. */
 export interface DirectProcessOptions {
@@ -73,21 +73,21 @@
   /** The configuration in force. */
   readonly routes = new Cell<RouteTable | undefined>(undefined);
   /** Whether the process has been told to stop. */
-  readonly leaving = new Cell(false);
-  private readonly trust: KeyTrust;
+  readonly draining = new Cell(false);
+  private readonly keyTrust: KeyTrust;
   private settings: DirectSettings;
   private readonly ctx: DirectContext;
-  private readonly quarantineShare: QuarantineShare;
+  private readonly quarantineSync: QuarantineSync;
   private readonly followers: Array<Follower<unknown>> = [];
   private configs?: Follower<RoutingConfig>;
-  private knowsTargets = false;
+  private hasLoadedTargets = false;
   private startedMs = 0;
-  private killedAtMs = Number.POSITIVE_INFINITY;
+  private killAtMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: DirectProcessOptions) {
     const {settings, clock, random, client, metrics, logger} = options;
     this.settings = settings;
-    this.trust = new KeyTrust({
+    this.keyTrust = new KeyTrust({
       clock,
       boundMs: settings.keyRevocationMs,
       onDistrusted: () => {
@@ -116,18 +116,18 @@
       random,
       targets,
       prober,
-      streamTimes: new StreamTimes(),
+      streamDurations: new StreamDurations(),
       client,
-      budgets: new RepeatBudgets({
+      retryBudgets: new ServiceRetryBudgets({
         clock,
         settings: () => this.settings.retryBudget,
       }),
-      losses: new Losses({
+      lossTracker: new LossTracker({
         vm: settings.vm,
         quarantine,
         targets,
         prober,
-        notes: options.lossNotes,
+        records: options.lossNotes,
         source: options.losses,
         clock,
         random,
@@ -138,9 +138,9 @@
       metrics,
       logger,
     };
-    this.quarantineShare = new QuarantineShare({
+    this.quarantineSync = new QuarantineSync({
       quarantine: this.ctx.quarantine,
-      notes: options.culpritNotes,
+      records: options.culpritNotes,
       source: options.culprits,
       clock,
       random,
@@ -152,33 +152,33 @@
     const {configs, registrations} = this.options;
     this.followConfigs(configs);
     this.followTargets(registrations);
-    this.quarantineShare.start();
-    this.ctx.losses.start();
+    this.quarantineSync.start();
+    this.ctx.lossTracker.start();
     this.startedMs = this.options.clock.now();
   }
 
   /** Takes over settings that may change while the process runs. */
   applySettings(settings: DirectSettings): void {
     this.settings = settings;
-    this.trust.setBound(settings.keyRevocationMs);
+    this.keyTrust.setBound(settings.keyRevocationMs);
   }
 
   /** Begins a planned stop. */
-  leave(): void {
+  startDraining(): void {
     const {clock} = this.options;
-    this.killedAtMs = clock.now() + this.settings.shutdownGraceMs;
-    this.leaving.set(true);
+    this.killAtMs = clock.now() + this.settings.shutdownGraceMs;
+    this.draining.set(true);
   }
 
   /** Stops following the platform. */
   stop(): void {
     for (const follower of this.followers) follower.stop();
-    this.quarantineShare.stop();
-    this.ctx.losses.stop();
+    this.quarantineSync.stop();
+    this.ctx.lossTracker.stop();
   }
 
   /** Ids of the targets that may be given work. */
-  knownTargets(): string[] {
+  usableTargetIds(): string[] {
     return [...this.ctx.targets.all()]
       .filter((target) => !target.record.isDraining)
       .map((target) => target.id);
@@ -186,22 +186,25 @@
 
   /** Whether the process may be given new connections. */
   isReady(): boolean {
-    const isConfigured = this.routes.get() !== undefined && this.knowsTargets;
-    const isInformed = isConfigured && this.knowsLosses();
-    return isInformed && !this.leaving.get() && this.trust.isTrusted();
+    const isConfigured =
+      this.routes.get() !== undefined && this.hasLoadedTargets;
+    const hasLoadedState = isConfigured && this.hasLoadedLosses();
+    return hasLoadedState && !this.draining.get() && this.keyTrust.isTrusted();
   }
 
   /** What was lost before this process began is waited for, but not long. */
-  private knowsLosses(): boolean {
+  private hasLoadedLosses(): boolean {
     const upForMs = this.options.clock.now() - this.startedMs;
-    return this.ctx.losses.share.isInformed || upForMs > LOSSES_GRACE_MS;
+    return (
+      this.ctx.lossTracker.sync.hasLoaded || upForMs > STARTUP_LOSSES_WAIT_MS
+    );
   }
 
   /** Serves one request. */
   handle(req: CallerRequest, res: CallerResponse): void {
     const admitted = admitRequest({
       table: this.routes.get(),
-      isTrusted: this.trust.isTrusted(),
+      isTrusted: this.keyTrust.isTrusted(),
       host: req.host,
       path: req.path,
       key: req.key,
@@ -220,12 +223,12 @@
     const {route, table} = admitted;
     const name = pickService({route, draw: ctx.random.float()});
     const service = name === undefined ? undefined : table.findService(name);
-    if (service === undefined || !this.knowsTargets) {
+    if (service === undefined || !this.hasLoadedTargets) {
       const reason = RefusalReason.NO_TARGET;
       this.refuse(req, res, {
         status: 503,
         reason,
-        retryAfterMs: RETURN_AFTER_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
       return;
     }
@@ -233,67 +236,71 @@
       this.refuse(req, res, {
         status: 503,
         reason: RefusalReason.LEAVING,
-        retryAfterMs: RETURN_AFTER_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
       return;
     }
     const limitMs = Math.min(req.deadlineMs ?? Infinity, route.timeoutMs);
-    const endMs = req.receivedMs + limitMs;
-    const work = {req, res, admitted, service, endMs};
+    const deadlineAtMs = req.receivedMs + limitMs;
+    const work = {req, res, admitted, service, deadlineAtMs};
     if (route.operation === OperationKind.STREAM) {
-      new StreamRun({ctx, work}).start();
+      new StreamHandler({ctx, work}).start();
     } else {
-      new CallRun({ctx, work}).start();
+      new CallHandler({ctx, work}).start();
     }
   }
 
   /** Whether work that starts now can end before the process does. */
   private hasTimeFor(operation: OperationKind): boolean {
-    const leftMs = this.killedAtMs - this.options.clock.now();
+    const leftMs = this.killAtMs - this.options.clock.now();
     const share =
       operation === OperationKind.STREAM
-        ? STREAM_GRACE_SHARE
-        : CALL_GRACE_SHARE;
+        ? MIN_STREAM_GRACE_SHARE
+        : MIN_CALL_GRACE_SHARE;
     return leftMs >= this.settings.shutdownGraceMs * share;
   }
 
   private refuse(
     req: CallerRequest,
     res: CallerResponse,
-    answer: RefusalResponse,
+    refusal: RefusalResponse,
   ): void {
-    this.ctx.metrics.countRefusal(answer.reason);
+    this.ctx.metrics.countRefusal(refusal.reason);
     this.ctx.logger.info('refused', {
       id: req.attemptId,
-      status: answer.status,
-      reason: answer.reason,
+      status: refusal.status,
+      reason: refusal.reason,
       config: this.routes.get()?.version,
-      trustAgeMs: Math.round(this.trust.ageMs()),
+      trustAgeMs: Math.round(this.keyTrust.ageMs()),
     });
-    res.sendRefusal(answer);
+    res.sendRefusal(refusal);
   }
 
   private followConfigs(source: StateSource<RoutingConfig>): void {
     const {clock, random, logger} = this.options;
-    const contact = new ContactLog({what: 'configuration', clock, logger});
-    const take = (items: ReadonlyArray<SourceItem<RoutingConfig>>) => {
+    const outageLog = new StoreOutageLog({
+      what: 'configuration',
+      clock,
+      logger,
+    });
+    const apply = (items: ReadonlyArray<SourceItem<RoutingConfig>>) => {
       for (const {value} of items) {
-        if (value !== undefined) this.takeConfig(value);
+        if (value !== undefined) this.applyConfig(value);
       }
     };
     const follower = new Follower({
       source,
       clock,
       random,
-      waitMs: this.configWaitMs(),
+      waitMs: this.configLongPollMs(),
       listener: {
-        onSnapshot: take,
-        onChanges: take,
+        onSnapshot: apply,
+        onChanges: apply,
         onConfirmed: (confirmation) => {
-          this.trust.confirm(confirmation);
-          contact.noteHeard();
+          this.keyTrust.confirm(confirmation);
+          outageLog.recordSuccess();
         },
-        onError: (err) => contact.noteLost(err),
+        onError: (err) => outageLog.recordFailure(err),
       },
     });
     this.configs = follower;
@@ -302,29 +309,32 @@
   }
 
   /** Two waits in a row must fit into the time for which keys are trusted. */
-  private configWaitMs(): number {
+  private configLongPollMs(): number {
     const {keyRevocationMs: keyTrustMs = Infinity} = this.settings;
-    return Math.min(CONFIG_WAIT_MS, Math.floor(keyTrustMs * WAIT_SHARE));
+    return Math.min(
+      CONFIG_LONG_POLL_MS,
+      Math.floor(keyTrustMs * CONFIG_LONG_POLL_SHARE),
+    );
   }
 
   private followTargets(source: StateSource<TargetRecord>): void {
     const {clock, random, logger} = this.options;
     const {targets} = this.ctx;
-    const contact = new ContactLog({what: 'targets', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'targets', clock, logger});
     const follower = new Follower({
       source,
       clock,
       random,
-      waitMs: TARGETS_WAIT_MS,
-      minIntervalMs: this.settings.targetDrainMs * TARGETS_PACE_SHARE,
+      waitMs: TARGETS_LONG_POLL_MS,
+      minIntervalMs: this.settings.targetDrainMs * TARGETS_READ_INTERVAL_SHARE,
       listener: {
         onSnapshot: (items, afterOutage) => {
           targets.replaceAll(items, afterOutage);
-          this.knowsTargets = true;
+          this.hasLoadedTargets = true;
         },
         onChanges: (changes) => targets.applyChanges(changes),
-        onConfirmed: () => contact.noteHeard(),
-        onError: (err) => contact.noteLost(err),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onError: (err) => outageLog.recordFailure(err),
       },
     });
     this.followers.push(follower);
@@ -335,9 +345,10 @@
     return this.routes.get()?.findService(name)?.engine !== undefined;
   }
 
-  private takeConfig(config: RoutingConfig): void {
-    const known = this.routes.get()?.version ?? Number.NEGATIVE_INFINITY;
-    if (config.version <= known) return;
+  private applyConfig(config: RoutingConfig): void {
+    const currentVersion =
+      this.routes.get()?.version ?? Number.NEGATIVE_INFINITY;
+    if (config.version <= currentVersion) return;
     this.options.logger.info('configuration in force', {
       version: config.version,
       routes: config.routes.length,
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -9,28 +9,28 @@
 import type {Target, TargetSet} from '../../core/targets/index.js';
 import {incarnationOf} from '../../core/targets/index.js';
 import {
-  DIAGNOSIS_MS,
-  LIFE_CHECK_MS,
-  OTHERS_DIAGNOSIS_MS,
-  SEEN_AFTER_MS,
+  LOSS_DIAGNOSIS_MS,
+  INCARNATION_CHECK_MS,
+  REMOTE_DIAGNOSIS_MS,
+  IN_FLIGHT_DATA_MS,
 } from '../consts.js';
 import type {Prober} from '../prober.js';
 
 /** Requests with own losses that are remembered; the oldest ones go first. */
-const MAX_HELD = 4_096;
+const MAX_ATTRIBUTED_REQUESTS = 4_096;
 
 /** Why a target was lost. */
 export enum LossCause {
   /** The target lives on: it only broke the connection. */
-  TARGET_LIVES = 'target_lives',
+  TARGET_ALIVE = 'target_lives',
   /** Its data centre fell. */
-  DATA_CENTRE = 'data_centre',
+  DATA_CENTRE_OUTAGE = 'data_centre',
   /** No other cause than the request was found. */
   UNEXPLAINED = 'unexplained',
 }
 
 /** A target that was lost under a request. */
-export interface LossCase {
+export interface RequestLoss {
   /** Id of the caller's try, for the log. */
   readonly id: string;
   /** Fingerprint of the request. */
@@ -38,11 +38,11 @@
   readonly clientAccount: string;
   readonly target: Target;
   /** When the request came to the target, on the process's clock. */
-  readonly beganMs: number;
+  readonly startedMs: number;
 }
 
 /** The losses that this entry holds against a request. */
-interface HeldLosses {
+interface AttributedLosses {
   readonly clientAccount: string;
   readonly targets: Set<Target>;
 }
@@ -57,7 +57,7 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   /** Told when there is something new to tell the other entries. */
-  readonly onNews: () => void;
+  readonly onChanged: () => void;
 }
 
 /**
@@ -73,39 +73,45 @@
   /** Losses that are looked into, by request and life. */
   private readonly diagnoses = new Map<string, Promise<void>>();
   /** Own losses that are held against requests, by request. */
-  private readonly held = new Map<string, HeldLosses>();
+  private readonly attributed = new Map<string, AttributedLosses>();
   /** Requests that were taken from silent targets not long ago. */
-  private readonly silent = new Set<LossCase>();
+  private readonly unresponsive = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
 
   /** Whether nothing is looked into or held. */
   get isIdle(): boolean {
-    return this.diagnoses.size + this.silent.size + this.held.size === 0;
+    return (
+      this.diagnoses.size + this.unresponsive.size + this.attributed.size === 0
+    );
   }
 
   /** A target was lost under a request that it may have begun. */
-  open(loss: LossCase): void {
+  diagnose(loss: RequestLoss): void {
     const {ledger} = this.options;
     const {request, target} = loss;
-    const life = incarnationOf(target.record);
-    const key = `${request} ${life}`;
-    if (this.diagnoses.has(key) || this.isHeld(loss)) return;
-    ledger.recordLoss({request, incarnation: life});
-    this.tell('loss held against request', loss, {
+    const incarnation = incarnationOf(target.record);
+    const key = `${request} ${incarnation}`;
+    if (this.diagnoses.has(key) || this.isAttributed(loss)) return;
+    ledger.recordLoss({request, incarnation: life: incarnation});
+    this.log('loss held against request', loss, {
       held: ledger.incarnationsOf(request).size,
     });
-    const end = this.lookInto(loss).finally(() => this.diagnoses.delete(key));
-    this.diagnoses.set(key, end);
+    const diagnosis = this.findCause(loss).finally(() =>
+      this.diagnoses.delete(key),
+    );
+    this.diagnoses.set(key, diagnosis);
   }
 
   /**
    * A target was silent when its request was taken from it. If its life turns
    * out to have ended then, it was lost under the request.
    */
-  watchSilent(loss: LossCase): void {
-    this.silent.add(loss);
-    void this.awaitLifeEnd(loss).finally(() => this.silent.delete(loss));
+  watchUnresponsive(loss: RequestLoss): void {
+    this.unresponsive.add(loss);
+    void this.awaitIncarnationEnd(loss).finally(() =>
+      this.unresponsive.delete(loss),
+    );
   }
 
   /**
@@ -118,13 +124,13 @@
   }): Promise<boolean> {
     const {ledger, quarantine} = this.options;
     const {request, clientAccount} = suspect;
-    await this.settled(request);
+    await this.awaitDiagnoses(request);
     if (quarantine.has(request)) return true;
     if (!ledger.mayBePoison(request)) return false;
-    await this.askHeldAgain(request);
+    await this.probeAttributed(request);
     if (ledger.mayBePoison(request) && !ledger.isPoison(request)) {
       // Another entry may still look into a loss of its own.
-      await sleep(this.options.clock, OTHERS_DIAGNOSIS_MS);
+      await sleep(this.options.clock, REMOTE_DIAGNOSIS_MS);
     }
     if (!ledger.isPoison(request)) return quarantine.has(request);
     const crashes = [...ledger.incarnationsOf(request)];
@@ -133,118 +139,120 @@
   }
 
   /** Whether this entry itself holds losses against a request. */
-  holds(request: string): boolean {
-    return this.held.has(request);
+  hasAttributed(request: string): boolean {
+    return this.attributed.has(request);
   }
 
   /** The client account of a request with held losses. */
-  accountOf(request: string): string {
-    return this.held.get(request)?.clientAccount ?? '';
+  clientAccountOf(request: string): string {
+    return this.attributed.get(request)?.clientAccount ?? '';
   }
 
   /** A request was served, or released from quarantine. */
-  release(request: string): void {
-    this.held.delete(request);
-    for (const loss of [...this.silent]) {
-      if (loss.request === request) this.silent.delete(loss);
+  clear(request: string): void {
+    this.attributed.delete(request);
+    for (const loss of [...this.unresponsive]) {
+      if (loss.request === request) this.unresponsive.delete(loss);
     }
   }
 
-  private async awaitLifeEnd(loss: LossCase): Promise<void> {
+  private async awaitIncarnationEnd(loss: RequestLoss): Promise<void> {
     const {clock, targets, ledger} = this.options;
     const {request, target} = loss;
     const atMs = clock.now();
     const wasLeaving = target.record.isDraining;
-    await sleep(clock, DIAGNOSIS_MS);
+    await sleep(clock, LOSS_DIAGNOSIS_MS);
     const cause = this.causeOf(loss, atMs);
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
-    await sleep(clock, LIFE_CHECK_MS - DIAGNOSIS_MS);
+    await sleep(clock, INCARNATION_CHECK_MS - LOSS_DIAGNOSIS_MS);
     const hasEnded = !targets.isCurrent(target) && target.lastSeenAtMs < atMs;
-    if (!hasEnded || !this.silent.has(loss)) return;
+    if (!hasEnded || !this.unresponsive.has(loss)) return;
     ledger.recordLoss({request, incarnation: incarnationOf(target.record)});
-    this.close(loss, LossCause.UNEXPLAINED);
+    this.recordCause(loss, LossCause.UNEXPLAINED);
   }
 
-  private async settled(request: string): Promise<void> {
-    const open = [...this.diagnoses].filter(([key]) => key.startsWith(request));
-    await Promise.all(open.map(([, end]) => end));
+  private async awaitDiagnoses(request: string): Promise<void> {
+    const pending = [...this.diagnoses].filter(([key]) =>
+      key.startsWith(request),
+    );
+    await Promise.all(pending.map(([, diagnosis]) => diagnosis));
   }
 
-  private async lookInto(loss: LossCase): Promise<void> {
+  private async findCause(loss: RequestLoss): Promise<void> {
     const {clock, prober} = this.options;
     const atMs = clock.now();
-    const timeIsOver = sleep(clock, DIAGNOSIS_MS);
-    const lives = await Promise.race([
-      prober.showsLifeSince(loss.target, atMs),
-      timeIsOver.then(() => false),
+    const timeout = sleep(clock, LOSS_DIAGNOSIS_MS);
+    const isAlive = await Promise.race([
+      prober.isAliveSince(loss.target, atMs),
+      timeout.then(() => false),
     ]);
-    if (lives) {
-      this.close(loss, LossCause.TARGET_LIVES);
+    if (isAlive) {
+      this.recordCause(loss, LossCause.TARGET_ALIVE);
       return;
     }
-    await timeIsOver;
-    this.close(loss, this.causeOf(loss, atMs));
+    await timeout;
+    this.recordCause(loss, this.causeOf(loss, atMs));
   }
 
-  private causeOf(loss: LossCase, atMs: number): LossCause {
-    const {request, target, beganMs} = loss;
+  private causeOf(loss: RequestLoss, atMs: number): LossCause {
+    const {request, target, startedMs} = loss;
     const {ledger, targets} = this.options;
-    if (target.lastSeenAtMs > atMs + SEEN_AFTER_MS)
-      return LossCause.TARGET_LIVES;
-    const isFall = isDataCentreOutage({
+    if (target.lastSeenAtMs > atMs + IN_FLIGHT_DATA_MS)
+      return LossCause.TARGET_ALIVE;
+    const isOutage = isDataCentreOutage({
       lost: target,
       lostAtMs: atMs,
       targets: targets.all(),
-      crashedBefore: ledger.incarnationsBefore(request, beganMs),
+      crashedBefore: ledger.incarnationsBefore(request, startedMs),
     });
-    return isFall ? LossCause.DATA_CENTRE : LossCause.UNEXPLAINED;
+    return isOutage ? LossCause.DATA_CENTRE_OUTAGE : LossCause.UNEXPLAINED;
   }
 
-  private close(loss: LossCase, cause: LossCause): void {
-    const {ledger, metrics, onNews} = this.options;
+  private recordCause(loss: RequestLoss, cause: LossCause): void {
+    const {ledger, metrics, onChanged} = this.options;
     const key = {
       request: loss.request,
       incarnation: incarnationOf(loss.target.record),
     };
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
-    this.tell('cause of loss', loss, {cause});
-    if (cause === LossCause.DATA_CENTRE) ledger.recordOutage(key);
-    else if (cause === LossCause.TARGET_LIVES) ledger.dismiss(key);
-    else this.hold(loss);
-    onNews();
+    this.log('cause of loss', loss, {cause});
+    if (cause === LossCause.DATA_CENTRE_OUTAGE) ledger.recordOutage(key);
+    else if (cause === LossCause.TARGET_ALIVE) ledger.dismiss(key);
+    else this.attribute(loss);
+    onChanged();
   }
 
-  private isHeld({request, target}: LossCase): boolean {
-    return this.held.get(request)?.targets.has(target) === true;
+  private isAttributed({request, target}: RequestLoss): boolean {
+    return this.attributed.get(request)?.targets.has(target) === true;
   }
 
-  private hold({request, clientAccount, target}: LossCase): void {
+  private attribute({request, clientAccount, target}: RequestLoss): void {
     this.options.ledger.confirm({request, incarnation: incarnationOf(target.record)});
-    const targets = this.held.get(request)?.targets ?? new Set<Target>();
-    this.held.set(request, {clientAccount, targets: targets.add(target)});
-    dropOldest({entries: this.held, maxSize: MAX_HELD});
+    const targets = this.attributed.get(request)?.targets ?? new Set<Target>();
+    this.attributed.set(request, {clientAccount, targets: targets.add(target)});
+    dropOldest({entries: this.attributed, maxSize: MAX_ATTRIBUTED_REQUESTS});
   }
 
   /** A target that still lives was not ended by the request. */
-  private async askHeldAgain(request: string): Promise<void> {
+  private async probeAttributed(request: string): Promise<void> {
     const {ledger, prober, clock, targets} = this.options;
     const nowMs = clock.now();
-    const held = [...(this.held.get(request)?.targets ?? [])];
-    const known = held.filter(
-      (target) => targets.isCurrent(target) && prober.tellsOfBirth(target),
+    const attributed = [...(this.attributed.get(request)?.targets ?? [])];
+    const probeable = attributed.filter(
+      (target) => targets.isCurrent(target) && prober.reportsStartTime(target),
     );
     await Promise.all(
-      known.map(async (target) => {
-        if (!(await prober.showsLifeSince(target, nowMs))) return;
-        this.held.get(request)?.targets.delete(target);
+      probeable.map(async (target) => {
+        if (!(await prober.isAliveSince(target, nowMs))) return;
+        this.attributed.get(request)?.targets.delete(target);
         ledger.dismiss({request, incarnation: incarnationOf(target.record)});
       }),
     );
   }
 
-  private tell(
+  private log(
     message: string,
-    {id, request, target}: LossCase,
+    {id, request, target}: RequestLoss,
     fields: {held?: number; cause?: LossCause},
   ): void {
     const {dataCentre, startedAtMs: bornMs} = target.record;
--- a/src/direct/poison/loss-share.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -6,25 +6,25 @@
 import type {LossLedger, RecordedLosses} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
 import {
-  LOSS_READ_PACE_MS,
-  LOSS_WRITE_PACE_MS,
-  QUARANTINE_WAIT_MS,
-  SHARE_PAUSE_MS,
+  LOSS_READ_INTERVAL_MS,
+  LOSS_WRITE_INTERVAL_MS,
+  POISON_LONG_POLL_MS,
+  STORE_WRITE_RETRY_MS,
 } from '../consts.js';
-import {ContactLog} from '../contact-log.js';
+import {StoreOutageLog} from '../store-outage-log.js';
 
 /** What the sharing of losses is made from. */
-export interface LossShareOptions {
+export interface LossSyncOptions {
   /** Name of this entry's VM, under which it leaves its notes. */
   readonly vm: string;
   readonly ledger: LossLedger;
-  readonly notes: StateWriter<RecordedLosses>;
+  readonly records: StateWriter<RecordedLosses>;
   readonly source: StateSource<RecordedLosses>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   /** Told of the requests of which another entry tells. */
-  readonly onLearned: (requests: readonly string[]) => void;
+  readonly onReceived: (requests: readonly string[]) => void;
 }
 
 /**
@@ -37,37 +37,38 @@
  * share.start();
  * share.publish();
  */
-export class LossShare {
+export class LossSync {
   private readonly follower: Follower<RecordedLosses>;
   private timer?: TimerHandle;
-  private waiting: Array<() => void> = [];
-  private written = '';
-  private lastMs = Number.NEGATIVE_INFINITY;
-  private hasAdopted = false;
+  private flushWaiters: Array<() => void> = [];
+  private lastWritten = '';
+  private lastWriteMs = Number.NEGATIVE_INFINITY;
+  private hasLoadedAll = false;
   private isWriting = false;
   private isStopped = false;
 
-  constructor(private readonly options: LossShareOptions) {
+  constructor(private readonly options: LossSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new ContactLog({what: 'losses', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'losses', clock, logger});
     this.follower = new Follower({
       source,
       clock,
       random,
-      waitMs: QUARANTINE_WAIT_MS,
-      minIntervalMs: LOSS_READ_PACE_MS,
+      waitMs: POISON_LONG_POLL_MS,
+      minIntervalMs: LOSS_READ_INTERVAL_MS,
       listener: {
-        onSnapshot: (items) => this.takeAll(items),
-        onChanges: (changes) => changes.forEach((change) => this.take(change)),
-        onConfirmed: () => contact.noteHeard(),
-        onError: (err) => contact.noteLost(err),
+        onSnapshot: (items) => this.applySnapshot(items),
+        onChanges: (changes) =>
+          changes.forEach((change) => this.applyItem(change)),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onError: (err) => outageLog.recordFailure(err),
       },
     });
   }
 
   /** Whether the notes of all entries have been read once. */
-  get isInformed(): boolean {
-    return this.hasAdopted;
+  get hasLoaded(): boolean {
+    return this.hasLoadedAll;
   }
 
   start(): void {
@@ -78,16 +79,17 @@
     this.isStopped = true;
     this.follower.stop();
     this.timer?.cancel();
-    this.release();
+    this.resolveFlushes();
   }
 
   /** Writes what is known now, soon. */
   publish(): void {
     // What an earlier life of this entry had left must not be overwritten.
-    if (this.isStopped || !this.hasAdopted) return;
+    if (this.isStopped || !this.hasLoadedAll) return;
     if (this.isWriting || this.timer !== undefined) return;
-    const dueMs = this.lastMs + LOSS_WRITE_PACE_MS - this.options.clock.now();
-    this.writeIn(Math.max(0, dueMs));
+    const dueMs =
+      this.lastWriteMs + LOSS_WRITE_INTERVAL_MS - this.options.clock.now();
+    this.scheduleWrite(Math.max(0, dueMs));
   }
 
   /** Waits until the store has what is known now, or for a time. */
@@ -99,14 +101,14 @@
         delayMs: limitMs,
         run: resolve,
       });
-      this.waiting.push(() => {
+      this.flushWaiters.push(() => {
         limit.cancel();
         resolve();
       });
     });
   }
 
-  private writeIn(delayMs: number): void {
+  private scheduleWrite(delayMs: number): void {
     this.timer = this.options.clock.schedule({
       delayMs,
       run: () => {
@@ -117,66 +119,66 @@
   }
 
   private async write(): Promise<void> {
-    const {vm, ledger, notes, clock, logger} = this.options;
+    const {vm, ledger, records, clock, logger} = this.options;
     const value = ledger.toRecordedLosses();
     const text = JSON.stringify(value);
-    if (text === this.written || this.isNothingNew(value)) {
-      this.release();
+    if (text === this.lastWritten || this.hasNothingToWrite(value)) {
+      this.resolveFlushes();
       return;
     }
     this.isWriting = true;
-    this.lastMs = clock.now();
-    const written = await notes.upsert(vm, value);
+    this.lastWriteMs = clock.now();
+    const written = await records.upsert(vm, value);
     this.isWriting = false;
     if (this.isStopped) return;
     if (written.isErr()) {
       const {kind, detail} = written.error;
       logger.warn('losses not written', {kind, detail});
-      this.writeIn(SHARE_PAUSE_MS);
+      this.scheduleWrite(STORE_WRITE_RETRY_MS);
       return;
     }
-    this.written = text;
+    this.lastWritten = text;
     const hasChanged = JSON.stringify(ledger.toRecordedLosses()) !== text;
     if (hasChanged) this.publish();
-    else this.release();
+    else this.resolveFlushes();
   }
 
   /** Nothing was ever told, and there is nothing to tell. */
-  private isNothingNew({losses, harmless}: RecordedLosses): boolean {
-    return this.written === '' && losses.length + harmless.length === 0;
+  private hasNothingToWrite({losses, harmless}: RecordedLosses): boolean {
+    return this.lastWritten === '' && losses.length + harmless.length === 0;
   }
 
-  private release(): void {
-    for (const resolve of this.waiting.splice(0)) resolve();
+  private resolveFlushes(): void {
+    for (const resolve of this.flushWaiters.splice(0)) resolve();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<RecordedLosses>>): void {
+  private applySnapshot(items: ReadonlyArray<SourceItem<RecordedLosses>>): void {
     const {vm, ledger} = this.options;
     const present = new Set(items.map(({name}) => name));
     for (const name of ledger.knownEntries) {
       if (!present.has(name)) ledger.removeEntry(name);
     }
-    for (const item of items) this.take(item);
-    if (this.hasAdopted) return;
-    this.hasAdopted = true;
+    for (const item of items) this.applyItem(item);
+    if (this.hasLoadedAll) return;
+    this.hasLoadedAll = true;
     const own = items.find(({name}) => name === vm)?.value;
-    if (own !== undefined) this.adopt(own);
+    if (own !== undefined) this.restoreOwn(own);
     this.publish();
   }
 
-  private adopt(own: RecordedLosses): void {
+  private restoreOwn(own: RecordedLosses): void {
     this.options.ledger.restore(own);
-    this.written = JSON.stringify(own);
+    this.lastWritten = JSON.stringify(own);
   }
 
-  private take({name, value}: SourceItem<RecordedLosses>): void {
-    const {vm, ledger, onLearned} = this.options;
+  private applyItem({name, value}: SourceItem<RecordedLosses>): void {
+    const {vm, ledger, onReceived} = this.options;
     if (name === vm) return;
     if (value === undefined) {
       ledger.removeEntry(name);
       return;
     }
     ledger.updateEntry(name, value);
-    onLearned(value.losses.map(({request}) => request));
+    onReceived(value.losses.map(({request}) => request));
   }
 }
--- a/src/direct/poison/quarantine-share.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -9,16 +9,20 @@
 import type {Logger} from '../../core/logs/index.js';
 import type {QuarantineRecord, Quarantine} from '../../core/poison/index.js';
 import {Follower} from '../../core/sync/index.js';
-import {QUARANTINE_MS, QUARANTINE_WAIT_MS, SHARE_PAUSE_MS} from '../consts.js';
-import {ContactLog} from '../contact-log.js';
+import {
+  QUARANTINE_MS,
+  POISON_LONG_POLL_MS,
+  STORE_WRITE_RETRY_MS,
+} from '../consts.js';
+import {StoreOutageLog} from '../store-outage-log.js';
 
 /** An entry that only heard of a culprit waits this much longer. */
-const HEARD_FACTOR = 2;
+const REMOTE_EXPIRY_FACTOR = 2;
 
 /** What the entries' common quarantine is made from. */
-export interface QuarantineShareOptions {
+export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
-  readonly notes: StateWriter<QuarantineRecord>;
+  readonly records: StateWriter<QuarantineRecord>;
   readonly source: StateSource<QuarantineRecord>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -32,26 +36,26 @@
  * @example
  * new QuarantineShare(options).start();
  */
-export class QuarantineShare {
+export class QuarantineSync {
   private readonly follower: Follower<QuarantineRecord>;
   /** Fingerprints that the store is known to hold. */
   private readonly stored = new Set<string>();
   private readonly timers = new Set<TimerHandle>();
   private isStopped = false;
 
-  constructor(private readonly options: QuarantineShareOptions) {
+  constructor(private readonly options: QuarantineSyncOptions) {
     const {source, clock, random, logger} = options;
-    const contact = new ContactLog({what: 'quarantine', clock, logger});
+    const outageLog = new StoreOutageLog({what: 'quarantine', clock, logger});
     this.follower = new Follower({
       source,
       clock,
       random,
-      waitMs: QUARANTINE_WAIT_MS,
+      waitMs: POISON_LONG_POLL_MS,
       listener: {
-        onSnapshot: (items) => this.takeAll(items),
-        onChanges: (changes) => this.takeChanges(changes),
-        onConfirmed: () => contact.noteHeard(),
-        onError: (err) => contact.noteLost(err),
+        onSnapshot: (items) => this.applySnapshot(items),
+        onChanges: (changes) => this.applyChanges(changes),
+        onConfirmed: () => outageLog.recordSuccess(),
+        onError: (err) => outageLog.recordFailure(err),
       },
     });
   }
@@ -59,14 +63,14 @@
   start(): void {
     const {quarantine, logger} = this.options;
     quarantine.subscribe((fingerprint, culprit) => {
-      const isHeard = this.stored.has(fingerprint);
+      const isFromStore = this.stored.has(fingerprint);
       logger.warn('request quarantined', {
         fingerprint,
         clientAccount: culprit.clientAccount,
         engines: culprit.crashes.join(','),
-        isHeard,
+        isHeard: isFromStore,
       });
-      if (!isHeard) void this.share(fingerprint, culprit);
+      if (!isFromStore) void this.store(fingerprint, culprit);
     });
     this.follower.start();
   }
@@ -77,24 +81,24 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  private takeAll(items: ReadonlyArray<SourceItem<QuarantineRecord>>): void {
+  private applySnapshot(items: ReadonlyArray<SourceItem<QuarantineRecord>>): void {
     const present = new Set(items.map(({name}) => name));
     for (const name of [...this.stored]) {
-      if (!present.has(name)) this.release(name);
+      if (!present.has(name)) this.removeStored(name);
     }
-    for (const {name, value} of items) this.learn(name, value);
+    for (const {name, value} of items) this.addStored(name, value);
   }
 
-  private takeChanges(
+  private applyChanges(
     changes: ReadonlyArray<SourceChange<QuarantineRecord>>,
   ): void {
     for (const {name, value, isDeleted} of changes) {
-      if (isDeleted) this.release(name);
-      else this.learn(name, value);
+      if (isDeleted) this.removeStored(name);
+      else this.addStored(name, value);
     }
   }
 
-  private learn(
+  private addStored(
     fingerprint: string,
     culprit: QuarantineRecord | undefined,
   ): void {
@@ -102,33 +106,38 @@
     this.stored.add(fingerprint);
     this.options.quarantine.add({fingerprint, record: culprit});
     // Whoever left the note may be gone when its time is over.
-    void this.expire(fingerprint, QUARANTINE_MS * HEARD_FACTOR);
+    void this.removeAfter(fingerprint, QUARANTINE_MS * REMOTE_EXPIRY_FACTOR);
   }
 
-  private release(fingerprint: string): void {
+  private removeStored(fingerprint: string): void {
     this.stored.delete(fingerprint);
     this.options.quarantine.remove(fingerprint);
   }
 
-  private async share(
+  private async store(
     fingerprint: string,
     culprit: QuarantineRecord,
   ): Promise<void> {
-    const {notes} = this.options;
-    await this.insist(() => notes.createIfAbsent(fingerprint, culprit));
+    const {records} = this.options;
+    await this.retryUntilWritten(() => records.createIfAbsent(fingerprint, culprit));
     this.stored.add(fingerprint);
-    await this.expire(fingerprint, QUARANTINE_MS);
+    await this.removeAfter(fingerprint, QUARANTINE_MS);
   }
 
   /** Takes a note away after a time; its deletion releases the request. */
-  private async expire(fingerprint: string, delayMs: number): Promise<void> {
+  private async removeAfter(
+    fingerprint: string,
+    delayMs: number,
+  ): Promise<void> {
     await this.sleep(delayMs);
     if (!this.stored.has(fingerprint)) return;
-    await this.insist(() => this.options.notes.remove(fingerprint));
+    await this.retryUntilWritten(() =>
+      this.options.records.remove(fingerprint),
+    );
   }
 
   /** Writes until the store takes it. */
-  private async insist(
+  private async retryUntilWritten(
     write: () => ReturnType<StateWriter<QuarantineRecord>['remove']>,
   ): Promise<void> {
     const {logger} = this.options;
@@ -137,7 +146,7 @@
       if (written.isOk()) return;
       const {kind, detail} = written.error;
       logger.warn('quarantine not written', {kind, detail});
-      await this.sleep(SHARE_PAUSE_MS);
+      await this.sleep(STORE_WRITE_RETRY_MS);
     }
   }
 
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -8,10 +8,10 @@
 import type {ReportedLoad, Target, TargetSet} from '../core/targets/index.js';
 import {REPORT_LAG_MS} from '../core/targets/index.js';
 import {
-  PROBE_FRESH_MS,
+  PROBE_CACHE_MS,
   PROBE_TIMEOUT_MS,
-  REPORT_REUSE_MS,
-  SWEEP_PAUSE_MS,
+  MAX_REPORT_AGE_MS,
+  DATA_CENTRE_PROBE_INTERVAL_MS,
 } from './consts.js';
 
 interface Probe {
@@ -28,7 +28,7 @@
  */
 export class Prober {
   private readonly probes = new WeakMap<Target, Probe>();
-  private readonly sweptMs = new Map<string, number>();
+  private readonly dataCentreProbedMs = new Map<string, number>();
 
   constructor(
     private readonly options: {
@@ -46,13 +46,13 @@
   /** Whether a target answers; an engine that does not is paused. */
   isAlive(target: Target): Promise<boolean> {
     const nowMs = this.options.clock.now();
-    const earlier = this.probes.get(target);
-    if (earlier !== undefined && nowMs - earlier.startedMs < PROBE_FRESH_MS) {
-      return earlier.outcome;
+    const cached = this.probes.get(target);
+    if (cached !== undefined && nowMs - cached.startedMs < PROBE_CACHE_MS) {
+      return cached.outcome;
     }
     const outcome = this.options.isEngine(target)
       ? this.probe(target)
-      : this.isHealthy(target);
+      : this.checkHealth(target);
     this.probes.set(target, {startedMs: nowMs, outcome});
     return outcome;
   }
@@ -60,45 +60,45 @@
   /**
    * Whether a target shows, later than `sinceMs`, that it is there.
    */
-  showsLifeSince(target: Target, sinceMs: number): Promise<boolean> {
-    const earlier = this.probes.get(target);
-    if (earlier === undefined || earlier.startedMs < sinceMs) {
+  isAliveSince(target: Target, sinceMs: number): Promise<boolean> {
+    const cached = this.probes.get(target);
+    if (cached === undefined || cached.startedMs < sinceMs) {
       this.probes.delete(target);
     }
     return this.isAlive(target);
   }
 
   /** Whether a target tells of its birth, so that a restart shows. */
-  tellsOfBirth(target: Target): boolean {
+  reportsStartTime(target: Target): boolean {
     return (
       this.options.isEngine(target) && target.record.startedAtMs !== undefined
     );
   }
 
   /** Asks those of some targets that were not asked lately. */
-  async refresh(targets: readonly Target[]): Promise<void> {
-    const stale = targets.filter((t) => t.reportAgeMs() > REPORT_REUSE_MS);
+  async refreshReports(targets: readonly Target[]): Promise<void> {
+    const stale = targets.filter((t) => t.reportAgeMs() > MAX_REPORT_AGE_MS);
     await Promise.all(stale.map((target) => this.isAlive(target)));
   }
 
   /** Looks at the other targets beside one that was lost. */
-  sweepAround(lost: Target): void {
+  probeDataCentreOf(lost: Target): void {
     const {clock, targets} = this.options;
     if (!this.options.isEngine(lost)) return;
     const {dataCentre, service} = lost.record;
     const key = `${dataCentre} ${service}`;
     const nowMs = clock.now();
-    const lastMs = this.sweptMs.get(key) ?? Number.NEGATIVE_INFINITY;
-    if (nowMs - lastMs < SWEEP_PAUSE_MS) return;
-    this.sweptMs.set(key, nowMs);
+    const lastMs = this.dataCentreProbedMs.get(key) ?? Number.NEGATIVE_INFINITY;
+    if (nowMs - lastMs < DATA_CENTRE_PROBE_INTERVAL_MS) return;
+    this.dataCentreProbedMs.set(key, nowMs);
     for (const target of targets.ofService(service)) {
-      const isBeside = target.record.dataCentre === dataCentre;
-      if (isBeside && !target.isPaused()) void this.isAlive(target);
+      const isInDataCentre = target.record.dataCentre === dataCentre;
+      if (isInDataCentre && !target.isPaused()) void this.isAlive(target);
     }
   }
 
   /** The time limit also covers the opening of a connection. */
-  private reportInTime(target: Target): Promise<Result<ReportedLoad, string>> {
+  private requestReport(target: Target): Promise<Result<ReportedLoad, string>> {
     const {client, clock} = this.options;
     return new Promise((resolve) => {
       const timer = clock.schedule({
@@ -124,21 +124,21 @@
     });
   }
 
-  private async isHealthy(target: Target): Promise<boolean> {
+  private async checkHealth(target: Target): Promise<boolean> {
     const path = this.options.healthPathOf(target);
     if (path === undefined) return false;
-    const answer = await this.options.client.probeHealth({
+    const health = await this.options.client.probeHealth({
       target: target.record,
       path,
       timeoutMs: PROBE_TIMEOUT_MS,
     });
-    return answer.isOk() && answer.value === target.id;
+    return health.isOk() && health.value === target.id;
   }
 
   private async probe(target: Target): Promise<boolean> {
     const {logger} = this.options;
-    const report = await this.reportInTime(target);
-    if (report.isOk() && isAnotherLife(target, report.value)) {
+    const report = await this.requestReport(target);
+    if (report.isOk() && isOtherIncarnation(target, report.value)) {
       target.recordIncarnationEnded();
       logger.info('target was replaced', {
         target: target.id,
@@ -157,16 +157,16 @@
       dataCentre: target.record.dataCentre,
       detail: report.error,
     });
-    this.sweepAround(target);
+    this.probeDataCentreOf(target);
     return false;
   }
 }
 
 /** Another target, or a restarted one, has the address now. */
-function isAnotherLife(
+function isOtherIncarnation(
   {record}: Target,
   {startedAtMs: bornMs}: ReportedLoad,
 ): boolean {
-  const isTold = bornMs !== undefined && record.startedAtMs !== undefined;
-  return isTold && bornMs !== record.startedAtMs;
+  const isReported = bornMs !== undefined && record.startedAtMs !== undefined;
+  return isReported && bornMs !== record.startedAtMs;
 }
--- a/src/direct/contact-log.ts
+++ b/src/direct/store-outage-log.ts
@@ -12,8 +12,8 @@
  * contact.noteLost(err);
  * contact.noteHeard();
  */
-export class ContactLog {
-  private lostMs?: number;
+export class StoreOutageLog {
+  private lostSinceMs?: number;
   private failures = 0;
 
   constructor(
@@ -25,20 +25,20 @@
     },
   ) {}
 
-  noteLost(err: SourceError): void {
+  recordFailure(err: SourceError): void {
     const {what, clock, logger} = this.options;
     this.failures++;
-    if (this.lostMs !== undefined) return;
-    this.lostMs = clock.now();
+    if (this.lostSinceMs !== undefined) return;
+    this.lostSinceMs = clock.now();
     logger.warn('store lost', {what, kind: err.kind, detail: err.detail});
   }
 
-  noteHeard(): void {
+  recordSuccess(): void {
     const {what, clock, logger} = this.options;
-    if (this.lostMs === undefined) return;
-    const lostForMs = Math.round(clock.now() - this.lostMs);
+    if (this.lostSinceMs === undefined) return;
+    const lostForMs = Math.round(clock.now() - this.lostSinceMs);
     logger.info('store is back', {what, lostForMs, failures: this.failures});
-    this.lostMs = undefined;
+    this.lostSinceMs = undefined;
     this.failures = 0;
   }
 }
--- a/src/direct/streams/stream-try.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -11,14 +11,18 @@
 import type {RawEvent} from '../../core/streams/index.js';
 import {EventSplitter} from '../../core/streams/index.js';
 import type {Target, TargetWork} from '../../core/targets/index.js';
-import {AnswerBody, MAX_ANSWER_BYTES, TOO_LARGE} from '../answer-body.js';
-import {COPY_ANSWER_MS, READING_CHECK_MS} from '../consts.js';
+import {
+  ResponseBody,
+  MAX_RESPONSE_BYTES,
+  TOO_LARGE_DETAIL,
+} from '../response-body.js';
+import {RESUME_CHECK_MS, PREFILL_CHECK_MS} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
-import {noteFailureAt} from '../note-failure.js';
+import {recordTargetFailure} from '../record-target-failure.js';
 import {toTargetRequest} from '../target-request.js';
-import type {RunCopy} from './copy-keeper.js';
-import {CopyKeeper} from './copy-keeper.js';
-import {SilenceWatch} from './silence-watch.js';
+import type {KvCacheCopy} from './kv-cache-replicator.js';
+import {KvCacheReplicator} from './kv-cache-replicator.js';
+import {StallDetector} from './stall-detector.js';
 
 const OK = 200;
 
@@ -31,31 +35,31 @@
 }
 
 /** Hears what a target writes. */
-export interface TryListener {
+export interface AttemptListener {
   onEvent(head: TargetResponseHead, event: RawEvent): void;
   /** The target has ended its stream. */
   onEnd(head: TargetResponseHead): void;
   /** The target answered with something else than a stream. */
-  onOtherAnswer(head: TargetResponseHead, body: Uint8Array): void;
+  onOtherResponse(head: TargetResponseHead, body: Uint8Array): void;
   onLost(loss: TargetLoss): void;
 }
 
 /** What a target is given to do. */
-export interface TryOptions {
+export interface StreamAttemptOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
   readonly target: Target;
   /** Chooses where the run's memory is copied to. */
-  readonly chooseCopy: () => Target | undefined;
+  readonly chooseCopyHolder: () => Target | undefined;
   /** Tokens that the run holds in memory at its end. */
   readonly tokens: number;
   /** The last event that the caller has. */
   readonly lastEventId?: number;
   /** Whether the caller has got events from another target before. */
-  readonly isUnderWay: boolean;
+  readonly hasDelivered: boolean;
   /** The copy from which the target goes on. */
   readonly copyFrom?: KvCopyReference;
-  readonly listener: TryListener;
+  readonly listener: AttemptListener;
 }
 
 /**
@@ -66,70 +70,76 @@
  * const run = new StreamTry(options);
  * run.cancel();
  */
-export class StreamTry {
+export class StreamAttempt {
   readonly target: Target;
-  private readonly keeper: CopyKeeper;
+  private readonly replicator: KvCacheReplicator;
   private readonly work: TargetWork;
   private readonly exchange: Exchange;
-  private readonly watch: SilenceWatch;
+  private readonly stallDetector: StallDetector;
   private readonly splitter = new EventSplitter();
   /** The body of an answer that is no stream. */
-  private readonly body = new AnswerBody();
+  private readonly body = new ResponseBody();
   private head?: TargetResponseHead;
-  private count = 0;
+  private eventCount = 0;
   private isOver = false;
 
-  constructor(private readonly options: TryOptions) {
-    const {ctx, target, tokens, copyFrom, chooseCopy} = options;
+  constructor(private readonly options: StreamAttemptOptions) {
+    const {
+      ctx,
+      target,
+      tokens,
+      copyFrom,
+      chooseCopyHolder: chooseCopy,
+    } = options;
     this.target = target;
     this.work = target.begin({tokens});
-    this.keeper = new CopyKeeper({
+    this.replicator = new KvCacheReplicator({
       ctx,
       work: options.work,
       runner: target,
       tokens,
-      choose: chooseCopy,
+      chooseHolder: chooseCopy,
     });
     const {isResumable, maxPauseMs} = options.work.admitted.route;
-    this.watch = new SilenceWatch({
+    this.stallDetector = new StallDetector({
       ctx,
       target,
       maxPauseMs,
-      onLost: (silentMs) =>
-        this.lose({
+      onStalled: (silentMs) =>
+        this.reportLoss({
           reason: RetryReason.ENGINE_STALLED,
           detail: `silent for ${silentMs} ms`,
         }),
     });
     if (isResumable) {
-      this.watch.start(
-        copyFrom === undefined ? READING_CHECK_MS : COPY_ANSWER_MS,
+      this.stallDetector.start(
+        copyFrom === undefined ? PREFILL_CHECK_MS : RESUME_CHECK_MS,
       );
     }
     this.exchange = this.send();
   }
 
   /** The newest copy of the run's memory. */
-  get copy(): RunCopy | undefined {
-    return this.keeper.copy;
+  get copy(): KvCacheCopy | undefined {
+    return this.replicator.copy;
   }
 
   /** When the request came to the target, on the process's clock. */
-  get beganMs(): number {
+  get startedMs(): number {
     return this.work.startedAtMs;
   }
 
   /** Events that this target has written. */
   get events(): number {
-    return this.count;
+    return this.eventCount;
   }
 
   /** Ends the work at the target. */
   cancel(): void {
-    this.leave({copyIsNeeded: false});
+    this.stop({copyIsNeeded: false});
   }
 
-  private leave(options: {copyIsNeeded: boolean}): void {
+  private stop(options: {copyIsNeeded: boolean}): void {
     if (this.isOver) return;
     this.close(options);
     this.exchange.cancel();
@@ -137,15 +147,15 @@
 
   private send(): Exchange {
     const {ctx, work, target, lastEventId, copyFrom} = this.options;
-    const {isUnderWay} = this.options;
+    const {hasDelivered} = this.options;
     const {route, account} = work.admitted;
     return ctx.client.send({
       target: target.record,
       maxConnections: work.service.maxConnections,
       req: toTargetRequest({
         work,
-        leftMs: work.endMs - ctx.clock.now(),
-        priority: enginePriority({route, account, isResumed: isUnderWay}),
+        leftMs: work.deadlineAtMs - ctx.clock.now(),
+        priority: enginePriority({route, account, isResumed: isUnderWay: hasDelivered}),
         lastEventId: lastEventId?.toString(),
         copyTo: this.copy?.holder.record.address,
         copyFrom,
@@ -168,32 +178,36 @@
     if (this.isOver || this.head === undefined) return;
     if (this.head.status !== OK) {
       this.body.push(chunk);
-      if (this.body.isTooLarge) this.loseEndless();
+      if (this.body.isTooLarge) this.failOversized();
       return;
     }
     for (const event of this.splitter.push(chunk)) {
-      this.noteEvent();
+      this.recordEvent();
       this.options.listener.onEvent(this.head, event);
       // The listener may have left this target.
       if (this.isOver) return;
     }
-    if (this.splitter.pendingBytes > MAX_ANSWER_BYTES) this.loseEndless();
+    if (this.splitter.pendingBytes > MAX_RESPONSE_BYTES) this.failOversized();
   }
 
   /** The target sends without end what is no event and no answer. */
-  private loseEndless(): void {
+  private failOversized(): void {
     const failure = ExchangeFailure.BROKEN;
-    noteFailureAt(this.target, failure);
-    this.lose({reason: RetryReason.ENGINE_DIED, failure, detail: TOO_LARGE});
+    recordTargetFailure(this.target, failure);
+    this.reportLoss({
+      reason: RetryReason.ENGINE_DIED,
+      failure,
+      detail: TOO_LARGE_DETAIL,
+    });
   }
 
-  private noteEvent(): void {
-    this.count++;
+  private recordEvent(): void {
+    this.eventCount++;
     this.work.isPrefilling = false;
     this.target.recordSeen();
     if (!this.options.work.admitted.route.isResumable) return;
-    this.watch.noteEvent();
-    this.keeper.check();
+    this.stallDetector.recordEvent();
+    this.replicator.check();
   }
 
   private onComplete(): void {
@@ -201,10 +215,10 @@
     if (this.isOver || head === undefined) return;
     if (head.status !== OK) {
       this.close({copyIsNeeded: false});
-      this.options.listener.onOtherAnswer(head, this.body.toBytes());
+      this.options.listener.onOtherResponse(head, this.body.toBytes());
     } else if (this.splitter.pendingBytes > 0) {
       const reason = RetryReason.ENGINE_DIED;
-      this.lose({reason, detail: 'ended within an event'});
+      this.reportLoss({reason, detail: 'ended within an event'});
     } else {
       this.close({copyIsNeeded: false});
       this.target.recordSuccess();
@@ -214,21 +228,21 @@
 
   private onFailure(failure: ExchangeFailure, detail: string): void {
     if (this.isOver) return;
-    noteFailureAt(this.target, failure);
-    this.options.ctx.prober.sweepAround(this.target);
+    recordTargetFailure(this.target, failure);
+    this.options.ctx.prober.probeDataCentreOf(this.target);
     const reason = retryReasonOf(failure, RetryReason.ENGINE_DIED);
-    this.lose({reason, failure, detail: `${failure}: ${detail}`});
+    this.reportLoss({reason, failure, detail: `${failure}: ${detail}`});
   }
 
-  private lose(loss: TargetLoss): void {
-    this.leave({copyIsNeeded: true});
+  private reportLoss(loss: TargetLoss): void {
+    this.stop({copyIsNeeded: true});
     this.options.listener.onLost(loss);
   }
 
   private close({copyIsNeeded}: {copyIsNeeded: boolean}): void {
     this.isOver = true;
-    this.watch.stop();
+    this.stallDetector.stop();
     this.target.end(this.work);
-    this.keeper.close({isNeeded: copyIsNeeded});
+    this.replicator.close({isNeeded: copyIsNeeded});
   }
 }
--- a/src/direct/streams/stream-times.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -10,14 +10,14 @@
  * @example
  * times.of('drafts').isHopeless({need, leftMs});
  */
-export class StreamTimes {
-  private readonly times = new Map<string, MinGenerationTime>();
+export class StreamDurations {
+  private readonly durations = new Map<string, MinGenerationTime>();
 
   of(service: string): MinGenerationTime {
-    let time = this.times.get(service);
+    let time = this.durations.get(service);
     if (time === undefined) {
       time = new MinGenerationTime();
-      this.times.set(service, time);
+      this.durations.set(service, time);
     }
     return time;
   }
@@ -29,7 +29,7 @@
  * @example
  * const need = needOf(req, service);
  */
-export function needOf(
+export function toGenerationNeed(
   req: CallerRequest,
   service: RoutedService,
 ): GenerationSize | undefined {
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -6,7 +6,11 @@
   shortlistEngines,
 } from '../../core/placing/index.js';
 import type {Target} from '../../core/targets/index.js';
-import {DOUBT_MS, LEAVING_WORK_MS, SHORTLIST} from '../consts.js';
+import {
+  AVOID_DATA_CENTRE_MS,
+  DRAINING_RESUME_WINDOW_MS,
+  SHORTLIST_SIZE,
+} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
 
 /**
@@ -24,9 +28,9 @@
   /** Targets that did not take the stream. */
   private readonly excluded = new Set<string>();
   /** Present where the stream is kept apart from others. */
-  private identity?: string;
+  private isolatedFingerprint?: string;
   /** Data centres in which the stream has just lost a target. */
-  private readonly doubtful = new Set<string>();
+  private readonly avoidedDataCentres = new Set<string>();
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
     this.ctx = options.ctx;
@@ -37,31 +41,32 @@
   }
 
   /** Keeps the stream apart from others that lost the same targets. */
-  keepApart(identity: string): void {
-    this.identity = identity;
+  isolate(fingerprint: string): void {
+    this.isolatedFingerprint = fingerprint;
   }
 
   /** Asks the best engines for their load, then takes the best of them. */
   async findTarget(): Promise<Target | undefined> {
     const candidates = this.shortlist();
-    await this.ctx.prober.refresh(candidates);
-    if (this.identity !== undefined) return candidates.find(isHere);
-    const target = chooseEngine({...this.choice(), targets: candidates});
-    const isUsable = target !== undefined && isHere(target);
+    await this.ctx.prober.refreshReports(candidates);
+    if (this.isolatedFingerprint !== undefined)
+      return candidates.find(isAvailable);
+    const target = chooseEngine({...this.engineChoice(), targets: candidates});
+    const isUsable = target !== undefined && isAvailable(target);
     return isUsable ? target : undefined;
   }
 
   /** Where the memory of a run is copied to; undefined if nowhere. */
-  chooseCopy(runner: Target): Target | undefined {
+  chooseCopyHolder(runner: Target): Target | undefined {
     const {engine} = this.work.service;
     const {isResumable} = this.work.admitted.route;
     if (engine === undefined || !engine.canCopy || !isResumable) {
       return undefined;
     }
     return chooseEngine({
-      ...this.choice(),
+      ...this.engineChoice(),
       excluded: new Set([runner.id]),
-      avoidedDataCentres: new Set([...this.doubtful, runner.record.dataCentre]),
+      avoidedDataCentres: new Set([...this.avoidedDataCentres, runner.record.dataCentre]),
       preferRecentlySeen: true,
     });
   }
@@ -71,36 +76,39 @@
   }
 
   /** Lets all targets be tried again. */
-  forgetExcluded(): void {
+  clearExcluded(): void {
     this.excluded.clear();
   }
 
   /** Data centres fail as a whole: none that was just lost is chosen. */
-  doubt(lost: Target): void {
+  avoidDataCentreOf(lost: Target): void {
     const {dataCentre} = lost.record;
-    this.doubtful.add(dataCentre);
+    this.avoidedDataCentres.add(dataCentre);
     this.ctx.clock.schedule({
-      delayMs: DOUBT_MS,
-      run: () => void this.doubtful.delete(dataCentre),
+      delayMs: AVOID_DATA_CENTRE_MS,
+      run: () => void this.avoidedDataCentres.delete(dataCentre),
     });
   }
 
   private shortlist(): Target[] {
-    const {identity} = this;
-    if (identity === undefined)
-      return shortlistEngines(this.choice(), SHORTLIST);
-    const all = shortlistEngines(this.choice(), Number.POSITIVE_INFINITY);
-    return rankByFingerprint(identity, all.filter(isHere)).slice(0, SHORTLIST);
+    const {isolatedFingerprint} = this;
+    if (isolatedFingerprint === undefined)
+      return shortlistEngines(this.engineChoice(), SHORTLIST_SIZE);
+    const all = shortlistEngines(this.engineChoice(), Number.POSITIVE_INFINITY);
+    return rankByFingerprint(isolatedFingerprint, all.filter(isAvailable)).slice(
+      0,
+      SHORTLIST_SIZE,
+    );
   }
 
-  private choice(): EngineQuery {
+  private engineChoice(): EngineQuery {
     const {ctx, work, tokens} = this;
     return {
       targets: ctx.targets.ofService(work.service.name),
       tokens,
       kvCapacityTokens: work.service.engine?.kvCapacityTokens ?? Infinity,
       excluded: this.excluded,
-      avoidedDataCentres: this.doubtful,
+      avoidedDataCentres: this.avoidedDataCentres,
       random: ctx.random,
     };
   }
@@ -113,11 +121,11 @@
  * @example
  * if (canGoOnAt(holder)) goOnAt(holder);
  */
-export function canGoOnAt(holder: Target): boolean {
+export function canResumeAt(holder: Target): boolean {
   const leavingForMs = holder.drainingForMs() ?? 0;
-  return leavingForMs < LEAVING_WORK_MS && !holder.isPaused();
+  return leavingForMs < DRAINING_RESUME_WINDOW_MS && !holder.isPaused();
 }
 
-function isHere(target: Target): boolean {
+function isAvailable(target: Target): boolean {
   return !target.record.isDraining && !target.isPaused();
 }
--- a/test/direct/loss-share.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -12,20 +12,20 @@
 import {SILENT_LOGGER} from '../../src/core/logs/index.js';
 import type {RecordedLosses} from '../../src/core/poison/index.js';
 import {LossLedger} from '../../src/core/poison/index.js';
-import {LossShare} from '../../src/direct/poison/loss-share.js';
+import {LossSync} from '../../src/direct/poison/loss-sync.js';
 
 const VM = 'entry-1';
 const OTHER = 'entry-2';
 const REQUEST = 'a request';
-const LIFE = 'i-1@1000';
+const INCARNATION = 'i-1@1000';
 
-const notesOf = (...lives: string[]): RecordedLosses => ({
+const recordsOf = (...lives: string[]): RecordedLosses => ({
   losses: lives.map((life) => ({request: REQUEST, life, isSettled: true})),
   harmless: [],
 });
 
 /** Lists what it is given, when it is told to. */
-class Source implements StateSource<RecordedLosses> {
+class ManualSource implements StateSource<RecordedLosses> {
   private waiting: Array<(items: Array<SourceItem<RecordedLosses>>) => void> =
     [];
 
@@ -46,38 +46,38 @@
     return errAsync({kind, detail: 'status 410'});
   }
 
-  async answer(items: Record<string, RecordedLosses>): Promise<void> {
+  async respond(items: Record<string, RecordedLosses>): Promise<void> {
     const all = Object.entries(items).map(([name, value]) => ({name, value}));
     for (const resolve of this.waiting.splice(0)) resolve(all);
-    await turns();
+    await flushMicrotasks();
   }
 }
 
-async function turns(): Promise<void> {
+async function flushMicrotasks(): Promise<void> {
   for (let i = 0; i < 30; i++) await Promise.resolve();
 }
 
 describe('LossShare', () => {
   let clock: ManualClock;
   let ledger: LossLedger;
-  let source: Source;
+  let source: ManualSource;
   let written: RecordedLosses[];
-  let share: LossShare;
+  let sync: LossSync;
 
   beforeEach(async () => {
     clock = new ManualClock();
     ledger = new LossLedger({clock});
-    source = new Source();
+    source = new ManualSource();
     written = [];
-    share = new LossShare({
+    sync = new LossSync({
       vm: VM,
       ledger,
       source,
       clock,
       random: new SeededRandom(1),
       logger: SILENT_LOGGER,
-      onLearned: () => undefined,
-      notes: {
+      onReceived: () => undefined,
+      records: {
         createIfAbsent: () => okAsync(undefined),
         remove: () => okAsync(undefined),
         upsert: (_name, value) => {
@@ -86,43 +86,43 @@
         },
       },
     });
-    share.start();
-    await turns();
+    sync.start();
+    await flushMicrotasks();
   });
 
-  const lose = (life: string) => {
+  const recordLoss = (life: string) => {
     ledger.recordLoss({request: REQUEST, incarnation: life});
     ledger.confirm({request: REQUEST, incarnation: life});
-    share.publish();
+    sync.publish();
   };
 
-  const pass = async () => {
+  const advance = async () => {
     clock.advance(1_000);
-    await turns();
+    await flushMicrotasks();
   };
 
   it('keeps what an earlier life of the entry had left', async () => {
-    lose('i-2@1000');
-    await pass();
-    await source.answer({[VM]: notesOf(LIFE)});
-    await pass();
+    recordLoss('i-2@1000');
+    await advance();
+    await source.respond({[VM]: recordsOf(INCARNATION)});
+    await advance();
     const lives = written.map(({losses}) =>
       losses.map(({life}) => life).sort(),
     );
-    expect(lives).toEqual([[LIFE, 'i-2@1000']]);
+    expect(lives).toEqual([[INCARNATION, 'i-2@1000']]);
   });
 
   it('forgets what an entry told whose notes are gone', async () => {
-    await source.answer({[OTHER]: notesOf(LIFE)});
+    await source.respond({[OTHER]: recordsOf(INCARNATION)});
     expect(ledger.incarnationsOf(REQUEST).size).toBe(1);
-    await source.answer({});
+    await source.respond({});
     expect(ledger.incarnationsOf(REQUEST).size).toBe(0);
   });
 
   it('writes nothing where nothing is lost', async () => {
-    await source.answer({});
-    share.publish();
-    await pass();
+    await source.respond({});
+    sync.publish();
+    await advance();
     expect(written).toEqual([]);
   });
 });
