--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -14,16 +14,16 @@
 export const NO_TARGET_RETRY_MS = 50;
 
 /** Attempts on one answer before it is given up. */
-export const MAX_ATTEMPTS = 12;
+export const MAX_ATTEMPTS_WITHOUT_PROGRESS = 12;
 
 /** An answer without a reader is kept for this long, in milliseconds. */
-export const COPY_RETENTION_MS = 10_000;
+export const OUTPUT_RETENTION_MS = 10_000;
 
 /** How often copies are swept, in milliseconds. */
-export const COPY_SWEEP_MS = 1_000;
+export const OUTPUT_SWEEP_PERIOD_MS = 1_000;
 
 /** Most tokens that a caller reads in one part. */
-export const TOKENS_PER_PART = 256;
+export const MAX_TOKENS_PER_PART = 256;
 
 /** A refusal for want of targets asks to come back after this. */
 export const RETRY_AFTER_MS = 1_000;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -35,8 +35,8 @@
 import {CallerGate} from './caller-gate.js';
 import {ConfigControl} from './config/config-control.js';
 import {EntryBoard} from './entry-board.js';
-import type {RunParts} from './generation/generation-run.js';
-import {QuarantineWatch} from './generation/quarantine-watch.js';
+import type {GenerationDeps} from './generation/generation-run.js';
+import {QuarantineSync} from './generation/quarantine-sync.js';
 import {GenerationService} from './generation/generation-service.js';
 import {OwnVmWatch} from './links/membership-own-vm.js';
 import {LoadController} from './load-controller.js';
@@ -73,7 +73,7 @@
   private readonly generations: GenerationService;
   private readonly gate: CallerGate;
   private readonly config: ConfigControl;
-  private readonly quarantineWatch: QuarantineWatch;
+  private readonly quarantineWatch: QuarantineSync;
   private readonly drainer: DrainController;
 
   constructor(private readonly options: EntryOptions) {
@@ -112,7 +112,7 @@
     });
     this.gate = this.createGate(parts);
     const {quarantine} = this;
-    this.quarantineWatch = new QuarantineWatch({...options, quarantine});
+    this.quarantineWatch = new QuarantineSync({...options, quarantine});
     this.drainer = this.createDrainer();
     new OwnVmWatch({
       board,
@@ -203,7 +203,7 @@
     return this.generations.countRunning() + this.gate.countRunning();
   }
 
-  private createParts(): RunParts {
+  private createParts(): GenerationDeps {
     const {clock, random, metrics, settings} = this.options;
     const failures = new FailureWatch({clock});
     return {
@@ -219,7 +219,7 @@
     };
   }
 
-  private createGate(parts: RunParts): CallerGate {
+  private createGate(parts: GenerationDeps): CallerGate {
     return new CallerGate({
       ...parts,
       board: this.board,
--- a/src/entry/generation/attempt-history.ts
+++ b/src/entry/generation/attempt-history.ts
@@ -1,62 +1,64 @@
 /** What became of the attempts on one answer. */
 import type {Culprit} from '../../core/poison/index.js';
-import {MAX_ATTEMPTS} from '../consts.js';
-import {SHARE_AFTER_MS} from './consts.js';
+import {MAX_ATTEMPTS_WITHOUT_PROGRESS} from '../consts.js';
+import {SUSPECT_SHARING_DELAY_MS} from './consts.js';
 
 /** Remembers where attempts were lost and refused, and in which crashes. */
 export class AttemptHistory {
   /** Targets on which attempts were lost. */
-  readonly lost: string[] = [];
+  readonly lostOn: string[] = [];
   /** Targets that refused since the last token or wait. */
-  refused: string[] = [];
+  refusedBy: string[] = [];
   /** Engine crashes whose cause is not known yet. */
   crashes: string[] = [];
   /** Whether an attempt was admitted and then lost. */
-  anyLost = false;
+  hasLostAttempt = false;
   private fruitlessCount = 0;
   private conflictSinceMs: number | undefined;
 
   constructor(private readonly options: {now: () => number}) {}
 
   /** Attempts in a row that brought no token. */
-  get fruitless(): number {
+  get attemptsWithoutProgress(): number {
     return this.fruitlessCount;
   }
 
   /** Too many attempts in a row brought no token. */
-  isHopeless(): boolean {
-    return this.fruitlessCount >= MAX_ATTEMPTS;
+  isAttemptLimitReached(): boolean {
+    return this.fruitlessCount >= MAX_ATTEMPTS_WITHOUT_PROGRESS;
   }
 
-  noteLoss(vm: string | undefined): void {
+  recordLoss(vm: string | undefined): void {
     this.fruitlessCount++;
-    this.anyLost = true;
-    if (vm !== undefined) this.lost.push(vm);
+    this.hasLostAttempt = true;
+    if (vm !== undefined) this.lostOn.push(vm);
   }
 
-  noteRefusal(vm: string | undefined): void {
-    if (vm !== undefined) this.refused.push(vm);
+  recordRefusal(vm: string | undefined): void {
+    if (vm !== undefined) this.refusedBy.push(vm);
     if (this.crashes.length === 0) return;
     this.conflictSinceMs ??= this.options.now();
   }
 
-  noteProgress(): void {
+  recordProgress(): void {
     this.fruitlessCount = 0;
-    this.refused = [];
+    this.refusedBy = [];
   }
 
-  noteCrash(id: string | undefined): void {
+  recordCrash(id: string | undefined): void {
     if (id !== undefined) this.crashes.push(id);
   }
 
   /** The cause of some crashes is known: it is another request. */
-  acquit(culprit: Culprit): void {
+  removeExplainedCrashes(culprit: Culprit): void {
     this.crashes = this.crashes.filter((id) => !culprit.crashes.includes(id));
   }
 
   /** Whether no target without fellow suspects was found for long enough. */
   mayShare(): boolean {
     if (this.conflictSinceMs === undefined) return false;
-    return this.options.now() - this.conflictSinceMs >= SHARE_AFTER_MS;
+    return (
+      this.options.now() - this.conflictSinceMs >= SUSPECT_SHARING_DELAY_MS
+    );
   }
 }
--- a/src/entry/generation/attempt-link.ts
+++ b/src/entry/generation/attempt-link.ts
@@ -8,7 +8,7 @@
   /** Sends the first message; false when nothing was sent. */
   open(options: {id: string; message: Message; handler: LinkHandler}): boolean;
   /** Sends a message that needs no answer. */
-  tell(message: Message): void;
+  send(message: Message): void;
   /** Forgets an attempt; later words of it are dropped. */
   release(id: string): void;
 }
--- a/src/entry/generation/attempt-messages.ts
+++ b/src/entry/generation/attempt-messages.ts
@@ -6,11 +6,11 @@
   TokensMessage,
 } from '../../core/protocol/index.js';
 import {MessageType} from '../../core/protocol/index.js';
-import type {OpenAttempt, RunOrder} from './run-types.js';
+import type {OpenAttempt, GenerationTask} from './run-types.js';
 
 /** Creates the order to run an attempt. */
 export function createStart(
-  order: RunOrder,
+  order: GenerationTask,
   options: {
     attemptId: string;
     resumeFrom: readonly Token[];
@@ -34,7 +34,7 @@
 
 /** Creates the request for an attempt's whole journal. */
 export function createAttach(
-  order: RunOrder,
+  order: GenerationTask,
   options: {attemptId: string; position: number},
 ): AttachMessage {
   const {requestId, clientAccount, fingerprint} = order;
@@ -53,8 +53,8 @@
 }
 
 /** Hears no more of an attempt, and has it stopped. */
-export function cancelAttempt({link, place}: OpenAttempt): void {
+export function cancelAttempt({link, location: place}: OpenAttempt): void {
   const {attemptId} = place;
   link.release(attemptId);
-  link.tell({type: MessageType.CANCEL, attemptId});
+  link.send({type: MessageType.CANCEL, attemptId});
 }
--- a/src/entry/generation/choose-target.ts
+++ b/src/entry/generation/choose-target.ts
@@ -4,7 +4,7 @@
 import type {TargetChooser, TargetView} from '../../core/routing/index.js';
 import type {AttemptHistory} from './attempt-history.js';
 import {IDLE_SHARE} from './consts.js';
-import type {RunOrder, RunParts} from './run-types.js';
+import type {GenerationTask, GenerationDeps} from './run-types.js';
 
 /** What an attempt asks of a target. */
 export interface TargetQuery {
@@ -12,15 +12,15 @@
   readonly dataCentre: string;
   readonly prompt: string;
   /** Targets on which attempts were lost; used again only in need. */
-  readonly lost: readonly string[];
+  readonly lostOn: readonly string[];
   /** Targets that refused just now. */
-  readonly refused: readonly string[];
+  readonly refusedBy: readonly string[];
   /** The attempt goes on with an answer. */
-  readonly resumes: boolean;
+  readonly isResume: boolean;
 }
 
 /** A question and what it is answered from. */
-export interface TargetChoice {
+export interface ChooseTargetOptions {
   readonly query: TargetQuery;
   readonly targets: readonly TargetView[];
   readonly chooser: TargetChooser;
@@ -29,17 +29,17 @@
 
 /** Creates the question that a run asks now. */
 export function createChoice(options: {
-  order: RunOrder;
-  parts: RunParts;
-  history: Pick<AttemptHistory, 'lost' | 'refused'>;
-  resumes: boolean;
-}): TargetChoice {
-  const {order, parts, history, resumes} = options;
-  const {lost, refused} = history;
+  order: GenerationTask;
+  parts: GenerationDeps;
+  history: Pick<AttemptHistory, 'lostOn' | 'refusedBy'>;
+  isResume: boolean;
+}): ChooseTargetOptions {
+  const {order, parts, history, isResume} = options;
+  const {lostOn, refusedBy} = history;
   const {chooser, links, dataCentre} = parts;
   const {service, spec} = order;
   const {prompt} = spec;
-  const query = {service, dataCentre, prompt, lost, refused, resumes};
+  const query = {service, dataCentre, prompt, lostOn, refusedBy, isResume};
   return {query, targets: links.views(), chooser, policy: links.policy()};
 }
 
@@ -49,9 +49,11 @@
  * @example
  * chooseTarget({query, targets: links.views(), chooser, policy});
  */
-export function chooseTarget(options: TargetChoice): TargetView | undefined {
+export function chooseTarget(
+  options: ChooseTargetOptions,
+): TargetView | undefined {
   const {query, targets, chooser, policy} = options;
-  const {service, dataCentre, lost, refused} = query;
+  const {service, dataCentre, lostOn, refusedBy} = query;
   const prefix = prefixFingerprintOf(query.prompt);
   const choose = (
     exclude: readonly string[],
@@ -60,14 +62,14 @@
     chooser
       .choose({query: {service, dataCentre, prefix, exclude}, targets: among})
       .extract();
-  const fresh = [...lost, ...refused];
-  if (policy.prefersCached && query.resumes) {
+  const fresh = [...lostOn, ...refusedBy];
+  if (policy.prefersCached && query.isResume) {
     const cached = targets.filter((t) => isIdleWith(t, prefix));
     const found = choose(fresh, cached);
     if (found !== undefined) return found;
   }
   // Where all were tried, any that works now is better than none.
-  return choose(fresh, targets) ?? choose(refused, targets);
+  return choose(fresh, targets) ?? choose(refusedBy, targets);
 }
 
 /**
@@ -77,12 +79,13 @@
  * chooseIdleTarget({query, targets, chooser, policy});
  */
 export function chooseIdleTarget(
-  options: TargetChoice,
+  options: ChooseTargetOptions,
 ): TargetView | undefined {
   const targets = options.targets.filter((target) => isIdle(target));
-  const {lost, refused} = options.query;
+  const {lostOn, refusedBy} = options.query;
   const found = chooseTarget({...options, targets});
-  const tried = found !== undefined && [...lost, ...refused].includes(found.vm);
+  const tried =
+    found !== undefined && [...lostOn, ...refusedBy].includes(found.vm);
   return tried ? undefined : found;
 }
 
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -20,18 +20,18 @@
 } from '../../core/protocol/index.js';
 import type {TargetView} from '../../core/routing/index.js';
 import type {LinkHandler} from '../links/link-handler.js';
-import type {AnswerCopy} from './answer-copy.js';
+import type {OutputBuffer} from './output-buffer.js';
 import {NO_TARGET_RETRY_MS} from '../consts.js';
 import {AttemptHistory} from './attempt-history.js';
-import type {TargetChoice} from './choose-target.js';
+import type {ChooseTargetOptions} from './choose-target.js';
 import {chooseIdleTarget, chooseTarget, createChoice} from './choose-target.js';
-import {MOVE_RETRY_MS} from './consts.js';
+import {MIGRATION_RETRY_MS} from './consts.js';
 import * as refusals from './run-refusals.js';
 import type {
-  AnswerSource,
+  OutputSource,
   OpenAttempt,
-  RunOrder,
-  RunParts,
+  GenerationTask,
+  GenerationDeps,
 } from './run-types.js';
 import {
   cancelAttempt,
@@ -43,14 +43,14 @@
 import {TargetOutcomes} from './target-outcomes.js';
 import {TokenMeter} from './token-meter.js';
 
-export type {RunOrder, RunParts} from './run-types.js';
+export type {GenerationTask, GenerationDeps} from './run-types.js';
 
 /** Starts attempts, takes their tokens in order and replaces lost ones. */
 export class GenerationRun {
   private current: OpenAttempt | undefined;
   /** A second attempt beside a quiet one; the first to speak goes on. */
   private hedge: OpenAttempt | undefined;
-  private sources: AnswerSource[] = [];
+  private sources: OutputSource[] = [];
   private readonly assembly: Assembly;
   private readonly history: AttemptHistory;
   private started = false;
@@ -60,9 +60,9 @@
   private readonly outcomes: TargetOutcomes;
 
   constructor(
-    private readonly order: RunOrder,
-    private readonly copy: AnswerCopy,
-    private readonly parts: RunParts,
+    private readonly order: GenerationTask,
+    private readonly copy: OutputBuffer,
+    private readonly parts: GenerationDeps,
     private readonly onDone: () => void,
   ) {
     const {clock} = parts;
@@ -87,12 +87,12 @@
       return;
     }
     this.begin(attempt);
-    const {attemptId} = attempt.place;
+    const {attemptId} = attempt.location;
     if (!this.sendStart(attempt)) this.lose(attemptId, RetryReason.AGENT_GONE);
   }
 
   /** Goes on with an answer that others hold, from the first that can. */
-  adopt(sources: readonly AnswerSource[]): void {
+  resumeFrom(sources: readonly OutputSource[]): void {
     this.sources = [...sources];
     this.adoptNext();
   }
@@ -101,17 +101,17 @@
   abandon(): void {
     if (this.isOver()) return;
     this.dropAttempts();
-    this.copy.giveUp(refusals.answerAbandoned());
+    this.copy.fail(refusals.outputDiscarded());
     this.finish();
   }
 
   /** Takes note of a request that was found to crash engines. */
-  noteCulprit(poisonKey: string, culprit: Culprit): void {
-    if (poisonKey === this.order.poisonKey) {
-      this.giveUp(refusals.poisonFound());
+  handlePoisonRequest(poisonKey: string, culprit: Culprit): void {
+    if (poisonKey === this.order.poisonFingerprint) {
+      this.giveUp(refusals.poisonRequestDetected());
       return;
     }
-    this.history.acquit(culprit);
+    this.history.removeExplainedCrashes(culprit);
   }
 
   private adoptNext(): void {
@@ -122,11 +122,11 @@
       this.start();
       return;
     }
-    const {link, place, position} = source;
+    const {link, location: place, position} = source;
     const {attemptId} = place;
     this.current = source;
     this.started = true;
-    this.copy.beginLineage(place);
+    this.copy.resetLineage(place);
     this.assembly.begin(attemptId);
     const message = createAttach(this.order, {attemptId, position});
     const handler = this.createHandler(attemptId);
@@ -139,16 +139,16 @@
     if (link === undefined) return undefined;
     const attemptId = this.parts.random.id();
     const {vm: agentVm, incarnation: agentIncarnation} = target;
-    return {link, place: {attemptId, agentVm, agentIncarnation}};
+    return {link, location: {attemptId, agentVm, agentIncarnation}};
   }
 
   private begin(attempt: OpenAttempt): void {
     this.current = attempt;
-    this.copy.beginAttempt(attempt.place);
-    this.assembly.begin(attempt.place.attemptId);
+    this.copy.beginAttempt(attempt.location);
+    this.assembly.begin(attempt.location.attemptId);
   }
 
-  private sendStart({link, place}: OpenAttempt): boolean {
+  private sendStart({link, location: place}: OpenAttempt): boolean {
     const {attemptId} = place;
     const message = createStart(this.order, {
       attemptId,
@@ -160,7 +160,7 @@
     const handler = this.createHandler(attemptId);
     const opened = link.open({id: attemptId, message, handler});
     this.started ||= opened;
-    this.meter.notePlaced();
+    this.meter.recordPlacement();
     return opened;
   }
 
@@ -172,8 +172,8 @@
       onFailed: (message) => this.takeFailure(attemptId, message),
       onRefused: (message) => this.takeRefusal(attemptId, message),
       onLost: (reason) => this.lose(attemptId, reason),
-      onLeaving: () => this.move(attemptId),
-      onQuiet: () => this.startHedge(attemptId),
+      onDraining: () => this.move(attemptId),
+      onHedgeDue: () => this.startHedge(attemptId),
     };
   }
 
@@ -193,8 +193,8 @@
     if (attemptId !== this.assembly.attemptId) return;
     const {writerId, agentVm, agentIncarnation, position} = message;
     const place = {attemptId: writerId, agentVm, agentIncarnation};
-    if (position === 0) this.copy.beginLineage(place);
-    else this.copy.addStep({place, position});
+    if (position === 0) this.copy.resetLineage(place);
+    else this.copy.addLineageStep({location: place, position});
   }
 
   private takeEnd(attemptId: string, message: EndMessage): void {
@@ -225,16 +225,16 @@
   }
 
   private noteTokens(count: number): void {
-    this.meter.noteTokens(count);
-    this.outcomes.note(this.current, false);
+    this.meter.recordTokens(count);
+    this.outcomes.record(this.current, false);
     this.dropHedge();
-    this.history.noteProgress();
+    this.history.recordProgress();
   }
 
   private takeFailure(attemptId: string, message: FailedMessage): void {
     const {crashId, isCulprit, reason} = message;
-    if (!this.isHedge(attemptId)) this.outcomes.note(this.current, true);
-    this.history.noteCrash(crashId);
+    if (!this.isHedge(attemptId)) this.outcomes.record(this.current, true);
+    this.history.recordCrash(crashId);
     if (isCulprit === true) {
       this.condemn();
       return;
@@ -243,9 +243,9 @@
   }
 
   private condemn(): void {
-    const {clientAccount, poisonKey} = this.order;
+    const {clientAccount, poisonFingerprint: poisonKey} = this.order;
     const culprit = {clientAccount, crashes: this.history.crashes};
-    this.giveUp(refusals.poisonFound());
+    this.giveUp(refusals.poisonRequestDetected());
     this.parts.quarantine.add({fingerprint: poisonKey, culprit});
   }
 
@@ -264,13 +264,13 @@
       return;
     }
     const {order, parts, history, copy} = this;
-    const begun = copy.log.length > 0 || history.anyLost;
+    const begun = copy.log.length > 0 || history.hasLostAttempt;
     if (!begun && !mayRetryRefused({message, order, parts})) {
       this.giveUp(refusals.retryBudgetSpent());
       return;
     }
     this.parts.metrics.countRetry(RetryReason.TARGET_REFUSED);
-    this.history.noteRefusal(this.current?.link.vm);
+    this.history.recordRefusal(this.current?.link.vm);
     this.dropCurrent();
     this.start();
   }
@@ -283,8 +283,8 @@
     }
     if (attemptId !== this.assembly.attemptId) return;
     this.parts.metrics.countRetry(reason);
-    this.meter.noteLoss();
-    this.history.noteLoss(this.current?.link.vm);
+    this.meter.recordLoss();
+    this.history.recordLoss(this.current?.link.vm);
     if (this.hedge !== undefined) {
       this.promoteHedge();
       return;
@@ -294,8 +294,10 @@
       this.adoptNext();
       return;
     }
-    if (this.history.isHopeless()) {
-      this.giveUp(refusals.tooManyAttempts(this.history.fruitless));
+    if (this.history.isAttemptLimitReached()) {
+      this.giveUp(
+        refusals.tooManyAttempts(this.history.attemptsWithoutProgress),
+      );
       return;
     }
     this.start();
@@ -309,7 +311,7 @@
       return;
     }
     this.waiting = this.parts.clock.schedule({
-      delayMs: MOVE_RETRY_MS,
+      delayMs: MIGRATION_RETRY_MS,
       run: () => this.move(attemptId),
     });
   }
@@ -320,24 +322,24 @@
     if (this.copy.hasReaderAhead() || this.history.crashes.length > 0) return;
     const choice = this.createChoice();
     const vm = this.current?.link.vm ?? '';
-    const query = {...choice.query, refused: [...choice.query.refused, vm]};
+    const query = {...choice.query, refusedBy: [...choice.query.refusedBy, vm]};
     const target = chooseIdleTarget({...choice, query});
     const attempt = target && this.createAttempt(target);
     if (attempt === undefined || !this.sendStart(attempt)) return;
     this.hedge = attempt;
-    this.meter.noteLoss();
+    this.meter.recordLoss();
     this.parts.metrics.countRetry(RetryReason.HEDGED);
   }
 
   private isHedge(attemptId: string): boolean {
-    return this.hedge?.place.attemptId === attemptId;
+    return this.hedge?.location.attemptId === attemptId;
   }
 
   private promoteHedge(): void {
     const {hedge} = this;
     if (hedge === undefined) return;
     this.hedge = undefined;
-    this.meter.noteLoss();
+    this.meter.recordLoss();
     this.dropCurrent();
     this.begin(hedge);
   }
@@ -359,10 +361,10 @@
     this.dropCurrent();
   }
 
-  private createChoice(): TargetChoice {
+  private createChoice(): ChooseTargetOptions {
     const {order, parts, history, copy} = this;
     const resumes = copy.log.length > 0;
-    return createChoice({order, parts, history, resumes});
+    return createChoice({order, parts, history, isResume: resumes});
   }
 
   private finishIfKnown(): boolean {
@@ -376,7 +378,7 @@
   }
 
   private waitForTarget(): void {
-    this.history.refused = [];
+    this.history.refusedBy = [];
     this.waiting?.cancel();
     this.waiting = this.parts.clock.schedule({
       delayMs: NO_TARGET_RETRY_MS,
@@ -388,7 +390,7 @@
     if (this.isOver()) return;
     this.parts.metrics.countRefusal(refusal.reason);
     this.dropAttempts();
-    this.copy.giveUp(refusal);
+    this.copy.fail(refusal);
     this.finish();
   }
 
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -24,13 +24,17 @@
   LogState,
 } from '../../core/generation/index.js';
 import type {HelloMessage, MessageRouter} from '../../core/protocol/index.js';
-import {AnswerCopy} from './answer-copy.js';
-import {COPY_RETENTION_MS, COPY_SWEEP_MS} from '../consts.js';
+import {OutputBuffer} from './output-buffer.js';
+import {OUTPUT_RETENTION_MS, OUTPUT_SWEEP_PERIOD_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
-import {CopyLink} from './copy-link.js';
-import {CopyServer} from './copy-server.js';
-import {poisonKnown} from './run-refusals.js';
-import type {AnswerSource, RunOrder, RunParts} from './run-types.js';
+import {RemoteOutputLink} from './remote-output-link.js';
+import {OutputBufferServer} from './output-buffer-server.js';
+import {poisonRequestQuarantined} from './run-refusals.js';
+import type {
+  OutputSource,
+  GenerationTask,
+  GenerationDeps,
+} from './run-types.js';
 import {GenerationRun} from './generation-run.js';
 
 /** A request whose account and service are known. */
@@ -41,7 +45,7 @@
 }
 
 interface HeldAnswer {
-  readonly copy: AnswerCopy;
+  readonly copy: OutputBuffer;
   readonly run: GenerationRun;
 }
 
@@ -52,7 +56,7 @@
 
   constructor(
     private readonly options: {
-      parts: RunParts;
+      parts: GenerationDeps;
       admission: Admission;
       board: EntryBoard;
       hello: HelloMessage;
@@ -63,16 +67,16 @@
   open(): void {
     const {parts, router} = this.options;
     const {clock, quarantine} = parts;
-    const findCopy = (id: string): AnswerCopy | undefined =>
+    const findCopy = (id: string): OutputBuffer | undefined =>
       this.held.get(id)?.copy;
-    new CopyServer({clock, findCopy}).register(router);
+    new OutputBufferServer({clock, findCopy}).register(router);
     quarantine.subscribe((poisonKey, culprit) => {
       for (const {run} of this.held.values()) {
-        run.noteCulprit(poisonKey, culprit);
+        run.handlePoisonRequest(poisonKey, culprit);
       }
     });
     this.sweeper = this.options.parts.clock.repeat({
-      periodMs: COPY_SWEEP_MS,
+      periodMs: OUTPUT_SWEEP_PERIOD_MS,
       run: () => this.sweep(),
     });
   }
@@ -92,9 +96,9 @@
 
   generate(request: ResolvedGeneration): ResultAsync<AnswerReader, Refusal> {
     const {lastEventId} = request.req;
-    const {poisonKey} = this.createOrder(request, '');
+    const {poisonFingerprint: poisonKey} = this.createOrder(request, '');
     if (this.options.parts.quarantine.has(poisonKey)) {
-      return errAsync(poisonKnown());
+      return errAsync(poisonRequestQuarantined());
     }
     if (lastEventId === '') return this.begin(request, false);
     return decodeEventId(lastEventId)
@@ -138,7 +142,7 @@
   /** Takes over an answer that an agent or another entry has. */
   private adopt(
     request: ResolvedGeneration,
-    order: RunOrder,
+    order: GenerationTask,
     id: EventId,
   ): ResultAsync<AnswerReader, Refusal> {
     const sources = this.findSources(id);
@@ -149,35 +153,35 @@
       const {copy, run} = this.hold(order, ticket);
       const {position} = id;
       const reader = copy.read({position, restarted: false});
-      run.adopt(sources);
+      run.resumeFrom(sources);
       return reader;
     });
   }
 
   /** The agent that journals the attempt, then the entry with a copy. */
-  private findSources(id: EventId): AnswerSource[] {
+  private findSources(id: EventId): OutputSource[] {
     const {parts, hello, board} = this.options;
     const {clock} = parts;
-    const sources: AnswerSource[] = [];
+    const sources: OutputSource[] = [];
     const link = parts.links.find(id.agentVm);
     const isSame = link?.view().incarnation === id.agentIncarnation;
     if (link?.isConnected() === true && isSame) {
-      sources.push({link, place: id, position: 0});
+      sources.push({link, location: id, position: 0});
     }
     const isHolder = (vm: VmRecord): boolean =>
       vm.role === VmRole.ENTRY && vm.name === id.entryVm;
     const record = board.vms.get().find(isHolder);
     if (record !== undefined && record.name !== hello.vm) {
       const {position} = id;
-      const copyLink = new CopyLink({record, hello, clock});
-      sources.push({link: copyLink, place: id, position});
+      const copyLink = new RemoteOutputLink({record, hello, clock});
+      sources.push({link: copyLink, location: id, position});
     }
     return sources;
   }
 
   private admit(options: {
     request: ResolvedGeneration;
-    order: RunOrder;
+    order: GenerationTask;
     kind: WorkKind;
   }): ResultAsync<AdmissionTicket, Refusal> {
     const {request, order, kind} = options;
@@ -194,9 +198,9 @@
     });
   }
 
-  private hold(order: RunOrder, ticket: AdmissionTicket): HeldAnswer {
+  private hold(order: GenerationTask, ticket: AdmissionTicket): HeldAnswer {
     const {parts, hello} = this.options;
-    const copy = new AnswerCopy({
+    const copy = new OutputBuffer({
       requestId: order.requestId,
       clientAccount: order.clientAccount,
       fingerprint: order.fingerprint,
@@ -212,7 +216,7 @@
   private createOrder(
     request: ResolvedGeneration,
     requestId: string,
-  ): RunOrder {
+  ): GenerationTask {
     const {req, clientAccount, service} = request;
     const allowedMs = req.deadlineMs ?? service.deadlineMs;
     return {
@@ -222,7 +226,7 @@
         clientAccount: clientAccount.name,
         parts: [JSON.stringify(req.spec)],
       }),
-      poisonKey: fingerprintOf({
+      poisonFingerprint: fingerprintOf({
         clientAccount: clientAccount.name,
         parts: [req.spec.model, req.spec.prompt],
       }),
@@ -235,14 +239,14 @@
 
   private sweep(): void {
     for (const [id, {copy, run}] of this.held) {
-      if (copy.unreadForMs() <= COPY_RETENTION_MS) continue;
+      if (copy.unreadForMs() <= OUTPUT_RETENTION_MS) continue;
       run.abandon();
       this.held.delete(id);
     }
   }
 }
 
-function outcomeOf(copy: AnswerCopy): TicketOutcome {
+function outcomeOf(copy: OutputBuffer): TicketOutcome {
   if (copy.log.state === LogState.FINISHED) return TicketOutcome.SERVED;
   return copy.refusal?.reason === RefusalReason.DEADLINE_EXCEEDED
     ? TicketOutcome.TIMED_OUT
--- a/src/entry/generation/may-retry-refused.ts
+++ b/src/entry/generation/may-retry-refused.ts
@@ -1,7 +1,7 @@
 /** Whether a refused first attempt may be made elsewhere. */
 import {RefusalReason} from '../../core/errors/index.js';
 import type {RefusedMessage} from '../../core/protocol/index.js';
-import type {RunOrder, RunParts} from './run-types.js';
+import type {GenerationTask, GenerationDeps} from './run-types.js';
 
 /**
  * Takes a retry from the service's budget. Targets that leave cost none:
@@ -9,8 +9,8 @@
  */
 export function mayRetryRefused(options: {
   message: RefusedMessage;
-  order: RunOrder;
-  parts: RunParts;
+  order: GenerationTask;
+  parts: GenerationDeps;
 }): boolean {
   const {message, order, parts} = options;
   if (message.reason === RefusalReason.LEAVING) return true;
--- a/src/entry/generation/copy-server.ts
+++ b/src/entry/generation/output-buffer-server.ts
@@ -8,17 +8,21 @@
   PeerConnection,
 } from '../../core/protocol/index.js';
 import {createRefused, MessageType} from '../../core/protocol/index.js';
-import type {AnswerCopy} from './answer-copy.js';
-import {COPY_BEAT_MS, TOKENS_PER_MESSAGE} from './consts.js';
+import type {OutputBuffer} from './output-buffer.js';
+import {OUTPUT_KEEPALIVE_MS, MAX_TOKENS_PER_MESSAGE} from './consts.js';
 
 /** Finds the copy of a request's answer. */
-export type CopyFinder = (requestId: string) => AnswerCopy | undefined;
+export type OutputBufferLookup = (
+  requestId: string,
+) => OutputBuffer | undefined;
 
 /** Answers ATTACH of other entries. */
-export class CopyServer {
+export class OutputBufferServer {
   private readonly senders = new Map<PeerConnection, Set<CopySender>>();
 
-  constructor(private readonly options: {clock: Clock; findCopy: CopyFinder}) {}
+  constructor(
+    private readonly options: {clock: Clock; findCopy: OutputBufferLookup},
+  ) {}
 
   /** Takes part in what peers say to this entry. */
   register(router: MessageRouter): void {
@@ -66,7 +70,7 @@
 
   constructor(
     private readonly options: {
-      copy: AnswerCopy;
+      copy: OutputBuffer;
       connection: PeerConnection;
       clock: Clock;
       /** The attempt that the other entry asked for. */
@@ -74,9 +78,12 @@
     },
   ) {
     const {copy, clock} = options;
-    this.unhold = copy.hold();
+    this.unhold = copy.retain();
     this.unsubscribe = copy.log.subscribe(() => this.flush());
-    this.timer = clock.repeat({periodMs: COPY_BEAT_MS, run: () => this.beat()});
+    this.timer = clock.repeat({
+      periodMs: OUTPUT_KEEPALIVE_MS,
+      run: () => this.beat(),
+    });
     this.flush();
   }
 
@@ -108,16 +115,16 @@
 
   /** Position up to which the tokens are of the step sent last. */
   private stepEnd(): number {
-    const next = this.options.copy.steps()[this.steps];
+    const next = this.options.copy.lineageSteps()[this.steps];
     return next?.beginPosition ?? Number.POSITIVE_INFINITY;
   }
 
   private sendLineage(): void {
     const {copy, connection, attemptId} = this.options;
-    for (const step of copy.steps().slice(this.steps)) {
+    for (const step of copy.lineageSteps().slice(this.steps)) {
       if (step.beginPosition > this.position) return;
       this.steps++;
-      const {place, beginPosition: position} = step;
+      const {location: place, beginPosition: position} = step;
       const {attemptId: writerId, agentVm, agentIncarnation} = place;
       const type = MessageType.LINEAGE;
       const fields = {writerId, agentVm, agentIncarnation, position};
@@ -128,7 +135,7 @@
   private sendTokens(count: number): void {
     const {copy, connection, attemptId} = this.options;
     const {position} = this;
-    const limit = Math.min(count, TOKENS_PER_MESSAGE);
+    const limit = Math.min(count, MAX_TOKENS_PER_MESSAGE);
     const tokens = copy.log.slice({from: position, limit});
     connection.send({
       type: MessageType.TOKENS,
--- a/src/entry/generation/answer-copy.ts
+++ b/src/entry/generation/output-buffer.ts
@@ -8,10 +8,10 @@
   LogState,
   TokenLog,
 } from '../../core/generation/index.js';
-import {TOKENS_PER_PART} from '../consts.js';
+import {MAX_TOKENS_PER_PART} from '../consts.js';
 
 /** Where an attempt runs. */
-export interface AttemptPlace {
+export interface AttemptLocation {
   readonly attemptId: string;
   readonly agentVm: string;
   readonly agentIncarnation: string;
@@ -19,14 +19,14 @@
 
 /** An attempt of this answer, where it took over and where the next did. */
 export interface LineageStep {
-  readonly place: AttemptPlace;
+  readonly location: AttemptLocation;
   readonly beginPosition: number;
   /** Positions below this came from this attempt or one before it. */
   endPosition: number;
 }
 
 /** The answer so far, the attempts it came from and its readers. */
-export class AnswerCopy {
+export class OutputBuffer {
   readonly log: TokenLog;
   private readonly lineage: LineageStep[] = [];
   private givenUp: Refusal | undefined;
@@ -57,8 +57,8 @@
   }
 
   /** The attempt that writes now. */
-  get place(): AttemptPlace | undefined {
-    return this.lineage.at(-1)?.place;
+  get location(): AttemptLocation | undefined {
+    return this.lineage.at(-1)?.location;
   }
 
   /** Time without a reader in milliseconds; 0 while there is one. */
@@ -75,32 +75,32 @@
   }
 
   /** A new attempt goes on from the end of the copy. */
-  beginAttempt(place: AttemptPlace): void {
-    this.addStep({place, position: this.log.length});
+  beginAttempt(place: AttemptLocation): void {
+    this.addLineageStep({location: place, position: this.log.length});
   }
 
   /** What the copy holds and will hold is from this attempt on. */
-  beginLineage(place: AttemptPlace): void {
+  resetLineage(place: AttemptLocation): void {
     this.lineage.length = 0;
-    this.addStep({place, position: 0});
+    this.addLineageStep({location: place, position: 0});
   }
 
   /** An attempt that another entry recorded took over at a position. */
-  addStep(options: {place: AttemptPlace; position: number}): void {
-    const {place, position} = options;
+  addLineageStep(options: {location: AttemptLocation; position: number}): void {
+    const {location: place, position} = options;
     const last = this.lineage.at(-1);
     if (last !== undefined) last.endPosition = position;
     const endPosition = Number.POSITIVE_INFINITY;
-    this.lineage.push({place, beginPosition: position, endPosition});
+    this.lineage.push({location: place, beginPosition: position, endPosition});
   }
 
   /** The attempts so far, in order. */
-  steps(): readonly LineageStep[] {
+  lineageSteps(): readonly LineageStep[] {
     return this.lineage;
   }
 
   /** Keeps the copy in use until the result is called. */
-  hold(): () => void {
+  retain(): () => void {
     this.holders++;
     return () => {
       this.holders--;
@@ -123,12 +123,14 @@
   /** Whether what a caller has of an attempt is the start of this copy. */
   covers(options: {attemptId: string; position: number}): boolean {
     const {attemptId, position} = options;
-    const step = this.lineage.findLast((s) => s.place.attemptId === attemptId);
+    const step = this.lineage.findLast(
+      (s) => s.location.attemptId === attemptId,
+    );
     if (step === undefined) return false;
     return position <= Math.min(step.endPosition, this.log.length);
   }
 
-  giveUp(refusal: Refusal): void {
+  fail(refusal: Refusal): void {
     this.givenUp = refusal;
     this.log.break();
   }
@@ -150,7 +152,7 @@
   /** The event identity of a position. */
   eventIdAt(position: number): string {
     const {requestId, entryVm} = this.options;
-    const place = this.place ?? {
+    const place = this.location ?? {
       attemptId: 'none',
       agentVm: 'none',
       agentIncarnation: 'none',
@@ -189,7 +191,7 @@
 
   constructor(
     private readonly options: {
-      copy: AnswerCopy;
+      copy: OutputBuffer;
       restarted: boolean;
       position: number;
       onClose: () => void;
@@ -257,7 +259,7 @@
     const {copy} = this.options;
     const tokens = copy.log.slice({
       from: this.position,
-      limit: TOKENS_PER_PART,
+      limit: MAX_TOKENS_PER_PART,
     });
     this.position += tokens.length;
     const eventId = copy.eventIdAt(this.position);
--- a/src/entry/generation/quarantine-watch.ts
+++ b/src/entry/generation/quarantine-sync.ts
@@ -14,7 +14,7 @@
 const KIND = ObjectKind.QUARANTINE;
 
 /** Keeps this entry's quarantine and the store's the same. */
-export class QuarantineWatch {
+export class QuarantineSync {
   private handle: WatchHandle | undefined;
   private closed = false;
   private readonly timers = new Set<TimerHandle>();
--- a/src/entry/generation/copy-link.ts
+++ b/src/entry/generation/remote-output-link.ts
@@ -12,10 +12,10 @@
 import {MessageType, PeerConnection} from '../../core/protocol/index.js';
 import type {LinkHandler} from '../links/link-handler.js';
 import type {AttemptLink} from './attempt-link.js';
-import {COPY_SILENCE_MS} from './consts.js';
+import {REMOTE_OUTPUT_TIMEOUT_MS} from './consts.js';
 
 /** A connection that is opened for one answer and closed with it. */
-export class CopyLink implements AttemptLink, ConnectionListener {
+export class RemoteOutputLink implements AttemptLink, ConnectionListener {
   private connection: PeerConnection | undefined;
   private handler: LinkHandler | undefined;
   private request: Message | undefined;
@@ -48,7 +48,7 @@
     return true;
   }
 
-  tell(): void {
+  send(): void {
     // The other entry needs no word: the connection's end tells it all.
   }
 
@@ -95,7 +95,7 @@
   private expectWord(): void {
     this.timer?.cancel();
     this.timer = this.options.clock.schedule({
-      delayMs: COPY_SILENCE_MS,
+      delayMs: REMOTE_OUTPUT_TIMEOUT_MS,
       run: () => this.lose(RetryReason.AGENT_SILENT),
     });
   }
--- a/src/entry/generation/run-refusals.ts
+++ b/src/entry/generation/run-refusals.ts
@@ -24,19 +24,19 @@
 }
 
 /** The request crashed its engines. */
-export function poisonFound(): Refusal {
+export function poisonRequestDetected(): Refusal {
   const detail = 'this request crashed the engines that ran it';
   return {reason: RefusalReason.POISON, ran: Ran.YES, detail};
 }
 
 /** The request is known to crash engines, and was not sent to one. */
-export function poisonKnown(): Refusal {
+export function poisonRequestQuarantined(): Refusal {
   const detail = 'this request is known to crash engines';
   return {reason: RefusalReason.POISON, ran: Ran.NO, detail};
 }
 
 /** Nobody reads the answer any more, or it is replaced. */
-export function answerAbandoned(): Refusal {
+export function outputDiscarded(): Refusal {
   const detail = 'the answer is no longer kept here';
   return {reason: RefusalReason.ANSWER_LOST, ran: Ran.UNKNOWN, detail};
 }
--- a/src/entry/generation/run-types.ts
+++ b/src/entry/generation/run-types.ts
@@ -6,16 +6,16 @@
 import type {Quarantine} from '../../core/poison/index.js';
 import type {FailureWatch, TargetChooser} from '../../core/routing/index.js';
 import type {AgentLinks} from '../links/agent-links.js';
-import type {AttemptPlace} from './answer-copy.js';
+import type {AttemptLocation} from './output-buffer.js';
 import type {AttemptLink} from './attempt-link.js';
 
 /** What a run has to bring about. */
-export interface RunOrder {
+export interface GenerationTask {
   readonly requestId: string;
   readonly clientAccount: string;
   readonly fingerprint: string;
   /** Fingerprint of what can crash an engine: account, model and prompt. */
-  readonly poisonKey: string;
+  readonly poisonFingerprint: string;
   readonly service: string;
   readonly retryRatio: number;
   readonly spec: GenerationSpec;
@@ -24,7 +24,7 @@
 }
 
 /** What runs need of their entry. */
-export interface RunParts {
+export interface GenerationDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly metrics: Metrics;
@@ -38,14 +38,14 @@
 
 /** An attempt and the link over which it is followed. */
 export interface OpenAttempt {
-  readonly place: AttemptPlace;
+  readonly location: AttemptLocation;
   readonly link: AttemptLink;
 }
 
 /** Where the answer so far may be had from. */
-export interface AnswerSource {
+export interface OutputSource {
   readonly link: AttemptLink;
-  readonly place: AttemptPlace;
+  readonly location: AttemptLocation;
   /** What the source is to have, or the position to send from. */
   readonly position: number;
 }
--- a/src/entry/generation/target-outcomes.ts
+++ b/src/entry/generation/target-outcomes.ts
@@ -8,9 +8,9 @@
 
   constructor(private readonly failures: FailureWatch) {}
 
-  note(attempt: OpenAttempt | undefined, failed: boolean): void {
+  record(attempt: OpenAttempt | undefined, failed: boolean): void {
     if (attempt === undefined) return;
-    const {attemptId} = attempt.place;
+    const {attemptId} = attempt.location;
     if (this.notedId === attemptId) return;
     this.notedId = attemptId;
     this.failures.note({vm: attempt.link.vm, failed});
--- a/src/entry/generation/token-meter.ts
+++ b/src/entry/generation/token-meter.ts
@@ -15,16 +15,16 @@
   }
 
   /** The next token follows a loss; the first of several losses counts. */
-  noteLoss(): void {
+  recordLoss(): void {
     this.lostAtMs ??= this.options.clock.now();
   }
 
   /** A target was asked for the next token; the last one asked counts. */
-  notePlaced(): void {
+  recordPlacement(): void {
     this.placedAtMs = this.options.clock.now();
   }
 
-  noteTokens(count: number): void {
+  recordTokens(count: number): void {
     const {clock, metrics} = this.options;
     const nowMs = clock.now();
     metrics.count(CounterName.TOKENS_RELAYED, {by: count});
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -188,7 +188,7 @@
   }
 
   /** Sends a message that needs no answer. */
-  tell(message: Message): void {
+  send(message: Message): void {
     if (this.client.isReady()) {
       this.client.send(message);
       return;
@@ -221,7 +221,7 @@
   private checkQuiet(silentMs: number, quietMs: number): void {
     if (this.quiet || silentMs < quietMs) return;
     this.quiet = true;
-    for (const handler of [...this.handlers.values()]) handler.onQuiet?.();
+    for (const handler of [...this.handlers.values()]) handler.onHedgeDue?.();
   }
 
   private silentForMs(busy: boolean): number {
@@ -312,7 +312,7 @@
     this.options.metrics.count(CounterName.HEARTBEATS);
     if (beat.leaving) this.tellLeave();
     if (!beat.leaving || wasLeaving) return;
-    for (const handler of [...this.handlers.values()]) handler.onLeaving?.();
+    for (const handler of [...this.handlers.values()]) handler.onDraining?.();
   }
 
   private isLeaving(): boolean {
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -24,9 +24,9 @@
   /** The agent is gone or silent; no other word comes. */
   onLost(reason: RetryReason): void;
   /** The agent has begun to leave. */
-  onLeaving?(): void;
+  onDraining?(): void;
   /** The agent has been silent for a while, but is not suspected yet. */
-  onQuiet?(): void;
+  onHedgeDue?(): void;
 }
 
 /** The configuration that an entry shares with its agents. */
