--- a/bench/experiments/config/light-entry.ts
+++ b/bench/experiments/config/light-entry.ts
@@ -17,7 +17,7 @@
   PeerServer,
   PROTOCOL_VERSION,
 } from '../../../src/core/protocol/index.js';
-import {ConfigControl} from '../../../src/entry/config/config-control.js';
+import {ConfigController} from '../../../src/entry/config/config-controller.js';
 import {EntryBoard} from '../../../src/entry/entry-board.js';
 import {PeerSession} from '../../../src/entry/links/peer-session.js';
 import {VmDirectory} from '../../../src/entry/links/vm-directory.js';
@@ -72,7 +72,7 @@
   readonly board = new EntryBoard();
   readonly store: CountingStore;
   private readonly directory: VmDirectory;
-  private readonly control: ConfigControl;
+  private readonly control: ConfigController;
   private readonly server: PeerServer;
   private readonly hello: HelloMessage;
 
@@ -102,7 +102,7 @@
     this.store = new CountingStore(new HttpObjectStore({baseUrl: platformUrl}));
     const vmList = new HttpVmList({baseUrl: platformUrl});
     this.directory = new VmDirectory({board, clock, vmList});
-    this.control = new ConfigControl({
+    this.control = new ConfigController({
       ...{board, clock, random, metrics, router, hello: this.hello},
       logger: SILENT_LOGGER,
       store: this.store,
--- a/src/entry/caller-gate.ts
+++ b/src/entry/caller-gate.ts
@@ -141,7 +141,7 @@
 
   private identify(bearer: string): Result<KnownCaller, Refusal> {
     const {board} = this.parts;
-    if (board.leaving.get()) return err(leaving());
+    if (board.draining.get()) return err(leaving());
     const inForce = board.config.get().extract();
     if (inForce === undefined) return err(notReady());
     const {cfg} = inForce;
--- a/src/entry/config/config-force.ts
+++ b/src/entry/config/config-activator.ts
@@ -11,7 +11,7 @@
 import type {Logger} from '../../core/logs/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import {CounterName} from '../../core/metrics/index.js';
-import {FIRST_LOOK_MS} from '../consts.js';
+import {INITIAL_PEER_WAIT_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /**
@@ -19,7 +19,7 @@
  * into force once the platform has answered, or once a first look has given
  * several peers the time to tell theirs.
  */
-export class ConfigForce {
+export class ConfigActivator {
   readonly holder = new ConfigHolder();
   private open = false;
   private timer: TimerHandle | undefined;
@@ -36,7 +36,7 @@
 
   start(): void {
     this.timer = this.options.clock.schedule({
-      delayMs: FIRST_LOOK_MS,
+      delayMs: INITIAL_PEER_WAIT_MS,
       run: () => this.openDoors(),
     });
   }
@@ -48,29 +48,31 @@
   /** Time since the platform last confirmed the version, in milliseconds. */
   ageMs(): number {
     const {board, clock} = this.options;
-    return clock.now() - board.configHeardAtMs.get();
+    return clock.now() - board.configConfirmedAtMs.get();
   }
 
   /** The platform's word: it confirms what this entry holds. */
-  takeFromPlatform(news: ConfigNews): void {
+  receiveFromPlatform(news: ConfigNews): void {
     const isNew = this.holder.offer(news);
-    if (news.version >= this.holder.version) this.noteHeard(0);
+    if (news.version >= this.holder.version) this.recordConfirmation(0);
     this.openDoors();
     if (isNew) this.bringIntoForce();
   }
 
   /** A peer's word, and how old its own news is. */
-  takeFromPeer(news: ConfigNews, ageMs: number): void {
+  receiveFromPeer(news: ConfigNews, ageMs: number): void {
     const isNew = this.holder.offer(news);
-    if (news.version >= this.holder.version) this.noteHeard(ageMs);
+    if (news.version >= this.holder.version) this.recordConfirmation(ageMs);
     if (isNew && this.open) this.bringIntoForce();
   }
 
   /** The platform still answers for the version that this entry holds. */
-  noteHeard(ageMs: number): void {
+  recordConfirmation(ageMs: number): void {
     const {board, clock} = this.options;
     const heardAtMs = clock.now() - ageMs;
-    board.configHeardAtMs.set(Math.max(board.configHeardAtMs.get(), heardAtMs));
+    board.configConfirmedAtMs.set(
+      Math.max(board.configConfirmedAtMs.get(), heardAtMs),
+    );
   }
 
   private openDoors(): void {
--- a/src/entry/config/config-control.ts
+++ b/src/entry/config/config-controller.ts
@@ -10,13 +10,13 @@
 import type {HelloMessage, MessageRouter} from '../../core/protocol/index.js';
 import {ConfigElection} from './config-election.js';
 import {ConfigExchange} from './config-exchange.js';
-import {ConfigForce} from './config-force.js';
+import {ConfigActivator} from './config-activator.js';
 import {ConfigPeers} from './config-peers.js';
 import {ConfigSource} from './config-source.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /** What the controllers are built of. */
-export interface ConfigControlOptions {
+export interface ConfigControllerOptions {
   readonly board: EntryBoard;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -30,15 +30,15 @@
 }
 
 /** Keeps the board's configuration at the highest accepted version. */
-export class ConfigControl {
-  private readonly force: ConfigForce;
+export class ConfigController {
+  private readonly force: ConfigActivator;
   private readonly source: ConfigSource;
   private readonly exchange: ConfigExchange;
   private readonly peers: ConfigPeers;
   private readonly election: ConfigElection;
 
-  constructor(options: ConfigControlOptions) {
-    this.force = new ConfigForce(options);
+  constructor(options: ConfigControllerOptions) {
+    this.force = new ConfigActivator(options);
     const {force} = this;
     this.source = new ConfigSource({...options, force});
     this.exchange = new ConfigExchange({...options, ...options.self, force});
@@ -62,12 +62,12 @@
   }
 
   /** What an agent says it holds, over its link. */
-  takeFromAgent(news: ConfigNews, ageMs: number): void {
-    this.force.takeFromPeer(news, ageMs);
+  receiveFromAgent(news: ConfigNews, ageMs: number): void {
+    this.force.receiveFromPeer(news, ageMs);
   }
 
   /** The highest version that this entry holds. */
-  held(): ConfigNews {
+  latest(): ConfigNews {
     return this.force.holder.news;
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Entries that hear the configuration from this one. */
-  reports(): PeerStatus[] {
-    return this.exchange.reports();
+  subscriberStatuses(): PeerStatus[] {
+    return this.exchange.subscriberStatuses();
   }
 }
--- a/src/entry/config/config-election.ts
+++ b/src/entry/config/config-election.ts
@@ -7,14 +7,14 @@
 } from '../../core/config/distribution/index.js';
 import type {VmRecord} from '../../core/edges/index.js';
 import {VmRole, VmState} from '../../core/edges/index.js';
-import type {ConfigForce} from './config-force.js';
+import type {ConfigActivator} from './config-activator.js';
 import type {ConfigPeers} from './config-peers.js';
 import type {ConfigSource} from './config-source.js';
 import {
-  CONFIG_READ_MS,
+  MAX_CONFIG_READ_PERIOD_MS,
   CONFIG_STALE_MS,
-  ELECTION_MS,
-  PAUSE_EVIDENCE_MS,
+  ELECTION_PERIOD_MS,
+  PAUSE_DETECTION_MS,
   SILENT_PEER_RETRY_MS,
 } from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
@@ -23,7 +23,7 @@
 export class ConfigElection {
   private timer: TimerHandle | undefined;
   private electedAtMs = 0;
-  private readDelayMs = CONFIG_READ_MS;
+  private readDelayMs = MAX_CONFIG_READ_PERIOD_MS;
 
   constructor(
     private readonly options: {
@@ -31,7 +31,7 @@
       clock: Clock;
       random: RandomSource;
       self: ConfigMember;
-      force: ConfigForce;
+      force: ConfigActivator;
       source: ConfigSource;
       peers: ConfigPeers;
     },
@@ -41,7 +41,7 @@
     const {clock, source, board} = this.options;
     this.electedAtMs = clock.now();
     this.timer = clock.repeat({
-      periodMs: ELECTION_MS,
+      periodMs: ELECTION_PERIOD_MS,
       run: () => this.check(),
     });
     board.vms.subscribe(() => this.elect());
@@ -54,9 +54,9 @@
 
   private check(): void {
     const {clock, peers} = this.options;
-    const lateMs = clock.now() - this.electedAtMs - ELECTION_MS;
+    const lateMs = clock.now() - this.electedAtMs - ELECTION_PERIOD_MS;
     this.electedAtMs = clock.now();
-    if (lateMs > PAUSE_EVIDENCE_MS) peers.forgiveSilence();
+    if (lateMs > PAUSE_DETECTION_MS) peers.resetSilence();
     this.elect();
     this.readIfStale();
   }
@@ -71,7 +71,7 @@
     const watchers = electWatchers({dataCentre: self.dataCentre, members});
     source.setWatching(watchers.includes(self.vm));
     const chosen = new Set(selectConfigPeers({self, members}));
-    peers.follow(others.filter(({name}) => chosen.has(name)));
+    peers.setPeers(others.filter(({name}) => chosen.has(name)));
   }
 
   /** Where no watcher's word is fresh, this entry asks the platform itself. */
@@ -79,7 +79,7 @@
     const {force, source, random} = this.options;
     if (force.ageMs() < CONFIG_STALE_MS) return;
     if (source.sinceReadMs() < this.readDelayMs) return;
-    this.readDelayMs = CONFIG_READ_MS * (0.5 + random.float() / 2);
+    this.readDelayMs = MAX_CONFIG_READ_PERIOD_MS * (0.5 + random.float() / 2);
     source.refresh();
   }
 }
--- a/src/entry/config/config-exchange.ts
+++ b/src/entry/config/config-exchange.ts
@@ -9,8 +9,8 @@
   MessageRouter,
 } from '../../core/protocol/index.js';
 import {MessageType} from '../../core/protocol/index.js';
-import type {ConfigForce} from './config-force.js';
-import {ANNOUNCE_MS} from '../consts.js';
+import type {ConfigActivator} from './config-activator.js';
+import {CONFIG_ANNOUNCE_PERIOD_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /** A connection to a process that takes part. */
@@ -29,13 +29,13 @@
       board: EntryBoard;
       clock: Clock;
       router: MessageRouter;
-      force: ConfigForce;
+      force: ConfigActivator;
       vm: string;
       dataCentre: string;
     },
   ) {
     const {router, board} = options;
-    router.on(MessageType.CONFIG, (m, peer) => this.hearConfig(m, peer));
+    router.on(MessageType.CONFIG, (m, peer) => this.handleConfig(m, peer));
     router.on(MessageType.CONFIG_REPORT, (m, peer) => this.hearReport(m, peer));
     router.onClose((peer) => void this.subscribers.delete(peer));
     board.config.subscribe(() => this.spread());
@@ -43,7 +43,7 @@
 
   open(): void {
     this.timer = this.options.clock.repeat({
-      periodMs: ANNOUNCE_MS,
+      periodMs: CONFIG_ANNOUNCE_PERIOD_MS,
       run: () => this.announce(),
     });
   }
@@ -53,27 +53,27 @@
   }
 
   /** Begins to hear the configuration from a peer. */
-  join(peer: ConfigPeer): void {
+  subscribeTo(peer: ConfigPeer): void {
     this.publishers.add(peer);
     peer.send(this.createReport());
   }
 
-  leave(peer: ConfigPeer): void {
+  unsubscribeFrom(peer: ConfigPeer): void {
     this.publishers.delete(peer);
   }
 
   /** What a peer says it holds; sent whole where it is newer. */
-  hearConfig(message: ConfigMessage, peer: ConfigPeer): void {
+  handleConfig(message: ConfigMessage, peer: ConfigPeer): void {
     const {force} = this.options;
     const {version, value, ageMs} = message;
     const step = force.holder.resolveStep({version, value});
-    force.takeFromPeer({version, value}, ageMs);
+    force.receiveFromPeer({version, value}, ageMs);
     if (step === ExchangeStep.SEND) peer.send(this.createConfig());
     if (step === ExchangeStep.ASK) peer.send(this.createReport());
   }
 
   /** What the subscribers last reported. */
-  reports(): PeerStatus[] {
+  subscriberStatuses(): PeerStatus[] {
     return [...this.subscribers.values()].map((report) => ({
       vm: report.vm,
       dataCentre: report.dataCentre,
--- a/src/entry/config/config-peers.ts
+++ b/src/entry/config/config-peers.ts
@@ -4,13 +4,13 @@
 import type {HelloMessage, Message} from '../../core/protocol/index.js';
 import {MessageType, PeerClient} from '../../core/protocol/index.js';
 import type {ConfigExchange} from './config-exchange.js';
-import {PEER_SILENT_MS} from '../consts.js';
+import {PEER_SILENCE_TIMEOUT_MS} from '../consts.js';
 
 interface PeerLink {
   readonly record: VmRecord;
   readonly client: PeerClient;
   /** When it last spoke, or when the link was made. */
-  heardAtMs: number;
+  lastReceivedAtMs: number;
 }
 
 /** Follows a set of peers and tells which of them are silent. */
@@ -35,8 +35,9 @@
   /** Peers that were silent within the last `withinMs`. */
   findSilent(withinMs: number): ReadonlySet<string> {
     const nowMs = this.options.clock.now();
-    for (const [vm, {heardAtMs}] of this.links) {
-      if (nowMs - heardAtMs > PEER_SILENT_MS) this.silentAtMs.set(vm, nowMs);
+    for (const [vm, {lastReceivedAtMs: heardAtMs}] of this.links) {
+      if (nowMs - heardAtMs > PEER_SILENCE_TIMEOUT_MS)
+        this.silentAtMs.set(vm, nowMs);
     }
     for (const [vm, atMs] of this.silentAtMs) {
       if (nowMs - atMs > withinMs) this.silentAtMs.delete(vm);
@@ -45,13 +46,13 @@
   }
 
   /** Starts the measure of silence anew, after a pause of this process. */
-  forgiveSilence(): void {
+  resetSilence(): void {
     const nowMs = this.options.clock.now();
-    for (const link of this.links.values()) link.heardAtMs = nowMs;
+    for (const link of this.links.values()) link.lastReceivedAtMs = nowMs;
   }
 
   /** Keeps links to these peers and no others. */
-  follow(records: readonly VmRecord[]): void {
+  setPeers(records: readonly VmRecord[]): void {
     const wanted = new Map(records.map((record) => [record.name, record]));
     for (const [vm, link] of this.links) {
       const record = wanted.get(vm);
@@ -72,19 +73,19 @@
       peer,
       listener: {
         onReady: () => {
-          link.heardAtMs = rest.clock.now();
-          exchange.join(client);
+          link.lastReceivedAtMs = rest.clock.now();
+          exchange.subscribeTo(client);
         },
         onMessage: (message: Message) => {
-          link.heardAtMs = rest.clock.now();
+          link.lastReceivedAtMs = rest.clock.now();
           if (message.type !== MessageType.CONFIG) return;
-          exchange.hearConfig(message, client);
+          exchange.handleConfig(message, client);
         },
         onDrain: () => undefined,
-        onClose: () => exchange.leave(client),
+        onClose: () => exchange.unsubscribeFrom(client),
       },
     });
-    const link: PeerLink = {record, client, heardAtMs: rest.clock.now()};
+    const link: PeerLink = {record, client, lastReceivedAtMs: rest.clock.now()};
     this.links.set(record.name, link);
     client.start();
   }
--- a/src/entry/config/config-source.ts
+++ b/src/entry/config/config-source.ts
@@ -2,7 +2,7 @@
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import {CONFIG_OBJECT} from '../../core/config/index.js';
 import type {ObjectStore, WatchHandle} from '../../core/edges/index.js';
-import type {ConfigForce} from './config-force.js';
+import type {ConfigActivator} from './config-activator.js';
 import {CONFIG_RETRY_MS} from '../consts.js';
 
 /** Reads at the start; watches while it is elected to. */
@@ -19,7 +19,7 @@
       clock: Clock;
       random: RandomSource;
       store: ObjectStore;
-      force: ConfigForce;
+      force: ConfigActivator;
     },
   ) {}
 
@@ -53,7 +53,7 @@
         (found) => {
           const version = found.map((object) => object.version).orDefault(0);
           const value = found.map((object) => object.value).orDefault(null);
-          this.options.force.takeFromPlatform({version, value});
+          this.options.force.receiveFromPlatform({version, value});
           this.follow(version);
         },
         () => this.retry(),
@@ -71,9 +71,9 @@
       since,
       onEvent: ({name, version, value}) => {
         if (name !== CONFIG_OBJECT.name || value === undefined) return;
-        this.options.force.takeFromPlatform({version, value});
+        this.options.force.receiveFromPlatform({version, value});
       },
-      onAlive: () => this.options.force.noteHeard(0),
+      onAlive: () => this.options.force.recordConfirmation(0),
       // Closed or compacted: what was missed is found by reading again.
       onClosed: () => this.retry(),
     });
--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -5,7 +5,7 @@
 export const SILENCE_CHECK_MS = 50;
 
 /** A check that comes this late shows that this process was paused. */
-export const PAUSE_EVIDENCE_MS = 250;
+export const PAUSE_DETECTION_MS = 250;
 
 /** How often the VM list is read, in milliseconds. */
 export const VM_LIST_PERIOD_MS = 500;
@@ -51,16 +51,16 @@
  * Without an answer of the platform, an entry serves by what its peers hold
  * only after it has heard them for this long, in milliseconds.
  */
-export const FIRST_LOOK_MS = 2_000;
+export const INITIAL_PEER_WAIT_MS = 2_000;
 
 /** How often an entry tells its subscribers what it holds. */
-export const ANNOUNCE_MS = 1_000;
+export const CONFIG_ANNOUNCE_PERIOD_MS = 1_000;
 
 /** How often the watchers are elected anew, in milliseconds. */
-export const ELECTION_MS = 500;
+export const ELECTION_PERIOD_MS = 500;
 
 /** A peer that is silent for longer is passed over, in milliseconds. */
-export const PEER_SILENT_MS = 2_500;
+export const PEER_SILENCE_TIMEOUT_MS = 2_500;
 
 /** A silent peer is tried again after this, in milliseconds. */
 export const SILENT_PEER_RETRY_MS = 10_000;
@@ -69,10 +69,10 @@
 export const CONFIG_STALE_MS = 3_000;
 
 /** Longest time between such reads, in milliseconds. */
-export const CONFIG_READ_MS = 2_000;
+export const MAX_CONFIG_READ_PERIOD_MS = 2_000;
 
 /** How often an entry tells its agents how old its news is. */
-export const AGENT_ANNOUNCE_MS = 5_000;
+export const AGENT_CONFIG_ANNOUNCE_PERIOD_MS = 5_000;
 
 /** Entries tell one agent a new version spread over this, in milliseconds. */
-export const AGENT_CONFIG_SPREAD_MS = 300;
+export const AGENT_CONFIG_JITTER_MS = 300;
--- a/src/entry/entry-board.ts
+++ b/src/entry/entry-board.ts
@@ -7,19 +7,19 @@
 import type {VmRecord} from '../core/edges/index.js';
 
 /** A configuration in force at this process. */
-export interface ConfigInForce {
+export interface ActiveConfig {
   readonly version: number;
   readonly cfg: SiteConfig;
 }
 
 /** The shared state of an entry. */
 export class EntryBoard {
-  readonly config = new Cell<Maybe<ConfigInForce>>(Nothing);
+  readonly config = new Cell<Maybe<ActiveConfig>>(Nothing);
   /** When the platform last confirmed the configuration. */
-  readonly configHeardAtMs = new Cell(Number.NEGATIVE_INFINITY);
+  readonly configConfirmedAtMs = new Cell(Number.NEGATIVE_INFINITY);
   /** The VM list as last read; it lags. */
   readonly vms = new Cell<readonly VmRecord[]>([]);
-  readonly leaving = new Cell(false);
+  readonly draining = new Cell(false);
   /** This entry's share of the targets' capacity. */
   readonly load = new Cell<EntryLoad>({liveEntries: 1, services: []});
 }
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -33,7 +33,7 @@
 import {AgentLinks} from './links/agent-links.js';
 import {BookingService} from './calls/booking-service.js';
 import {CallerGate} from './caller-gate.js';
-import {ConfigControl} from './config/config-control.js';
+import {ConfigController} from './config/config-controller.js';
 import {EntryBoard} from './entry-board.js';
 import type {GenerationDeps} from './generation/generation-run.js';
 import {QuarantineSync} from './generation/quarantine-sync.js';
@@ -72,7 +72,7 @@
   private readonly loadController: LoadController;
   private readonly generations: GenerationService;
   private readonly gate: CallerGate;
-  private readonly config: ConfigControl;
+  private readonly config: ConfigController;
   private readonly quarantineWatch: QuarantineSync;
   private readonly drainer: DrainController;
 
@@ -91,7 +91,7 @@
     this.directory = new VmDirectory({...options, board});
     const {vm, dataCentre, site} = options.settings;
     const self = {vm, dataCentre};
-    this.config = new ConfigControl({
+    this.config = new ConfigController({
       ...options,
       ...{board, router, hello, self, site},
     });
@@ -159,12 +159,12 @@
       dataCentre: settings.dataCentre,
       incarnation: this.incarnation,
       ready: this.isReady(),
-      leaving: this.board.leaving.get(),
+      leaving: this.board.draining.get(),
       configVersion: this.board.config.get().extract()?.version ?? 0,
       configAgeMs: this.configAgeMs(),
       running: this.countRunning(),
       peers: this.links.statuses(),
-      subscribers: this.config.reports(),
+      subscribers: this.config.subscriberStatuses(),
     };
   }
 
@@ -174,7 +174,7 @@
   }
 
   isReady(): boolean {
-    return !this.board.leaving.get() && this.board.config.get().isJust();
+    return !this.board.draining.get() && this.board.config.get().isJust();
   }
 
   metrics(): Promise<string> {
@@ -189,7 +189,7 @@
     const {countOpenAnswers} = this.options;
     return new DrainController({
       ...this.options,
-      leaving: this.board.leaving,
+      leaving: this.board.draining,
       limits: ENTRY_DRAIN_LIMITS,
       work: {
         countRunning: () => this.countRunning() + countOpenAnswers(),
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -31,12 +31,12 @@
   REPORT_ROUND_TRIP_MS,
 } from '../../core/routing/index.js';
 import {
-  AGENT_ANNOUNCE_MS,
-  AGENT_CONFIG_SPREAD_MS,
+  AGENT_CONFIG_ANNOUNCE_PERIOD_MS,
+  AGENT_CONFIG_JITTER_MS,
   MAX_PENDING_CANCELS,
 } from '../consts.js';
 import type {AttemptLink} from '../generation/attempt-link.js';
-import type {AgentConfig, LinkHandler} from './link-handler.js';
+import type {AgentConfigSource, LinkHandler} from './link-handler.js';
 
 /** Speaks to one agent and keeps the view of its target. */
 export class AgentLink implements AttemptLink, ConnectionListener {
@@ -70,7 +70,7 @@
       clock: Clock;
       random: RandomSource;
       metrics: Metrics;
-      config: AgentConfig;
+      config: AgentConfigSource;
     },
   ) {
     const {hello, clock, random} = options;
@@ -118,14 +118,14 @@
     if (!this.client.isReady() || this.heartbeat === undefined) return;
     const {clock, config, random} = this.options;
     const nowMs = clock.now();
-    const held = config.held();
+    const held = config.latest();
     if (this.offeredVersion !== held.version) {
       // Several entries may be about to tell; the first one is enough.
       this.offeredVersion = held.version;
-      this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_SPREAD_MS);
+      this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_JITTER_MS);
     }
     if (nowMs < this.configDueAtMs) return;
-    this.configDueAtMs = nowMs + AGENT_ANNOUNCE_MS;
+    this.configDueAtMs = nowMs + AGENT_CONFIG_ANNOUNCE_PERIOD_MS;
     const {version} = held;
     const value = this.configVersion < version ? held.value : null;
     const ageMs = config.ageMs();
@@ -272,7 +272,7 @@
         this.take(message.callId)?.onReply?.(message);
         return;
       case MessageType.CONFIG:
-        this.options.config.takeFromAgent(message, message.ageMs);
+        this.options.config.receiveFromAgent(message, message.ageMs);
         return;
       case MessageType.KEY_STATE:
         this.take(message.callId)?.onKeyState?.(message);
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -12,9 +12,9 @@
 import type {Metrics} from '../../core/metrics/index.js';
 import type {HelloMessage} from '../../core/protocol/index.js';
 import type {TargetView} from '../../core/routing/index.js';
-import type {AgentConfig} from './link-handler.js';
+import type {AgentConfigSource} from './link-handler.js';
 import {AgentLink} from './agent-link.js';
-import {PAUSE_EVIDENCE_MS, PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
+import {PAUSE_DETECTION_MS, PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /** Follows the VM list and watches every link for silence. */
@@ -30,7 +30,7 @@
     private readonly options: {
       board: EntryBoard;
       hello: HelloMessage;
-      config: AgentConfig;
+      config: AgentConfigSource;
       clock: Clock;
       random: RandomSource;
       metrics: Metrics;
@@ -174,7 +174,7 @@
     const nowMs = this.options.clock.now();
     const lateMs = nowMs - this.checkedAtMs - SILENCE_CHECK_MS;
     this.checkedAtMs = nowMs;
-    const paused = lateMs > PAUSE_EVIDENCE_MS;
+    const paused = lateMs > PAUSE_DETECTION_MS;
     const policy = this.policy();
     this.dropRetired();
     for (const link of [...this.links.values(), ...this.retired]) {
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -30,8 +30,8 @@
 }
 
 /** The configuration that an entry shares with its agents. */
-export interface AgentConfig {
-  held(): ConfigNews;
+export interface AgentConfigSource {
+  latest(): ConfigNews;
   ageMs(): number;
-  takeFromAgent(news: ConfigNews, ageMs: number): void;
+  receiveFromAgent(news: ConfigNews, ageMs: number): void;
 }
