--- a/src/entry/caller-gate.ts
+++ b/src/entry/caller-gate.ts
@@ -33,7 +33,7 @@
 import type {GenerationService} from './generation/generation-service.js';
 import type {ResolvedPlain} from './calls/plain-request.js';
 import type {PlainService} from './calls/plain-service.js';
-import {tellOfKey} from './calls/tell-of-key.js';
+import {applyKeyUncertainty} from './calls/key-uncertainty.js';
 
 const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
@@ -72,7 +72,7 @@
   authenticate(head: RequestHead): Result<void, Refusal> {
     return this.identify(head.bearer)
       .map(() => undefined)
-      .mapErr((refusal) => this.counted(tellOfKey(head, refusal)));
+      .mapErr((refusal) => this.counted(applyKeyUncertainty(head, refusal)));
   }
 
   countRefusal(refusal: Refusal): void {
@@ -93,7 +93,7 @@
       this.resolvePlain(caller, req),
     );
     if (resolved.isErr()) {
-      return errAsync(this.counted(tellOfKey(req, resolved.error)));
+      return errAsync(this.counted(applyKeyUncertainty(req, resolved.error)));
     }
     const startedAtMs = this.parts.clock.now();
     this.inFlight++;
@@ -136,7 +136,7 @@
     if (refusal.reason === RefusalReason.NO_TARGET) {
       return this.parts.bookings.call(request);
     }
-    return err(tellOfKey(request.req, refusal));
+    return err(applyKeyUncertainty(request.req, refusal));
   }
 
   private identify(bearer: string): Result<KnownCaller, Refusal> {
--- a/src/entry/calls/agent-call.ts
+++ b/src/entry/calls/agent-call.ts
@@ -31,7 +31,7 @@
 }
 
 /** An agent's answer: an outcome, or what it knows of a key. */
-export interface CallAnswer {
+export interface AgentCallResult {
   readonly response?: PlainResponse;
   readonly keyPhase?: KeyPhase;
   /** Incarnation that speaks of the key. */
@@ -44,22 +44,22 @@
  * @example
  * askAgent({link, message: call, timeoutMs: 500, clock}).map(use);
  */
-export function askAgent(options: {
+export function callAgent(options: {
   link: AgentLink;
   message: CallMessage | AskKeyMessage;
   timeoutMs: number;
   clock: Clock;
-}): ResultAsync<CallAnswer, CallError> {
+}): ResultAsync<AgentCallResult, CallError> {
   return new ResultAsync(new Promise((resolve) => ask(options, resolve)));
 }
 
 function ask(
-  options: Parameters<typeof askAgent>[0],
-  resolve: (result: Result<CallAnswer, CallError>) => void,
+  options: Parameters<typeof callAgent>[0],
+  resolve: (result: Result<AgentCallResult, CallError>) => void,
 ): void {
   const {link, message, timeoutMs, clock} = options;
   const id = message.callId;
-  const settle = (result: Result<CallAnswer, CallError>): void => {
+  const settle = (result: Result<AgentCallResult, CallError>): void => {
     timer.cancel();
     resolve(result);
   };
--- a/src/entry/calls/booking-agents.ts
+++ b/src/entry/calls/booking-agents.ts
@@ -7,19 +7,19 @@
 import {AgentWord} from '../../core/booking/index.js';
 import {RefusalReason} from '../../core/errors/index.js';
 import {KeyPhase, MessageType} from '../../core/protocol/index.js';
-import type {CallAnswer, CallError} from './agent-call.js';
-import {askAgent, CallErrorKind} from './agent-call.js';
+import type {AgentCallResult, CallError} from './agent-call.js';
+import {callAgent, CallErrorKind} from './agent-call.js';
 import type {AgentLink} from '../links/agent-link.js';
-import {ASK_ANSWER_MS} from '../consts.js';
+import {KEY_QUERY_RESPONSE_MARGIN_MS} from '../consts.js';
 import type {ResolvedPlain} from './plain-request.js';
 import {createCall} from './plain-request.js';
-import type {PlainParts} from './plain-service.js';
+import type {PlainCallDeps} from './plain-service.js';
 
 /** Sends a booking and asks for it. */
 export class BookingAgents {
   constructor(
     private readonly request: ResolvedPlain,
-    private readonly parts: PlainParts,
+    private readonly parts: PlainCallDeps,
   ) {}
 
   /** The target that a new claim would name; never the VM `except`. */
@@ -52,11 +52,11 @@
       deadlineMs: timeoutMs,
     });
     const message = {...call, claimedAtMs};
-    const answer = await askAgent({link, message, timeoutMs, clock});
+    const answer = await callAgent({link, message, timeoutMs, clock});
     return answer.match((value) => wordOfAnswer(value, place), toResult);
   }
 
-  async ask(options: {
+  async queryKey(options: {
     place: AgentPlace;
     timeoutMs: number;
   }): Promise<AgentResult> {
@@ -66,7 +66,7 @@
     if (link === undefined) return {word: AgentWord.GONE};
     if (!link.isConnected()) return {word: AgentWord.NOT_SENT};
     if (!speaksAs(link, place)) return {word: AgentWord.GONE};
-    const waitMs = Math.max(0, timeoutMs - ASK_ANSWER_MS);
+    const waitMs = Math.max(0, timeoutMs - KEY_QUERY_RESPONSE_MARGIN_MS);
     const message = {
       type: MessageType.ASK_KEY as const,
       callId: random.id(),
@@ -76,7 +76,7 @@
       promiseNever: false,
       waitMs,
     };
-    const answer = await askAgent({link, message, timeoutMs, clock});
+    const answer = await callAgent({link, message, timeoutMs, clock});
     return answer.match((value) => wordOfAnswer(value, place), toResult);
   }
 }
@@ -85,7 +85,7 @@
   return link.view().incarnation === place.incarnation;
 }
 
-function wordOfAnswer(answer: CallAnswer, place: AgentPlace): AgentResult {
+function wordOfAnswer(answer: AgentCallResult, place: AgentPlace): AgentResult {
   const {response, keyPhase, incarnation} = answer;
   if (response !== undefined) return {word: AgentWord.RESPONSE, response};
   if (incarnation !== place.incarnation) return {word: AgentWord.GONE};
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -36,18 +36,18 @@
 import {CounterName, LatencyName} from '../../core/metrics/index.js';
 import {BookingAgents} from './booking-agents.js';
 import {
-  ASK_RETRY_MAX_MS,
-  ASK_RETRY_MIN_MS,
+  KEY_QUERY_RETRY_MAX_MS,
+  KEY_QUERY_RETRY_MIN_MS,
   RETRY_AFTER_MS,
   WRITE_RETRY_MS,
 } from '../consts.js';
 import type {ResolvedPlain} from './plain-request.js';
-import type {PlainParts} from './plain-service.js';
-import {isFirstUse} from './tell-of-key.js';
+import type {PlainCallDeps} from './plain-service.js';
+import {isFirstUse} from './key-uncertainty.js';
 
 /** What bookings need of their entry. */
-export interface BookingParts {
-  readonly parts: PlainParts;
+export interface BookingDeps {
+  readonly callDeps: PlainCallDeps;
   readonly claims: ClaimStore;
   readonly outcomes: OutcomeReader;
   readonly incarnation: string;
@@ -60,13 +60,13 @@
   private state: BookingState;
   private readonly name: string;
   private readonly agents: BookingAgents;
-  private askDelayMs = ASK_RETRY_MIN_MS;
+  private askDelayMs = KEY_QUERY_RETRY_MIN_MS;
   private timer: TimerHandle | undefined;
   private resolve: (answer: Answer) => void = () => undefined;
 
   constructor(
     private readonly request: ResolvedPlain,
-    private readonly options: BookingParts,
+    private readonly options: BookingDeps,
   ) {
     this.state = createBooking({
       fingerprint: request.fingerprint,
@@ -77,12 +77,12 @@
       clientAccount: request.clientAccount.name,
       key: request.req.idempotencyKey,
     });
-    this.agents = new BookingAgents(request, options.parts);
+    this.agents = new BookingAgents(request, options.callDeps);
   }
 
   /** Settles at the deadline at the latest. */
   run(): Promise<Answer> {
-    const {clock} = this.options.parts;
+    const {clock} = this.options.callDeps;
     return new Promise((resolve) => {
       this.resolve = resolve;
       this.timer = clock.schedule({
@@ -94,7 +94,7 @@
   }
 
   private leftMs(): number {
-    return this.request.deadlineAtMs - this.options.parts.clock.now();
+    return this.request.deadlineAtMs - this.options.callDeps.clock.now();
   }
 
   private take(event: BookingEvent): void {
@@ -109,7 +109,7 @@
 
   /** Read anew at each step: this process may have been paused. */
   private readContext(event: BookingEvent): StepContext {
-    const {random, clock} = this.options.parts;
+    const {random, clock} = this.options.callDeps;
     return {
       nonce: random.id(),
       target: this.chooseTarget(event),
@@ -121,7 +121,7 @@
   /** A first target is free; another one draws on the retry budget. */
   private chooseTarget(event: BookingEvent): AgentPlace | undefined {
     const {request, options} = this;
-    const budget = options.parts.retryBudgets.of(request.service);
+    const budget = options.callDeps.retryBudgets.of(request.service);
     if (event.kind === EventKind.BEGIN) {
       budget.noteFirstTry();
       return this.agents.choose(undefined);
@@ -154,7 +154,7 @@
   }
 
   private async create({claim, again}: CreateEffect): Promise<void> {
-    const {parts, claims} = this.options;
+    const {callDeps: parts, claims} = this.options;
     await this.waitIfAgain(again);
     const startedAtMs = parts.clock.now();
     const result = await claims.create({name: this.name, claim});
@@ -176,7 +176,7 @@
   private async waitIfAgain(again: boolean): Promise<void> {
     if (!again) return;
     this.countRetry(RetryReason.STORE_ANSWER_LOST);
-    await sleep(this.options.parts.clock, WRITE_RETRY_MS);
+    await sleep(this.options.callDeps.clock, WRITE_RETRY_MS);
   }
 
   private takeWrite(result: WriteResult): void {
@@ -194,14 +194,17 @@
   ): Promise<void> {
     if (effect.again) await this.waitToAsk();
     const {place} = effect;
-    const result = await this.agents.ask({place, timeoutMs: this.leftMs()});
+    const result = await this.agents.queryKey({
+      place,
+      timeoutMs: this.leftMs(),
+    });
     this.take({kind: EventKind.AGENT, result});
   }
 
   private async waitToAsk(): Promise<void> {
     this.countRetry(RetryReason.CALL_LOST);
-    await sleep(this.options.parts.clock, this.askDelayMs);
-    this.askDelayMs = Math.min(this.askDelayMs * 2, ASK_RETRY_MAX_MS);
+    await sleep(this.options.callDeps.clock, this.askDelayMs);
+    this.askDelayMs = Math.min(this.askDelayMs * 2, KEY_QUERY_RETRY_MAX_MS);
   }
 
   private async lookUp({claim}: LookUpEffect): Promise<void> {
@@ -223,12 +226,12 @@
   private refuse(evidence: Evidence): Refusal {
     const {ran, reason, detail, comeBack} = decideRan(evidence);
     const label = evidence.kind;
-    this.options.parts.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
+    this.options.callDeps.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
     const retryAfterMs = comeBack ? RETRY_AFTER_MS : undefined;
     return {ran, reason, detail, retryAfterMs};
   }
 
   private countRetry(reason: RetryReason): void {
-    this.options.parts.metrics.countRetry(reason);
+    this.options.callDeps.metrics.countRetry(reason);
   }
 }
--- a/src/entry/calls/tell-of-key.ts
+++ b/src/entry/calls/key-uncertainty.ts
@@ -30,7 +30,10 @@
  * @example
  * return tellOfKey(req, {reason: RefusalReason.OVERLOADED, ran: Ran.NO, detail});
  */
-export function tellOfKey(req: RequestHead, refusal: Refusal): Refusal {
+export function applyKeyUncertainty(
+  req: RequestHead,
+  refusal: Refusal,
+): Refusal {
   const looked = !SPEAKS_OF_REQUEST.has(refusal.reason);
   if (req.idempotencyKey === '' || looked || isFirstUse(req)) return refusal;
   return {...refusal, ran: Ran.UNKNOWN};
--- a/src/entry/calls/plain-service.ts
+++ b/src/entry/calls/plain-service.ts
@@ -14,8 +14,8 @@
   TargetChooser,
   TargetView,
 } from '../../core/routing/index.js';
-import type {CallAnswer, CallError} from './agent-call.js';
-import {askAgent, CallErrorKind} from './agent-call.js';
+import type {AgentCallResult, CallError} from './agent-call.js';
+import {callAgent, CallErrorKind} from './agent-call.js';
 import type {AgentLinks} from '../links/agent-links.js';
 import {NO_TARGET_RETRY_MS, RETRY_AFTER_MS} from '../consts.js';
 import type {ResolvedPlain} from './plain-request.js';
@@ -28,7 +28,7 @@
 const SERVER_ERROR = 500;
 
 /** What plain calls need of their entry. */
-export interface PlainParts {
+export interface PlainCallDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly metrics: Metrics;
@@ -41,7 +41,7 @@
 
 /** Sends a call, and sends it elsewhere when its target fails. */
 export class PlainService {
-  constructor(private readonly parts: PlainParts) {}
+  constructor(private readonly parts: PlainCallDeps) {}
 
   call(request: ResolvedPlain): ResultAsync<PlainResponse, Refusal> {
     return new ResultAsync(this.tryTargets(request));
@@ -93,7 +93,7 @@
     request: ResolvedPlain,
     target: TargetView,
     timeoutMs: number,
-  ): Promise<Result<CallAnswer, CallError>> {
+  ): Promise<Result<AgentCallResult, CallError>> {
     const link = this.parts.links.find(target.vm);
     if (link === undefined) return err({kind: CallErrorKind.NOT_SENT});
     const message = createCall({
@@ -104,10 +104,13 @@
       deadlineMs: timeoutMs,
     });
     const {clock} = this.parts;
-    return askAgent({link, message, timeoutMs, clock});
+    return callAgent({link, message, timeoutMs, clock});
   }
 
-  private noteOutcome(vm: string, answer: Result<CallAnswer, CallError>): void {
+  private noteOutcome(
+    vm: string,
+    answer: Result<AgentCallResult, CallError>,
+  ): void {
     const status = answer.isOk() ? (answer.value.response?.status ?? 0) : 0;
     const failed = answer.isErr() || status >= SERVER_ERROR;
     this.parts.failures.note({vm, failed});
--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -35,11 +35,11 @@
 export const MAX_PENDING_CANCELS = 1_000;
 
 /** Bounds of the wait before an agent is asked again, in milliseconds. */
-export const ASK_RETRY_MIN_MS = 100;
-export const ASK_RETRY_MAX_MS = 1_000;
+export const KEY_QUERY_RETRY_MIN_MS = 100;
+export const KEY_QUERY_RETRY_MAX_MS = 1_000;
 
 /** An agent says what it knows this long before the deadline. */
-export const ASK_ANSWER_MS = 50;
+export const KEY_QUERY_RESPONSE_MARGIN_MS = 50;
 
 /** Wait before a write that is in doubt is tried again, in milliseconds. */
 export const WRITE_RETRY_MS = 20;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -227,7 +227,7 @@
       generations: this.generations,
       plain: new PlainService(parts),
       bookings: new BookingService({
-        parts,
+        callDeps: parts,
         claims: new GroupedClaims({
           ...this.options,
           paceMs: CLAIM_PACE_MS,
