--- a/src/daemon/run-entry.ts
+++ b/src/daemon/run-entry.ts
@@ -30,14 +30,14 @@
     logger,
     store: createStore({baseUrl, metrics}),
     vmList: new HttpVmList({baseUrl}),
-    countOpenAnswers: () => callers?.countOpen() ?? 0,
+    countPendingResponses: () => callers?.countOpen() ?? 0,
     onDrained: () => exitSoon({stop: () => entry.stop(), callers}),
   });
   const peers = await entry.start();
   if (peers.isErr()) exitCannotListen(logger, peers.error.detail);
   try {
     const operators = await openOperators({handler: entry, settings});
-    const handler = entry.callers;
+    const handler = entry.callerHandler;
     const app = createCallersApp({handler});
     callers = await listenHttp({
       app,
--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -1,5 +1,5 @@
 /** A link out of the subset is kept for this long once it was needed. */
-export const PIN_MS = 60_000;
+export const LINK_PIN_MS = 60_000;
 
 /** How often silence is looked for, in milliseconds. */
 export const SILENCE_CHECK_MS = 50;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -32,13 +32,13 @@
 import type {DaemonSettings} from '../core/settings/types.js';
 import {AgentLinks} from './links/agent-links.js';
 import {BookingService} from './calls/booking-service.js';
-import {CallerGate} from './caller-gate.js';
+import {RequestDispatcher} from './request-dispatcher.js';
 import {ConfigController} from './config/config-controller.js';
 import {EntryBoard} from './entry-board.js';
 import type {GenerationDeps} from './generation/generation-run.js';
 import {QuarantineSync} from './generation/quarantine-sync.js';
 import {GenerationService} from './generation/generation-service.js';
-import {OwnVmWatch} from './links/membership-own-vm.js';
+import {OwnVmWatch} from './links/own-vm-watch.js';
 import {LoadController} from './load-controller.js';
 import {PeerSession} from './links/peer-session.js';
 import {PlainService} from './calls/plain-service.js';
@@ -54,7 +54,7 @@
   readonly store: ObjectStore;
   readonly vmList: VmList;
   /** Answers that have not wholly left for their callers. */
-  readonly countOpenAnswers: () => number;
+  readonly countPendingResponses: () => number;
   /** Called once a drain has ended and all work is done. */
   readonly onDrained: () => void;
 }
@@ -71,7 +71,7 @@
   private readonly links: AgentLinks;
   private readonly loadController: LoadController;
   private readonly generations: GenerationService;
-  private readonly gate: CallerGate;
+  private readonly gate: RequestDispatcher;
   private readonly config: ConfigController;
   private readonly quarantineWatch: QuarantineSync;
   private readonly drainer: DrainController;
@@ -117,7 +117,7 @@
     new OwnVmWatch({
       board,
       vm: options.settings.vm,
-      onLeaving: () => this.drain(),
+      onVmLeaving: () => this.drain(),
     }).open();
     this.board.load.subscribe((load) => this.admission.resize(load));
     this.board.config.subscribe((inForce) => {
@@ -126,7 +126,7 @@
   }
 
   /** What callers are served by. */
-  get callers(): CallerHandler {
+  get callerHandler(): CallerHandler {
     return this.gate;
   }
 
@@ -186,7 +186,7 @@
   }
 
   private createDrainer(): DrainController {
-    const {countOpenAnswers} = this.options;
+    const {countPendingResponses: countOpenAnswers} = this.options;
     return new DrainController({
       ...this.options,
       leaving: this.board.draining,
@@ -219,8 +219,8 @@
     };
   }
 
-  private createGate(parts: GenerationDeps): CallerGate {
-    return new CallerGate({
+  private createGate(parts: GenerationDeps): RequestDispatcher {
+    return new RequestDispatcher({
       ...parts,
       board: this.board,
       admission: this.admission,
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -92,7 +92,7 @@
   }
 
   /** Takes over what the deployment weighs in recovery. */
-  setWeigh(weigh: Weigh): void {
+  setRecoveryGoal(weigh: Weigh): void {
     this.busyGaps.setBounds(BUSY_BOUNDS[weigh]);
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Tells the agent the configuration when that is due. */
-  offerConfig(): void {
+  sendConfigIfDue(): void {
     if (!this.client.isReady() || this.heartbeat === undefined) return;
     const {clock, config, random} = this.options;
     const nowMs = clock.now();
@@ -133,7 +133,7 @@
   }
 
   /** Whether the agent listens where a record says. */
-  isAt({address, peerPort}: VmRecord): boolean {
+  hasAddress({address, peerPort}: VmRecord): boolean {
     return this.record.address === address && this.record.peerPort === peerPort;
   }
 
@@ -232,7 +232,7 @@
   }
 
   /** Starts the measure of silence anew, after a pause of this process. */
-  forgiveSilence(): void {
+  resetSilence(): void {
     this.heardAtMs = this.options.clock.now();
   }
 
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -14,7 +14,7 @@
 import type {TargetView} from '../../core/routing/index.js';
 import type {AgentConfigSource} from './link-handler.js';
 import {AgentLink} from './agent-link.js';
-import {PAUSE_DETECTION_MS, PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
+import {PAUSE_DETECTION_MS, LINK_PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /** Follows the VM list and watches every link for silence. */
@@ -48,7 +48,7 @@
     board.vms.subscribe((records) => this.follow(records));
     board.config.subscribe(() => {
       this.weigh().ifJust((weigh) => {
-        for (const link of this.links.values()) link.setWeigh(weigh);
+        for (const link of this.links.values()) link.setRecoveryGoal(weigh);
       });
     });
   }
@@ -138,20 +138,20 @@
       .get()
       .find(({name, role}) => name === vm && role === VmRole.TARGET);
     if (record === undefined) return undefined;
-    this.pinnedUntilMs.set(vm, this.options.clock.now() + PIN_MS);
+    this.pinnedUntilMs.set(vm, this.options.clock.now() + LINK_PIN_MS);
     this.addOrUpdate(record);
     return this.links.get(vm);
   }
 
   private addOrUpdate(record: VmRecord): void {
     const known = this.links.get(record.name);
-    if (known?.isAt(record) === true) {
+    if (known?.hasAddress(record) === true) {
       known.updateRecord(record);
       return;
     }
     if (known !== undefined) this.retire(known);
     const link = new AgentLink(record, this.options);
-    this.weigh().ifJust((weigh) => link.setWeigh(weigh));
+    this.weigh().ifJust((weigh) => link.setRecoveryGoal(weigh));
     this.links.set(record.name, link);
     link.start();
     this.options.logger.info('target added', {target: record.name});
@@ -179,9 +179,9 @@
     this.dropRetired();
     for (const link of [...this.links.values(), ...this.retired]) {
       // After a pause of this process, silence says nothing of the others.
-      if (paused) link.forgiveSilence();
+      if (paused) link.resetSilence();
       else link.checkSilence(policy);
-      link.offerConfig();
+      link.sendConfigIfDue();
     }
   }
 }
--- a/src/entry/links/membership-own-vm.ts
+++ b/src/entry/links/own-vm-watch.ts
@@ -15,7 +15,7 @@
     private readonly options: {
       board: EntryBoard;
       vm: string;
-      onLeaving: () => void;
+      onVmLeaving: () => void;
     },
   ) {}
 
@@ -27,6 +27,6 @@
     const own = records.find(({name}) => name === this.options.vm);
     if (own?.state === VmState.LIVE) this.wasLive = true;
     if (own?.state !== VmState.LEAVING || !this.wasLive) return;
-    this.options.onLeaving();
+    this.options.onVmLeaving();
   }
 }
--- a/src/entry/caller-gate.ts
+++ b/src/entry/request-dispatcher.ts
@@ -38,7 +38,7 @@
 const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
 /** What the gate hands requests on to. */
-export interface GateParts {
+export interface RequestDispatcherOptions {
   readonly board: EntryBoard;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -54,10 +54,10 @@
 }
 
 /** Checks requests against the configuration and hands them on. */
-export class CallerGate implements CallerHandler {
+export class RequestDispatcher implements CallerHandler {
   private inFlight = 0;
 
-  constructor(private readonly parts: GateParts) {}
+  constructor(private readonly parts: RequestDispatcherOptions) {}
 
   /** Plain calls that have no answer yet. */
   countRunning(): number {
