--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -1,11 +1,11 @@
 /** A link out of the subset is kept for this long once it was needed. */
-export const PIN_MS = 60_000;
+export const LINK_PIN_MS = 60_000;
 
 /** How often silence is looked for, in milliseconds. */
 export const SILENCE_CHECK_MS = 50;
 
 /** A check that comes this late shows that this process was paused. */
-export const PAUSE_EVIDENCE_MS = 250;
+export const PAUSE_DETECTION_MS = 250;
 
 /** How often the VM list is read, in milliseconds. */
 export const VM_LIST_PERIOD_MS = 500;
@@ -14,16 +14,16 @@
 export const NO_TARGET_RETRY_MS = 50;
 
 /** Attempts on one answer before it is given up. */
-export const MAX_ATTEMPTS = 12;
+export const MAX_ATTEMPTS_WITHOUT_PROGRESS = 12;
 
 /** An answer without a reader is kept for this long, in milliseconds. */
-export const COPY_RETENTION_MS = 10_000;
+export const OUTPUT_RETENTION_MS = 10_000;
 
 /** How often copies are swept, in milliseconds. */
-export const COPY_SWEEP_MS = 1_000;
+export const OUTPUT_SWEEP_PERIOD_MS = 1_000;
 
 /** Most tokens that a caller reads in one part. */
-export const TOKENS_PER_PART = 256;
+export const MAX_TOKENS_PER_PART = 256;
 
 /** A refusal for want of targets asks to come back after this. */
 export const RETRY_AFTER_MS = 1_000;
@@ -35,11 +35,11 @@
 export const MAX_PENDING_CANCELS = 1_000;
 
 /** Bounds of the wait before an agent is asked again, in milliseconds. */
-export const ASK_RETRY_MIN_MS = 100;
-export const ASK_RETRY_MAX_MS = 1_000;
+export const KEY_QUERY_RETRY_MIN_MS = 100;
+export const KEY_QUERY_RETRY_MAX_MS = 1_000;
 
 /** An agent says what it knows this long before the deadline. */
-export const ASK_ANSWER_MS = 50;
+export const KEY_QUERY_RESPONSE_MARGIN_MS = 50;
 
 /** Wait before a write that is in doubt is tried again, in milliseconds. */
 export const WRITE_RETRY_MS = 20;
@@ -51,16 +51,16 @@
  * Without an answer of the platform, an entry serves by what its peers hold
  * only after it has heard them for this long, in milliseconds.
  */
-export const FIRST_LOOK_MS = 2_000;
+export const INITIAL_PEER_WAIT_MS = 2_000;
 
 /** How often an entry tells its subscribers what it holds. */
-export const ANNOUNCE_MS = 1_000;
+export const CONFIG_ANNOUNCE_PERIOD_MS = 1_000;
 
 /** How often the watchers are elected anew, in milliseconds. */
-export const ELECTION_MS = 500;
+export const ELECTION_PERIOD_MS = 500;
 
 /** A peer that is silent for longer is passed over, in milliseconds. */
-export const PEER_SILENT_MS = 2_500;
+export const PEER_SILENCE_TIMEOUT_MS = 2_500;
 
 /** A silent peer is tried again after this, in milliseconds. */
 export const SILENT_PEER_RETRY_MS = 10_000;
@@ -69,10 +69,10 @@
 export const CONFIG_STALE_MS = 3_000;
 
 /** Longest time between such reads, in milliseconds. */
-export const CONFIG_READ_MS = 2_000;
+export const MAX_CONFIG_READ_PERIOD_MS = 2_000;
 
 /** How often an entry tells its agents how old its news is. */
-export const AGENT_ANNOUNCE_MS = 5_000;
+export const AGENT_CONFIG_ANNOUNCE_PERIOD_MS = 5_000;
 
 /** Entries tell one agent a new version spread over this, in milliseconds. */
-export const AGENT_CONFIG_SPREAD_MS = 300;
+export const AGENT_CONFIG_JITTER_MS = 300;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -32,13 +32,13 @@
 import type {DaemonSettings} from '../core/settings/types.js';
 import {AgentLinks} from './links/agent-links.js';
 import {BookingService} from './calls/booking-service.js';
-import {CallerGate} from './caller-gate.js';
-import {ConfigControl} from './config/config-control.js';
+import {RequestDispatcher} from './request-dispatcher.js';
+import {ConfigController} from './config/config-controller.js';
 import {EntryBoard} from './entry-board.js';
-import type {RunParts} from './generation/generation-run.js';
-import {QuarantineWatch} from './generation/quarantine-watch.js';
+import type {GenerationDeps} from './generation/generation-run.js';
+import {QuarantineSync} from './generation/quarantine-sync.js';
 import {GenerationService} from './generation/generation-service.js';
-import {OwnVmWatch} from './links/membership-own-vm.js';
+import {OwnVmWatch} from './links/own-vm-watch.js';
 import {LoadController} from './load-controller.js';
 import {PeerSession} from './links/peer-session.js';
 import {PlainService} from './calls/plain-service.js';
@@ -54,7 +54,7 @@
   readonly store: ObjectStore;
   readonly vmList: VmList;
   /** Answers that have not wholly left for their callers. */
-  readonly countOpenAnswers: () => number;
+  readonly countPendingResponses: () => number;
   /** Called once a drain has ended and all work is done. */
   readonly onDrained: () => void;
 }
@@ -71,9 +71,9 @@
   private readonly links: AgentLinks;
   private readonly loadController: LoadController;
   private readonly generations: GenerationService;
-  private readonly gate: CallerGate;
-  private readonly config: ConfigControl;
-  private readonly quarantineWatch: QuarantineWatch;
+  private readonly gate: RequestDispatcher;
+  private readonly config: ConfigController;
+  private readonly quarantineWatch: QuarantineSync;
   private readonly drainer: DrainController;
 
   constructor(private readonly options: EntryOptions) {
@@ -91,7 +91,7 @@
     this.directory = new VmDirectory({...options, board});
     const {vm, dataCentre, site} = options.settings;
     const self = {vm, dataCentre};
-    this.config = new ConfigControl({
+    this.config = new ConfigController({
       ...options,
       ...{board, router, hello, self, site},
     });
@@ -112,12 +112,12 @@
     });
     this.gate = this.createGate(parts);
     const {quarantine} = this;
-    this.quarantineWatch = new QuarantineWatch({...options, quarantine});
+    this.quarantineWatch = new QuarantineSync({...options, quarantine});
     this.drainer = this.createDrainer();
     new OwnVmWatch({
       board,
       vm: options.settings.vm,
-      onLeaving: () => this.drain(),
+      onVmLeaving: () => this.drain(),
     }).open();
     this.board.load.subscribe((load) => this.admission.resize(load));
     this.board.config.subscribe((inForce) => {
@@ -126,7 +126,7 @@
   }
 
   /** What callers are served by. */
-  get callers(): CallerHandler {
+  get callerHandler(): CallerHandler {
     return this.gate;
   }
 
@@ -159,12 +159,12 @@
       dataCentre: settings.dataCentre,
       incarnation: this.incarnation,
       ready: this.isReady(),
-      leaving: this.board.leaving.get(),
+      leaving: this.board.draining.get(),
       configVersion: this.board.config.get().extract()?.version ?? 0,
       configAgeMs: this.configAgeMs(),
       running: this.countRunning(),
       peers: this.links.statuses(),
-      subscribers: this.config.reports(),
+      subscribers: this.config.subscriberStatuses(),
     };
   }
 
@@ -174,7 +174,7 @@
   }
 
   isReady(): boolean {
-    return !this.board.leaving.get() && this.board.config.get().isJust();
+    return !this.board.draining.get() && this.board.config.get().isJust();
   }
 
   metrics(): Promise<string> {
@@ -186,10 +186,10 @@
   }
 
   private createDrainer(): DrainController {
-    const {countOpenAnswers} = this.options;
+    const {countPendingResponses: countOpenAnswers} = this.options;
     return new DrainController({
       ...this.options,
-      draining: this.board.leaving,
+      draining: this.board.draining,
       limits: ENTRY_DRAIN_LIMITS,
       work: {
         countRunning: () => this.countRunning() + countOpenAnswers(),
@@ -203,7 +203,7 @@
     return this.generations.countRunning() + this.gate.countRunning();
   }
 
-  private createParts(): RunParts {
+  private createParts(): GenerationDeps {
     const {clock, random, metrics, settings} = this.options;
     const failures = new OutlierDetector({clock});
     return {
@@ -219,15 +219,15 @@
     };
   }
 
-  private createGate(parts: RunParts): CallerGate {
-    return new CallerGate({
+  private createGate(parts: GenerationDeps): RequestDispatcher {
+    return new RequestDispatcher({
       ...parts,
       board: this.board,
       admission: this.admission,
       generations: this.generations,
       plain: new PlainService(parts),
       bookings: new BookingService({
-        parts,
+        callDeps: parts,
         claims: new GroupedClaims({
           ...this.options,
           writeIntervalMs: CLAIM_WRITE_INTERVAL_MS,
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -31,12 +31,12 @@
   REPORT_ROUND_TRIP_MS,
 } from '../../core/routing/index.js';
 import {
-  AGENT_ANNOUNCE_MS,
-  AGENT_CONFIG_SPREAD_MS,
+  AGENT_CONFIG_ANNOUNCE_PERIOD_MS,
+  AGENT_CONFIG_JITTER_MS,
   MAX_PENDING_CANCELS,
 } from '../consts.js';
 import type {AttemptLink} from '../generation/attempt-link.js';
-import type {AgentConfig, LinkHandler} from './link-handler.js';
+import type {AgentConfigSource, LinkHandler} from './link-handler.js';
 
 /** Speaks to one agent and keeps the view of its target. */
 export class AgentLink implements AttemptLink, ConnectionListener {
@@ -74,7 +74,7 @@
       clock: Clock;
       random: RandomSource;
       metrics: Metrics;
-      config: AgentConfig;
+      config: AgentConfigSource;
     },
   ) {
     const {hello, clock, random} = options;
@@ -96,7 +96,7 @@
   }
 
   /** Takes over what the deployment weighs in recovery. */
-  setWeigh(weigh: RecoveryGoal): void {
+  setRecoveryGoal(weigh: RecoveryGoal): void {
     this.busyGaps.setBounds(BUSY_BOUNDS[weigh]);
   }
 
@@ -118,18 +118,18 @@
   }
 
   /** Tells the agent the configuration when that is due. */
-  offerConfig(): void {
+  sendConfigIfDue(): void {
     if (!this.client.isReady() || this.heartbeat === undefined) return;
     const {clock, config, random} = this.options;
     const nowMs = clock.now();
-    const held = config.held();
+    const held = config.latest();
     if (this.offeredVersion !== held.version) {
       // Several entries may be about to tell; the first one is enough.
       this.offeredVersion = held.version;
-      this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_SPREAD_MS);
+      this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_JITTER_MS);
     }
     if (nowMs < this.configDueAtMs) return;
-    this.configDueAtMs = nowMs + AGENT_ANNOUNCE_MS;
+    this.configDueAtMs = nowMs + AGENT_CONFIG_ANNOUNCE_PERIOD_MS;
     const {version} = held;
     const value = this.configVersion < version ? held.value : null;
     const ageMs = config.ageMs();
@@ -137,7 +137,7 @@
   }
 
   /** Whether the agent listens where a record says. */
-  isAt({address, peerPort}: VmRecord): boolean {
+  hasAddress({address, peerPort}: VmRecord): boolean {
     return this.record.address === address && this.record.peerPort === peerPort;
   }
 
@@ -192,7 +192,7 @@
   }
 
   /** Sends a message that needs no answer. */
-  tell(message: Message): void {
+  send(message: Message): void {
     if (this.client.isReady()) {
       this.client.send(message);
       return;
@@ -225,7 +225,7 @@
   private checkQuiet(silentMs: number, quietMs: number): void {
     if (this.quiet || silentMs < quietMs) return;
     this.quiet = true;
-    for (const handler of [...this.handlers.values()]) handler.onQuiet?.();
+    for (const handler of [...this.handlers.values()]) handler.onHedgeDue?.();
   }
 
   private silentForMs(busy: boolean): number {
@@ -236,7 +236,7 @@
   }
 
   /** Starts the measure of silence anew, after a pause of this process. */
-  forgiveSilence(): void {
+  resetSilence(): void {
     this.heardAtMs = this.options.clock.now();
   }
 
@@ -276,7 +276,7 @@
         this.take(message.callId)?.onReply?.(message);
         return;
       case MessageType.CONFIG:
-        this.options.config.takeFromAgent(message, message.ageMs);
+        this.options.config.receiveFromAgent(message, message.ageMs);
         return;
       case MessageType.KEY_STATE:
         this.take(message.callId)?.onKeyState?.(message);
@@ -316,7 +316,7 @@
     this.options.metrics.count(CounterName.HEARTBEATS);
     if (beat.leaving) this.tellLeave();
     if (!beat.leaving || wasLeaving) return;
-    for (const handler of [...this.handlers.values()]) handler.onLeaving?.();
+    for (const handler of [...this.handlers.values()]) handler.onDraining?.();
   }
 
   private isLeaving(): boolean {
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -24,14 +24,14 @@
   /** The agent is gone or silent; no other word comes. */
   onLost(reason: RetryReason): void;
   /** The agent has begun to leave. */
-  onLeaving?(): void;
+  onDraining?(): void;
   /** The agent has been silent for a while, but is not suspected yet. */
-  onQuiet?(): void;
+  onHedgeDue?(): void;
 }
 
 /** The configuration that an entry shares with its agents. */
-export interface AgentConfig {
-  held(): ConfigUpdate;
+export interface AgentConfigSource {
+  latest(): ConfigUpdate;
   ageMs(): number;
-  takeFromAgent(news: ConfigUpdate, ageMs: number): void;
+  receiveFromAgent(news: ConfigUpdate, ageMs: number): void;
 }
