--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -271,7 +271,8 @@
   private recordUnresponsive({target, targetWork}: CallAttempt): void {
     this.poisonDetector.recordUnresponsive({
       target,
-      startedMs: targetWork.startedAtMs});
+      startedMs: targetWork.startedAtMs,
+    });
   }
 
   private stop(): void {
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -93,7 +93,7 @@
     const incarnation = incarnationOf(target.record);
     const key = `${request} ${incarnation}`;
     if (this.diagnoses.has(key) || this.isAttributed(loss)) return;
-    ledger.recordLoss({request, incarnation: life: incarnation});
+    ledger.recordLoss({request, incarnation});
     this.log('loss held against request', loss, {
       held: ledger.incarnationsOf(request).size,
     });
@@ -227,7 +227,10 @@
   }
 
   private attribute({request, clientAccount, target}: RequestLoss): void {
-    this.options.ledger.confirm({request, incarnation: incarnationOf(target.record)});
+    this.options.ledger.confirm({
+      request,
+      incarnation: incarnationOf(target.record),
+    });
     const targets = this.attributed.get(request)?.targets ?? new Set<Target>();
     this.attributed.set(request, {clientAccount, targets: targets.add(target)});
     dropOldest({entries: this.attributed, maxSize: MAX_ATTRIBUTED_REQUESTS});
--- a/src/direct/poison/loss-sync.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -152,7 +152,9 @@
     for (const resolve of this.flushWaiters.splice(0)) resolve();
   }
 
-  private applySnapshot(items: ReadonlyArray<SourceItem<RecordedLosses>>): void {
+  private applySnapshot(
+    items: ReadonlyArray<SourceItem<RecordedLosses>>,
+  ): void {
     const {vm, ledger} = this.options;
     const present = new Set(items.map(({name}) => name));
     for (const name of ledger.knownEntries) {
--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -81,7 +81,9 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  private applySnapshot(items: ReadonlyArray<SourceItem<QuarantineRecord>>): void {
+  private applySnapshot(
+    items: ReadonlyArray<SourceItem<QuarantineRecord>>,
+  ): void {
     const present = new Set(items.map(({name}) => name));
     for (const name of [...this.stored]) {
       if (!present.has(name)) this.removeStored(name);
@@ -119,7 +121,9 @@
     culprit: QuarantineRecord,
   ): Promise<void> {
     const {records} = this.options;
-    await this.retryUntilWritten(() => records.createIfAbsent(fingerprint, culprit));
+    await this.retryUntilWritten(() =>
+      records.createIfAbsent(fingerprint, culprit),
+    );
     this.stored.add(fingerprint);
     await this.removeAfter(fingerprint, QUARANTINE_MS);
   }
--- a/src/direct/streams/stream-attempt.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -155,7 +155,7 @@
       req: toTargetRequest({
         work,
         leftMs: work.deadlineAtMs - ctx.clock.now(),
-        priority: enginePriority({route, account, isResumed: isUnderWay: hasDelivered}),
+        priority: enginePriority({route, account, isResumed: hasDelivered}),
         lastEventId: lastEventId?.toString(),
         copyTo: this.copy?.holder.record.address,
         copyFrom,
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -120,7 +120,9 @@
     const need = toGenerationNeed(req, service);
     if (need === undefined) return false;
     const leftMs = deadlineAtMs - this.ctx.clock.now();
-    return this.ctx.streamDurations.of(service.name).cannotFinish({need, leftMs});
+    return this.ctx.streamDurations
+      .of(service.name)
+      .cannotFinish({need, leftMs});
   }
 
   private refuse(reason: RefusalReason): void {
@@ -314,7 +316,11 @@
   private recordDurations(): void {
     const {req, service} = this.work;
     const need = toGenerationNeed(req, service);
-    if (need === undefined || need.receivedEvents > 0 || this.promptAttempts > 1)
+    if (
+      need === undefined ||
+      need.receivedEvents > 0 ||
+      this.promptAttempts > 1
+    )
       return;
     const totalMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -66,7 +66,10 @@
     return chooseEngine({
       ...this.engineChoice(),
       excluded: new Set([runner.id]),
-      avoidedDataCentres: new Set([...this.avoidedDataCentres, runner.record.dataCentre]),
+      avoidedDataCentres: new Set([
+        ...this.avoidedDataCentres,
+        runner.record.dataCentre,
+      ]),
       preferRecentlySeen: true,
     });
   }
@@ -95,10 +98,10 @@
     if (isolatedFingerprint === undefined)
       return shortlistEngines(this.engineChoice(), SHORTLIST_SIZE);
     const all = shortlistEngines(this.engineChoice(), Number.POSITIVE_INFINITY);
-    return rankByFingerprint(isolatedFingerprint, all.filter(isAvailable)).slice(
-      0,
-      SHORTLIST_SIZE,
-    );
+    return rankByFingerprint(
+      isolatedFingerprint,
+      all.filter(isAvailable),
+    ).slice(0, SHORTLIST_SIZE);
   }
 
   private engineChoice(): EngineQuery {
