--- a/src/core/admission/capacity.ts
+++ b/src/core/admission/capacity.ts
@@ -1,41 +1,42 @@
-/** The share of the targets' capacity that falls to one entry. */
+/** One entry's share of the capacity of a service's targets. */
 import type {TargetView} from '../routing/types.js';
 import {estimateLoad} from '../routing/estimate-load.js';
 import {DEFAULT_CAPACITY} from './consts.js';
 
-/** What an entry knows of a service's targets. */
+/** Input of `computeSlots`. */
 export interface CapacityQuery {
   /** Views of the service's targets. */
   readonly views: readonly TargetView[];
-  /** Entries that send work to the same targets; at least 1. */
+  /** Number of entries that send work to these targets; at least 1. */
   readonly entryCount: number;
 }
 
 /**
- * Gives the requests that this entry may have at the targets: its fair part,
- * and its part of what the reports show to be idle beyond that. Where
- * requests wait at the targets it is the fair part alone.
+ * Computes how many requests this entry may have in flight at the targets:
+ * its fair share of the capacity, or its own requests plus a share of the
+ * idle capacity where that is more. While the targets have no idle capacity,
+ * it is the fair share alone.
  *
  * @example
- * resolveSlots({views, sharers: 2});
+ * computeSlots({views, entryCount: 2});
  */
 export function computeSlots(query: CapacityQuery): number {
-  const {entryCount: sharers} = query;
+  const {entryCount} = query;
   const views = query.views.filter((view) => view.usable);
   if (views.length === 0) return 0;
   const total = sum(views, capacityOf);
-  const own = sum(views, (view) => view.ownInFlight);
+  const ownInFlight = sum(views, (view) => view.ownInFlight);
   const used = sum(views, estimateLoad);
-  const fair = total / sharers;
+  const fairShare = total / entryCount;
   const idle = Math.max(0, total - used);
-  const stretched = idle > 0 ? own + idle / sharers : 0;
-  const slots = Math.min(total, Math.max(fair, stretched));
+  const withIdleShare = idle > 0 ? ownInFlight + idle / entryCount : 0;
+  const slots = Math.min(total, Math.max(fairShare, withIdleShare));
   return Math.max(1, Math.floor(slots));
 }
 
 /**
- * Splits a client account's limit over the live entries, rounded up so that
- * every entry lets something in.
+ * Splits a client account's limit between the live entries, rounded up so
+ * that every entry admits at least one request.
  *
  * @example
  * splitLimit({limit: 64, liveEntries: 3}); // 22
--- a/src/core/admission/consts.ts
+++ b/src/core/admission/consts.ts
@@ -1,35 +1,38 @@
-/** Share of a service's slots that new work leaves free for resumes. */
+/** Share of a service's slots that is reserved for resumed requests. */
 export const RESUME_SHARE = 0.1;
 
-/** Slots of a target whose capacity is not known. */
+/** Assumed slots of a target that has not reported its capacity. */
 export const DEFAULT_CAPACITY = 8;
 
-/** Time for which a slot stands idle between two requests, in milliseconds. */
+/** Time for which a slot is idle between two requests, in milliseconds. */
 export const SLOT_TURNAROUND_MS = 20;
 
-/** Time over which the drain of a queue is remembered, in milliseconds. */
+/** Time constant of the decaying average of a drain rate, in milliseconds. */
 export const DRAIN_RATE_DECAY_MS = 1_000;
 
-/** Time without any slot after which waiting work is refused. */
+/** Time without any slot until waiting requests are refused, in milliseconds. */
 export const NO_SLOTS_GRACE_MS = 5_000;
 
-/** Shortest time after which a refused caller is asked to come back. */
+/** Shortest Retry-After of a refusal before jitter, in milliseconds. */
 export const MIN_RETRY_AFTER_MS = 500;
 
-/** Longest time after which a refused caller is asked to come back. */
+/** Longest Retry-After of a refusal before jitter, in milliseconds. */
 export const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Retry-After is drawn from this share around its middle. */
+/** Random jitter of Retry-After, as a share of it in both directions. */
 export const RETRY_AFTER_JITTER = 0.25;
 
-/** Weight of the newest sample in a running mean. */
+/** Weight of the newest sample in an exponentially weighted mean. */
 export const SAMPLE_WEIGHT = 0.1;
 
-/** Time without samples after which the shortest time halves, each time. */
+/**
+ * Half-life of the shortest observed time, in milliseconds; the decay begins
+ * after one half-life without a sample.
+ */
 export const SHORTEST_HALF_LIFE_MS = 10_000;
 
-/** Deviations that a careful estimate adds to the mean. */
+/** Mean deviations that a conservative estimate adds to the mean. */
 export const CONSERVATIVE_DEVIATIONS = 2;
 
-/** Share of the way by which a longer sample raises the shortest time. */
+/** Share of the difference by which a longer sample raises the shortest time. */
 export const SHORTEST_RISE = 0.05;
--- a/src/core/admission/drain-rate.ts
+++ b/src/core/admission/drain-rate.ts
@@ -1,49 +1,56 @@
-/** How fast a queue drains, as observed while something waits in it. */
+/** The observed rate at which requests leave a queue. */
 import {DRAIN_RATE_DECAY_MS} from './consts.js';
 
 /**
- * Measures the time between two requests that leave a queue. Times without
- * any waiting request are left out, and old ones count ever less.
+ * Measures the mean time between two departures from a queue, as a decaying
+ * average. Periods in which the queue was empty do not count.
  *
  * @example
- * rate.noteWaiting(100);
- * rate.noteDeparture({nowMs: 120, stillWaiting: true});
+ * rate.recordWaiting(100);
+ * rate.recordDeparture({nowMs: 120, stillWaiting: true});
  * rate.intervalMs(120); // 20
  */
 export class DrainRate {
   private busyMs = 0;
   private departures = 0;
-  private departedAtMs = 0;
-  /** Last departure, or the time at which the queue began to fill. */
-  private sinceMs: number | undefined;
+  private lastDepartureAtMs = 0;
+  /** Last departure or begin of waiting; undefined while the queue is empty. */
+  private intervalStartMs: number | undefined;
 
-  /** A request has begun to wait. */
+  /** Records that a request waits in the queue. */
   recordWaiting(nowMs: number): void {
-    this.sinceMs ??= nowMs;
+    this.intervalStartMs ??= nowMs;
   }
 
-  /** A request that waited has left for a slot. */
+  /** Records that a waiting request got a slot. */
   recordDeparture(options: {nowMs: number; stillWaiting: boolean}): void {
     const {nowMs, stillWaiting} = options;
-    if (this.sinceMs === undefined) return;
-    // One long gap is forgotten as fast as many short ones.
-    const tookMs = Math.min(nowMs - this.sinceMs, DRAIN_RATE_DECAY_MS);
-    this.departedAtMs = nowMs;
-    const kept = Math.exp(-tookMs / DRAIN_RATE_DECAY_MS);
-    this.busyMs = this.busyMs * kept + tookMs;
-    this.departures = this.departures * kept + 1;
-    this.sinceMs = stillWaiting ? nowMs : undefined;
+    if (this.intervalStartMs === undefined) return;
+    // The limit lets the weight of one long interval decay as fast as that of
+    // many short ones.
+    const elapsedMs = Math.min(
+      nowMs - this.intervalStartMs,
+      DRAIN_RATE_DECAY_MS,
+    );
+    this.lastDepartureAtMs = nowMs;
+    const decay = Math.exp(-elapsedMs / DRAIN_RATE_DECAY_MS);
+    this.busyMs = this.busyMs * decay + elapsedMs;
+    this.departures = this.departures * decay + 1;
+    this.intervalStartMs = stillWaiting ? nowMs : undefined;
   }
 
-  /** Nothing waits any more, though none has left for a slot. */
+  /** Records that the queue became empty without a departure to a slot. */
   recordEmpty(): void {
-    this.sinceMs = undefined;
+    this.intervalStartMs = undefined;
   }
 
-  /** Time between two departures; 0 where there were none of late. */
+  /**
+   * Mean time between two departures, in milliseconds; 0 without recent
+   * departures.
+   */
   intervalMs(nowMs: number): number {
-    const idle = this.sinceMs === undefined;
-    if (idle && nowMs - this.departedAtMs > DRAIN_RATE_DECAY_MS) return 0;
+    const idle = this.intervalStartMs === undefined;
+    if (idle && nowMs - this.lastDepartureAtMs > DRAIN_RATE_DECAY_MS) return 0;
     return this.departures === 0 ? 0 : this.busyMs / this.departures;
   }
 }
--- a/src/core/admission/fair-admission.ts
+++ b/src/core/admission/fair-admission.ts
@@ -20,8 +20,9 @@
 type Settle = (result: Result<AdmissionTicket, Refusal>) => void;
 
 /**
- * Shares each service's slots between client accounts by weight, priority
- * class first, with one bounded queue for all services of the entry.
+ * Admits requests by priority class, and within a class shares each service's
+ * slots between client accounts by weight. The number of waiting requests of
+ * all services together is bounded.
  *
  * @example
  * const admission = new FairAdmission({clock, random});
@@ -29,20 +30,20 @@
  */
 export class FairAdmission implements Admission {
   private readonly pools = new Map<string, ServicePool>();
-  private readonly open = new Map<string, number>();
+  private readonly openRequests = new Map<string, number>();
   private queueLength: number = DEFAULT_LIMITS.queueLength;
   private liveEntries = 1;
 
   constructor(private readonly options: {clock: Clock; random: RandomSource}) {}
 
-  /** Requests that wait, over all services. */
+  /** Waiting requests of all services. */
   get waiting(): number {
     let waiting = 0;
     for (const pool of this.pools.values()) waiting += pool.waiting;
     return waiting;
   }
 
-  /** Requests of a service that were let in and have not ended. */
+  /** Admitted requests of a service that have not ended. */
   countRunning(service: string): number {
     return this.pools.get(service)?.running ?? 0;
   }
@@ -60,22 +61,22 @@
 
   admit(query: AdmissionQuery): ResultAsync<AdmissionTicket, Refusal> {
     return new ResultAsync(
-      new Promise((resolve) => this.decide(query, resolve)),
+      new Promise((resolve) => this.admitOrRefuse(query, resolve)),
     );
   }
 
-  private decide(query: AdmissionQuery, settle: Settle): void {
+  private admitOrRefuse(query: AdmissionQuery, settle: Settle): void {
     const pool = this.poolOf(query.service.name);
     const account = query.clientAccount.name;
-    const open = this.open.get(account) ?? 0;
-    if (open >= this.limitOf(query)) {
-      settle(err(accountLimit({query, open, pool})));
+    const open = this.openRequests.get(account) ?? 0;
+    if (open >= this.concurrencyLimit(query)) {
+      settle(err(accountLimitRefusal({query, open, pool})));
       return;
     }
     const request = this.createRequest({query, pool, settle});
-    this.open.set(account, open + 1);
+    this.openRequests.set(account, open + 1);
     if (query.signal?.aborted === true) {
-      request.onRefuse(callerGone(request));
+      request.onRefuse(callerGoneRefusal(request));
       return;
     }
     if (request.kind === WorkKind.RUNNING) {
@@ -87,15 +88,18 @@
       pool.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
-    if (!this.makeRoom(pool, request)) {
+    if (!this.makeQueueSpace(pool, request)) {
       pool.refuse(request, RefusalReason.OVERLOADED);
       return;
     }
     pool.submit(request);
   }
 
-  /** Resumes are bound by the whole limit: their entry may have just died. */
-  private limitOf(query: AdmissionQuery): number {
+  /**
+   * Resumed requests may use the whole limit, since the entry that served them
+   * may have just failed.
+   */
+  private concurrencyLimit(query: AdmissionQuery): number {
     const limit = query.clientAccount.maxConcurrent;
     if ((query.kind ?? WorkKind.NEW) !== WorkKind.NEW) return limit;
     return splitLimit({limit, liveEntries: this.liveEntries});
@@ -108,7 +112,7 @@
   }): PoolRequest {
     const {query, pool, settle} = options;
     const {clientAccount, service, deadlineAtMs, maxTokens, signal} = query;
-    const leave = (): void => this.withdraw(pool, request);
+    const onAbort = (): void => this.cancelWaiting(pool, request);
     const request: PoolRequest = {
       flow: clientAccount.name,
       weight: clientAccount.weight,
@@ -118,44 +122,47 @@
       deadlineAtMs,
       startedAtMs: 0,
       onStart: () => {
-        signal?.removeEventListener('abort', leave);
+        signal?.removeEventListener('abort', onAbort);
         settle(ok(this.createTicket(pool, request)));
       },
       onRefuse: (refusal) => {
-        signal?.removeEventListener('abort', leave);
-        this.close(request);
+        signal?.removeEventListener('abort', onAbort);
+        this.removeOpenRequest(request);
         settle(err(refusal));
       },
     };
-    signal?.addEventListener('abort', leave);
+    signal?.addEventListener('abort', onAbort);
     return request;
   }
 
-  private withdraw(pool: ServicePool, request: PoolRequest): void {
-    if (pool.remove(request)) request.onRefuse(callerGone(request));
+  private cancelWaiting(pool: ServicePool, request: PoolRequest): void {
+    if (pool.remove(request)) request.onRefuse(callerGoneRefusal(request));
   }
 
-  /** Makes place in a full queue; false where the newcomer is the last. */
-  private makeRoom(pool: ServicePool, request: PoolRequest): boolean {
+  /**
+   * Evicts the lowest-ranked request from a full queue; false if the new
+   * request ranks lowest itself.
+   */
+  private makeQueueSpace(pool: ServicePool, request: PoolRequest): boolean {
     if (pool.canStartNow(request) || this.waiting < this.queueLength)
       return true;
-    const place = pool.rankOf(request);
-    const last = this.lastInLine();
-    if (last === undefined || !goesBefore(place, last.place)) return false;
-    last.pool.evict(last.place.request);
+    const rank = pool.rankOf(request);
+    const lowest = this.lowestRank();
+    if (lowest === undefined || !ranksAbove(rank, lowest.rank)) return false;
+    lowest.pool.evict(lowest.rank.request);
     return true;
   }
 
-  private lastInLine(): {pool: ServicePool; place: QueueRank} | undefined {
-    let last: {pool: ServicePool; place: QueueRank} | undefined;
+  private lowestRank(): {pool: ServicePool; rank: QueueRank} | undefined {
+    let lowest: {pool: ServicePool; rank: QueueRank} | undefined;
     for (const pool of this.pools.values()) {
-      const place = pool.lowestRank();
-      if (place === undefined) continue;
-      if (last === undefined || goesBefore(last.place, place)) {
-        last = {pool, place};
+      const rank = pool.lowestRank();
+      if (rank === undefined) continue;
+      if (lowest === undefined || ranksAbove(lowest.rank, rank)) {
+        lowest = {pool, rank};
       }
     }
-    return last;
+    return lowest;
   }
 
   private createTicket(
@@ -167,16 +174,16 @@
       release: (outcome = TicketOutcome.SERVED) => {
         if (released) return;
         released = true;
-        this.close(request);
+        this.removeOpenRequest(request);
         pool.release(request, outcome);
       },
     };
   }
 
-  private close(request: PoolRequest): void {
-    const open = (this.open.get(request.flow) ?? 0) - 1;
-    if (open > 0) this.open.set(request.flow, open);
-    else this.open.delete(request.flow);
+  private removeOpenRequest(request: PoolRequest): void {
+    const open = (this.openRequests.get(request.flow) ?? 0) - 1;
+    if (open > 0) this.openRequests.set(request.flow, open);
+    else this.openRequests.delete(request.flow);
   }
 
   private poolOf(service: string): ServicePool {
@@ -189,13 +196,13 @@
   }
 }
 
-/** Whether `a` keeps its place in the queue rather than `b`. */
-function goesBefore(a: QueueRank, b: QueueRank): boolean {
+/** Whether `b` is evicted from a full queue before `a`. */
+function ranksAbove(a: QueueRank, b: QueueRank): boolean {
   if (a.lane !== b.lane) return a.lane < b.lane;
   return a.weightedLength < b.weightedLength;
 }
 
-function callerGone(request: PoolRequest): Refusal {
+function callerGoneRefusal(request: PoolRequest): Refusal {
   return {
     reason: RefusalReason.CALLER_GONE,
     ran: request.kind === WorkKind.NEW ? Ran.NO : Ran.UNKNOWN,
@@ -203,7 +210,7 @@
   };
 }
 
-function accountLimit(options: {
+function accountLimitRefusal(options: {
   query: AdmissionQuery;
   open: number;
   pool: ServicePool;
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -1,42 +1,42 @@
 /** Weighted fair queueing by virtual start times. */
 
-/** What the queue needs to know of an item. */
+/** An item of the queue. */
 export interface FairItem {
-  /** The flow between which the queue is fair: a client account. */
+  /** Flow that the item belongs to; here a client account. */
   readonly flow: string;
-  /** Share of the flow, relative to the others. */
+  /** Weight of the flow, relative to other flows. */
   readonly weight: number;
-  /** Service that the item takes, in any one unit. */
+  /** Cost of serving the item, in a unit common to all items. */
   readonly cost: number;
 }
 
-/** An item with its place in the queue. */
+/** An item with its position in the queue. */
 export interface QueuedItem<T> {
   readonly item: T;
-  /** Items leave by rising start time. */
+  /** Virtual start time; items are served in ascending order. */
   readonly startTime: number;
-  /** Breaks ties: first come, first served. */
+  /** Sequence number of arrival, which breaks ties. */
   readonly order: number;
 }
 
-/** A flow with the pressure that its waiting items put on the queue. */
+/** The flow with the most waiting items for its weight. */
 export interface LongestFlow<T> {
-  /** Waiting items over the flow's weight. */
+  /** Number of waiting items divided by the flow's weight. */
   readonly weightedLength: number;
-  /** The item that would leave last. */
+  /** Last item of the flow. */
   readonly last: T;
 }
 
 interface Flow<T> {
-  /** Virtual time at which all that has left the queue is served. */
+  /** Virtual finish time of the items that were taken out. */
   finishTime: number;
   queued: Array<QueuedItem<T>>;
 }
 
 /**
- * Start-time fair queueing: each flow's items leave in order of arrival, and
- * flows that wait are served in proportion to their weights. A flow that was
- * idle starts at the present virtual time; it has no claim to the past.
+ * Start-time fair queueing: the items of a flow leave in order of arrival, and
+ * backlogged flows are served in proportion to their weights. A flow that was
+ * idle starts at the current virtual time and gets no credit for idle time.
  *
  * @example
  * const queue = new FairQueue<FairItem>();
@@ -53,38 +53,38 @@
     return this.count;
   }
 
-  /** Items of one flow that wait. */
+  /** Number of waiting items of a flow. */
   countOf(flow: string): number {
     return this.flows.get(flow)?.queued.length ?? 0;
   }
 
   push(item: T): void {
-    const flow = this.openFlow(item.flow);
+    const flow = this.getOrCreateFlow(item.flow);
     const startTime = this.nextStartTime(flow);
     flow.queued.push({item, startTime, order: this.nextOrder++});
     this.count++;
   }
 
-  /** The item that leaves next. */
+  /** Returns the next item without removing it. */
   peek(): T | undefined {
     return this.first()?.item;
   }
 
-  /** Takes out the item that leaves next. */
+  /** Removes and returns the next item. */
   shift(): T | undefined {
     const first = this.first();
     if (first === undefined) return undefined;
     const {item, startTime} = first;
-    const flow = this.openFlow(item.flow);
+    const flow = this.getOrCreateFlow(item.flow);
     flow.queued.shift();
     flow.finishTime = startTime + item.cost / item.weight;
     this.virtualTime = Math.max(this.virtualTime, startTime);
     this.count--;
-    this.forgetIdle(item.flow, flow);
+    this.deleteIfIdle(item.flow, flow);
     return item;
   }
 
-  /** Takes out an item that is not served; its flow is not charged. */
+  /** Removes an item without serving it; its flow is not charged. */
   remove(item: T): boolean {
     const flow = this.flows.get(item.flow);
     const at = flow?.queued.findIndex((q) => q.item === item) ?? -1;
@@ -92,26 +92,27 @@
     const head = flow.queued[0]!.startTime;
     flow.queued.splice(at, 1);
     this.count--;
-    restart(flow, head);
-    this.forgetIdle(item.flow, flow);
+    reassignStartTimes(flow, head);
+    this.deleteIfIdle(item.flow, flow);
     return true;
   }
 
   /**
-   * Charges a flow for service beyond an item's cost, or gives back what it
-   * did not use where `cost` is negative.
+   * Charges a flow for service beyond an item's cost, or refunds it where
+   * `cost` is negative.
    */
   charge(options: FairItem): void {
     const {weight, cost} = options;
-    const flow = this.openFlow(options.flow);
+    const flow = this.getOrCreateFlow(options.flow);
     const shift = cost / weight;
     flow.finishTime = Math.max(0, flow.finishTime + shift);
     const head = flow.queued[0];
-    if (head !== undefined) restart(flow, Math.max(0, head.startTime + shift));
-    this.forgetIdle(options.flow, flow);
+    if (head !== undefined)
+      reassignStartTimes(flow, Math.max(0, head.startTime + shift));
+    this.deleteIfIdle(options.flow, flow);
   }
 
-  /** Items that would leave before a new one of this flow. */
+  /** Number of items that would be served before a new item of this flow. */
   countAhead(flow: string): number {
     const known = this.flows.get(flow);
     const startTime =
@@ -123,7 +124,7 @@
     return before;
   }
 
-  /** The flow that takes most of the queue for its weight. */
+  /** The flow with the most waiting items for its weight. */
   longestFlow(): LongestFlow<T> | undefined {
     let longest: LongestFlow<T> | undefined;
     for (const {queued} of this.flows.values()) {
@@ -136,7 +137,7 @@
     return longest;
   }
 
-  /** All items in the order in which they leave. */
+  /** All items in the order of service. */
   ordered(): T[] {
     const all = [...this.flows.values()].flatMap((flow) => flow.queued);
     return all.sort(compare).map((queued) => queued.item);
@@ -152,7 +153,7 @@
     return first;
   }
 
-  private openFlow(name: string): Flow<T> {
+  private getOrCreateFlow(name: string): Flow<T> {
     let flow = this.flows.get(name);
     if (flow === undefined) {
       flow = {finishTime: this.virtualTime, queued: []};
@@ -167,14 +168,17 @@
     return last.startTime + last.item.cost / last.item.weight;
   }
 
-  private forgetIdle(name: string, flow: Flow<T>): void {
+  private deleteIfIdle(name: string, flow: Flow<T>): void {
     const idle = flow.queued.length === 0;
     if (idle && flow.finishTime <= this.virtualTime) this.flows.delete(name);
   }
 }
 
-/** Lines a flow's items up again behind a new start time. */
-function restart<T extends FairItem>(flow: Flow<T>, from: number): void {
+/** Recomputes the start times of a flow's items from a new first one. */
+function reassignStartTimes<T extends FairItem>(
+  flow: Flow<T>,
+  from: number,
+): void {
   let startTime = from;
   flow.queued = flow.queued.map(({item, order}) => {
     const queued = {item, order, startTime};
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,4 +1,4 @@
-/** Which requests are let in, wait or are refused. */
+/** Admission control: which requests are admitted, queued or refused. */
 export {computeSlots, splitLimit} from './capacity.js';
 export type {CapacityQuery} from './capacity.js';
 export {RESUME_SHARE} from './consts.js';
--- a/src/core/admission/retry-budget.ts
+++ b/src/core/admission/retry-budget.ts
@@ -1,31 +1,32 @@
-/** Bounds how many retries a service's first tries may cause. */
+/** Bounds the retries of a service in proportion to its first attempts. */
 import type {Clock} from '../clock/index.js';
 
-/** Time over which tries are counted, in milliseconds. */
+/** Sliding window in which attempts are counted, in milliseconds. */
 export const RETRY_WINDOW_MS = 10_000;
 
-/** Retries per window that are allowed however few first tries there are. */
+/** Retries per window that are allowed whatever the number of first attempts. */
 export const RETRY_FLOOR = 3;
 
-/** Slices of the window; the oldest slice is forgotten as a whole. */
+/** Slices of the window; counts expire one slice at a time. */
 const SLICES = 10;
 
 const SLICE_MS = RETRY_WINDOW_MS / SLICES;
 
 interface Slice {
   index: number;
-  firstTries: number;
+  firstAttempts: number;
   retries: number;
 }
 
 /**
  * The retry budget of one service. In each window there are at most `ratio`
- * retries per first try, or the floor where that is more.
+ * retries per first attempt plus the reserve, or the floor where that is
+ * more.
  *
  * @example
  * const budget = new RetryBudget({clock, ratio: 0.1});
- * budget.noteFirstTry();
- * if (budget.tryRetry()) sendAgain();
+ * budget.recordFirstAttempt();
+ * if (budget.tryTakeRetry()) retry();
  */
 export class RetryBudget {
   private ratio: number;
@@ -35,9 +36,9 @@
     private readonly options: {
       clock: Clock;
       ratio: number;
-      /** Retries in a window however few first tries there are. */
+      /** Least number of retries that are allowed in a window. */
       floor?: number;
-      /** Retries in a window beyond those that the ratio allows. */
+      /** Retries in a window in addition to those that the ratio allows. */
       reserve?: number;
     },
   ) {
@@ -48,18 +49,18 @@
     this.ratio = ratio;
   }
 
-  /** Counts a request that is sent for the first time. */
+  /** Counts the first attempt of a request. */
   recordFirstAttempt(): void {
-    this.current().firstTries++;
+    this.currentSlice().firstAttempts++;
   }
 
-  /** Takes one retry out of the budget; false where none is left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   tryTakeRetry(): boolean {
-    const slice = this.current();
-    const firstTries = sumOf(this.slices, (s) => s.firstTries);
+    const slice = this.currentSlice();
+    const firstAttempts = sumOf(this.slices, (s) => s.firstAttempts);
     const retries = sumOf(this.slices, (s) => s.retries);
     const floor = this.options.floor ?? RETRY_FLOOR;
-    const byRatio = Math.floor(this.ratio * firstTries);
+    const byRatio = Math.floor(this.ratio * firstAttempts);
     const reserve = this.options.reserve ?? 0;
     const allowed = Math.max(floor, byRatio + reserve);
     if (retries >= allowed) return false;
@@ -67,23 +68,23 @@
     return true;
   }
 
-  private current(): Slice {
+  private currentSlice(): Slice {
     const index = Math.floor(this.options.clock.now() / SLICE_MS);
     this.slices = this.slices.filter((s) => s.index > index - SLICES);
     const last = this.slices.at(-1);
     if (last?.index === index) return last;
-    const slice = {index, firstTries: 0, retries: 0};
+    const slice = {index, firstAttempts: 0, retries: 0};
     this.slices.push(slice);
     return slice;
   }
 }
 
 /**
- * The retry budgets of all services; every retry reason of a service draws
- * on the same one.
+ * The retry budgets of all services; retries of a service share one budget
+ * whatever their reason.
  *
  * @example
- * budgets.of(service).noteFirstTry();
+ * budgets.forService(service).recordFirstAttempt();
  */
 export class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -1,4 +1,4 @@
-/** The requests of one service at this entry: waiting and in flight. */
+/** The waiting and in-flight requests of one service at this entry. */
 import type {Clock, RandomSource} from '../clock/index.js';
 import {PriorityClass} from '../config/types.js';
 import type {Refusal} from '../errors/refusals.js';
@@ -16,18 +16,23 @@
   readonly kind: WorkKind;
   readonly priorityClass: PriorityClass;
   readonly deadlineAtMs: number;
-  /** Time of dispatch; 0 while it waits. */
+  /** Time of dispatch; 0 while the request waits. */
   startedAtMs: number;
-  /** The request is let in. */
+  /** Called when the request is admitted. */
   onStart(): void;
-  /** The request is refused; it is not in the pool any more. */
+  /** Called when the request is refused and no longer in the pool. */
   onRefuse(refusal: Refusal): void;
 }
 
-/** The request that gives way first when the queue is full. */
+/**
+ * Position of a request when the queue is full: requests in higher lanes, and
+ * then those with the higher weighted length, are evicted first.
+ */
 export interface QueueRank {
   readonly request: PoolRequest;
+  /** Index of the request's queue; lower lanes are served first. */
   readonly lane: number;
+  /** Waiting requests of the client account, divided by its weight. */
   readonly weightedLength: number;
 }
 
@@ -37,61 +42,61 @@
   PriorityClass.LOW,
 ];
 
-/** Resumes of a class go before its new work. */
+/** In each class, one lane for resumed requests goes before one for new ones. */
 const LANES_PER_CLASS = 2;
 
 /**
- * Decides which requests of a service start, wait or are refused. It holds
- * no request that cannot be answered by its deadline.
+ * Decides which requests of a service start, wait or are refused. Requests
+ * that are not expected to finish by their deadline are refused.
  *
  * @example
  * const pool = new ServicePool({clock, random});
  * pool.resize({slots: 16, resumeSlots: 1});
- * if (pool.canBeMet(request)) pool.offer(request);
+ * if (pool.canMeetDeadline(request)) pool.submit(request);
  */
 export class ServicePool {
   private readonly lanes: ReadonlyArray<FairQueue<PoolRequest>>;
   private readonly times = new ServiceTimeEstimator();
   private readonly drainRate = new DrainRate();
-  private readonly returns: RetryAfterSchedule;
+  private readonly retryAfterSchedule: RetryAfterSchedule;
   private slots = 0;
   private resumeSlots = 0;
-  /** Slots for new work when there last were any. */
-  private drainSlots = 1;
+  /** Slots for new requests when the service last had any slots. */
+  private newWorkSlots = 1;
   private inFlight = 0;
   private noSlotsSinceMs: number;
 
   constructor(private readonly options: {clock: Clock; random: RandomSource}) {
     const count = CLASSES.length * LANES_PER_CLASS;
     this.lanes = Array.from({length: count}, () => new FairQueue());
-    this.returns = new RetryAfterSchedule(options);
+    this.retryAfterSchedule = new RetryAfterSchedule(options);
     this.noSlotsSinceMs = options.clock.now();
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get waiting(): number {
     return this.lanes.reduce((sum, lane) => sum + lane.size, 0);
   }
 
-  /** Requests that were let in and have not ended. */
+  /** Number of admitted requests that have not ended. */
   get running(): number {
     return this.inFlight;
   }
 
-  /** Takes over new capacity and checks all that waits against it. */
+  /** Applies new capacity and refuses waiting requests that it cannot serve. */
   resize(options: {slots: number; resumeSlots: number}): void {
     const {slots, resumeSlots} = options;
     this.slots = slots;
     this.resumeSlots = resumeSlots;
     if (slots > 0) {
       this.noSlotsSinceMs = this.options.clock.now();
-      this.drainSlots = Math.max(1, slots - resumeSlots);
+      this.newWorkSlots = Math.max(1, slots - resumeSlots);
     }
     this.drain();
     this.refuseUnreachable();
   }
 
-  /** Whether a new request can be answered in time, as far as is known. */
+  /** Whether a new request can be expected to finish by its deadline. */
   canMeetDeadline(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
@@ -108,7 +113,7 @@
     return leftMs > 0 && waitMs + this.times.conservativeMs(size) <= leftMs;
   }
 
-  /** Starts a request or lets it wait; ask `canBeMet` first. */
+  /** Starts or queues a request; call `canMeetDeadline` first. */
   submit(request: PoolRequest): void {
     this.lanes[laneOf(request)]!.push(request);
     this.drain();
@@ -116,31 +121,31 @@
       this.drainRate.recordWaiting(this.options.clock.now());
   }
 
-  /** Counts a request that runs already. */
+  /** Counts a request that already runs at a target. */
   addRunning(request: PoolRequest): void {
     this.start(request);
   }
 
-  /** Takes a request out of the queue; false where it does not wait. */
+  /** Removes a request from the queue; false if it was not waiting. */
   remove(request: PoolRequest): boolean {
     const removed = this.lanes[laneOf(request)]!.remove(request);
     if (this.waiting === 0) this.drainRate.recordEmpty();
     return removed;
   }
 
-  /** Refuses a request that waits, for want of room in the queue. */
+  /** Refuses a waiting request because the queue is full. */
   evict(request: PoolRequest): void {
     if (this.remove(request)) this.refuse(request, RefusalReason.OVERLOADED);
   }
 
-  /** Frees the slot of a request that has ended. */
+  /** Releases the slot of a request that has ended. */
   release(request: PoolRequest, outcome: TicketOutcome): void {
     this.inFlight--;
-    this.learn(request, outcome);
+    this.recordServiceTime(request, outcome);
     this.drain();
   }
 
-  /** The request that gives way first; undefined where none has to. */
+  /** The new request to evict first; undefined if none waits. */
   lowestRank(): QueueRank | undefined {
     for (let lane = this.lanes.length - 1; lane >= 0; lane--) {
       if (isResumeLane(lane)) continue;
@@ -155,33 +160,33 @@
     return undefined;
   }
 
-  /** What a request would be in the queue, if it waited. */
+  /** The rank that a request would have if it waited. */
   rankOf(request: PoolRequest): QueueRank {
     const lane = laneOf(request);
     const count = this.lanes[lane]!.countOf(request.flow) + 1;
     return {request, lane, weightedLength: count / request.weight};
   }
 
-  /** Whether a request would start at once. */
+  /** Whether a request would start immediately. */
   canStartNow(request: PoolRequest): boolean {
     const lane = laneOf(request);
     const ahead = this.lanes.slice(0, lane + 1).some((q) => q.size > 0);
-    return !ahead && this.inFlight < this.slotsOf(lane);
+    return !ahead && this.inFlight < this.slotLimit(lane);
   }
 
-  /** Time after which a refused caller should come back. */
+  /** Retry-After for the next refusal, in milliseconds. */
   nextRetryAfterMs(): number {
     const intervalMs = this.intervalMs();
     const waitMs = this.waiting * intervalMs;
     const nowMs = this.options.clock.now();
-    return this.returns.next({nowMs, waitMs, intervalMs});
+    return this.retryAfterSchedule.next({nowMs, waitMs, intervalMs});
   }
 
-  /** Tells a request's caller that it is refused, and when to come back. */
+  /** Refuses a request with a reason and a time to retry after. */
   refuse(request: PoolRequest, reason: RefusalReason): void {
     request.onRefuse({
       reason,
-      // A part of the answer that a resume continues was computed before.
+      // Part of a resumed request has already run at a target.
       ran: request.kind === WorkKind.NEW ? Ran.NO : Ran.UNKNOWN,
       detail: `${this.waiting} requests wait for ${this.slots} slots`,
       retryAfterMs: this.nextRetryAfterMs(),
@@ -190,7 +195,7 @@
 
   private drain(): void {
     for (const [index, lane] of this.lanes.entries()) {
-      while (lane.size > 0 && this.inFlight < this.slotsOf(index)) {
+      while (lane.size > 0 && this.inFlight < this.slotLimit(index)) {
         this.startOrRefuse(lane);
       }
     }
@@ -198,28 +203,28 @@
 
   private startOrRefuse(lane: FairQueue<PoolRequest>): void {
     const request = lane.peek()!;
-    if (!this.isWorthStarting(request)) {
+    if (!this.canFinishInTime(request)) {
       this.remove(request);
       this.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
       return;
     }
     lane.shift();
-    this.noteDeparture();
+    this.recordDeparture();
     this.start(request);
     request.onStart();
   }
 
-  private noteDeparture(): void {
+  private recordDeparture(): void {
     const nowMs = this.options.clock.now();
     const stillWaiting = this.waiting > 0;
     this.drainRate.recordDeparture({nowMs, stillWaiting});
   }
 
-  private isWorthStarting(request: PoolRequest): boolean {
+  private canFinishInTime(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
     const size = request.cost;
-    // Where nobody else wants the slot, trying costs little and shows
+    // Without other waiting requests an attempt costs little, and it measures
     // whether the service has become faster.
     const neededMs =
       this.waiting > 1
@@ -233,7 +238,10 @@
     request.startedAtMs = this.options.clock.now();
   }
 
-  private learn(request: PoolRequest, outcome: TicketOutcome): void {
+  private recordServiceTime(
+    request: PoolRequest,
+    outcome: TicketOutcome,
+  ): void {
     if (request.kind === WorkKind.RUNNING) return;
     const nowMs = this.options.clock.now();
     const heldMs = nowMs - request.startedAtMs;
@@ -250,8 +258,8 @@
   private refuseUnreachable(): void {
     const nowMs = this.options.clock.now();
     if (this.slots === 0) {
-      const withoutMs = nowMs - this.noSlotsSinceMs;
-      if (withoutMs > NO_SLOTS_GRACE_MS) this.refuseAll();
+      const noSlotsForMs = nowMs - this.noSlotsSinceMs;
+      if (noSlotsForMs > NO_SLOTS_GRACE_MS) this.refuseAll();
     }
     const intervalMs = this.intervalMs();
     let waitMs = intervalMs;
@@ -274,21 +282,24 @@
     }
   }
 
-  /** Time between two requests that leave the queue; 0 while unknown. */
+  /** Time between two departures, in milliseconds; 0 while unknown. */
   private intervalMs(): number {
-    const possibleMs = this.times.meanHeldMs() / this.drainSlots;
+    const theoreticalMs = this.times.meanHeldMs() / this.newWorkSlots;
     const nowMs = this.options.clock.now();
-    return Math.max(possibleMs, this.drainRate.intervalMs(nowMs));
+    return Math.max(theoreticalMs, this.drainRate.intervalMs(nowMs));
   }
 
-  /** Slots that a lane may use; new work leaves some for resumes. */
-  private slotsOf(lane: number): number {
-    const slots = this.slots + this.turnSlots();
+  /** Slots that a lane may use; some are reserved for resumed requests. */
+  private slotLimit(lane: number): number {
+    const slots = this.slots + this.turnaroundSlots();
     return isResumeLane(lane) ? slots : slots - this.resumeSlots;
   }
 
-  /** Requests under way to a slot that comes free, by Little's law. */
-  private turnSlots(): number {
+  /**
+   * Extra requests to dispatch so that slots are not idle between requests,
+   * by Little's law.
+   */
+  private turnaroundSlots(): number {
     const heldMs = this.times.meanHeldMs();
     if (heldMs === 0) return 0;
     return Math.floor(this.slots * Math.min(1, SLOT_TURNAROUND_MS / heldMs));
--- a/src/core/admission/service-time-estimator.ts
+++ b/src/core/admission/service-time-estimator.ts
@@ -1,4 +1,4 @@
-/** How long a service's requests hold their slots, as observed. */
+/** Estimates how long the requests of a service occupy their slots. */
 import {
   CONSERVATIVE_DEVIATIONS,
   SAMPLE_WEIGHT,
@@ -6,29 +6,30 @@
   SHORTEST_RISE,
 } from './consts.js';
 
-/** One request that has ended. */
+/** Measured time of a request that has ended. */
 export interface ServiceTimeSample {
+  /** Time for which the request occupied its slot. */
   readonly heldMs: number;
-  /** Size of the request: tokens asked for, or 1. */
+  /** Requested tokens of a generation, or 1. */
   readonly size: number;
   readonly nowMs: number;
 }
 
 /**
- * Estimates times from the requests that ended, in proportion to their size.
- * All estimates are 0 before the first sample.
+ * Estimates times in proportion to the size of a request, from requests that
+ * have ended. All estimates are 0 before the first sample.
  *
  * @example
- * const times = new ServiceTime();
+ * const times = new ServiceTimeEstimator();
  * times.add({heldMs: 500, size: 10, nowMs: 0});
- * times.typicalMs(20); // 1000
+ * times.expectedMs(20); // 1000
  */
 export class ServiceTimeEstimator {
   private samples = 0;
   private meanMs = 0;
   private meanSize = 1;
-  private deviation = 0;
-  private shortest = 0;
+  private deviationPerUnit = 0;
+  private shortestPerUnit = 0;
   private shortestAtMs = 0;
 
   add(sample: ServiceTimeSample): void {
@@ -37,51 +38,56 @@
     const weight = Math.max(SAMPLE_WEIGHT, 1 / this.samples);
     this.meanMs += weight * (heldMs - this.meanMs);
     this.meanSize += weight * (size - this.meanSize);
-    const ratio = heldMs / size;
-    const off = Math.abs(ratio - this.perUnit());
-    this.deviation += weight * (off - this.deviation);
-    this.noteShortest(ratio, nowMs);
+    const perUnit = heldMs / size;
+    const error = Math.abs(perUnit - this.meanPerUnit());
+    this.deviationPerUnit += weight * (error - this.deviationPerUnit);
+    this.updateShortest(perUnit, nowMs);
   }
 
-  /** Time that a request holds its slot on average. */
+  /** Mean time for which a request occupies its slot. */
   meanHeldMs(): number {
     return this.meanMs;
   }
 
-  /** Time that a request of this size can be expected to take. */
+  /** Mean time for a request of this size. */
   expectedMs(size: number): number {
-    return this.perUnit() * size;
+    return this.meanPerUnit() * size;
   }
 
-  /** Time that a request of this size seldom exceeds. */
+  /** Time that a request of this size rarely exceeds. */
   conservativeMs(size: number): number {
-    return (this.perUnit() + CONSERVATIVE_DEVIATIONS * this.deviation) * size;
+    return (
+      (this.meanPerUnit() + CONSERVATIVE_DEVIATIONS * this.deviationPerUnit) *
+      size
+    );
   }
 
   /**
-   * Time that no recent request of this size has undercut. It shrinks while
-   * nothing ends, so that a service that recovers is tried again.
+   * Shortest time observed recently for a request of this size. It decays while
+   * no request ends, so that a service that recovers gets requests again.
    */
   shortestMs(options: {size: number; nowMs: number}): number {
     return this.decayedShortest(options.nowMs) * options.size;
   }
 
-  private perUnit(): number {
+  private meanPerUnit(): number {
     return this.samples === 0 ? 0 : this.meanMs / this.meanSize;
   }
 
-  private noteShortest(ratio: number, nowMs: number): void {
-    const known = this.decayedShortest(nowMs);
-    // A little way up, so that slow requests do not rule out quick ones.
-    const raised = known + (ratio - known) * SHORTEST_RISE;
+  private updateShortest(perUnit: number, nowMs: number): void {
+    const previous = this.decayedShortest(nowMs);
+    // Rises slowly, so that a few slow requests do not cause quick ones to be
+    // refused.
+    const raised = previous + (perUnit - previous) * SHORTEST_RISE;
     const first = this.samples === 1;
-    this.shortest = first || ratio < known ? ratio : Math.min(ratio, raised);
+    this.shortestPerUnit =
+      first || perUnit < previous ? perUnit : Math.min(perUnit, raised);
     this.shortestAtMs = nowMs;
   }
 
   private decayedShortest(nowMs: number): number {
-    const silentMs = nowMs - this.shortestAtMs;
-    const halvings = silentMs / SHORTEST_HALF_LIFE_MS - 1;
-    return this.shortest * 2 ** -Math.max(0, halvings);
+    const sampleAgeMs = nowMs - this.shortestAtMs;
+    const halvings = sampleAgeMs / SHORTEST_HALF_LIFE_MS - 1;
+    return this.shortestPerUnit * 2 ** -Math.max(0, halvings);
   }
 }
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -7,66 +7,66 @@
 } from '../config/types.js';
 import type {Refusal} from '../errors/refusals.js';
 
-/** Where a request stands when it asks to be let in. */
+/** State of a request when admission is requested. */
 export enum WorkKind {
-  /** Nothing of it has run. */
+  /** No part of it has run. */
   NEW = 'new',
-  /** A part of its answer was computed; it goes before new work. */
+  /** Part of its output was generated; it goes before new requests. */
   RESUME = 'resume',
-  /** It runs at a target already; it takes no further capacity. */
+  /** It already runs at a target and takes no further capacity. */
   RUNNING = 'running',
 }
 
-/** A request that asks to be let in. */
+/** A request for admission. */
 export interface AdmissionQuery {
   readonly clientAccount: ClientAccountConfig;
   readonly service: ServiceConfig;
-  /** Time by which the answer must be whole, on the process's clock. */
+  /** Time by which the response must be complete, on the process's clock. */
   readonly deadlineAtMs: number;
-  /** Tokens asked for; 0 for a plain call. */
+  /** Requested tokens; 0 for a plain call. */
   readonly maxTokens: number;
-  /** NEW where it is left out. */
+  /** NEW by default. */
   readonly kind?: WorkKind;
-  /** Aborted when the caller goes away. */
+  /** Aborted when the caller disconnects. */
   readonly signal?: AbortSignal;
 }
 
-/** What became of a request that was let in. */
+/** How an admitted request ended. */
 export enum TicketOutcome {
-  /** It was answered whole. */
+  /** The response was completed. */
   SERVED = 'served',
-  /** It was not answered whole by its deadline. */
+  /** The response was not complete by the deadline. */
   TIMED_OUT = 'timed_out',
-  /** It failed, or its caller went away. */
+  /** It failed, or its caller disconnected. */
   FAILED = 'failed',
 }
 
-/** A request that was let in; it must be released exactly once. */
+/** Permit of an admitted request; it must be released exactly once. */
 export interface AdmissionTicket {
-  /** Ends the request; SERVED where no outcome is given. */
+  /** Ends the request; the outcome is SERVED by default. */
   release(outcome?: TicketOutcome): void;
 }
 
-/** Requests of one service that this entry may have at its targets. */
+/** Slots of this entry at the targets of one service. */
 export interface ServiceSlots {
   readonly service: string;
   readonly slots: number;
-  /** Part of the slots that only resumes may take. */
+  /** Part of the slots that only resumed requests may use. */
   readonly resumeSlots: number;
 }
 
-/** The share of the site's capacity that falls to this entry. */
+/** This entry's share of the site's capacity. */
 export interface EntryCapacity {
-  /** Entries between which client accounts' limits are split; at least 1. */
+  /** Entries among which client accounts' limits are split; at least 1. */
   readonly liveEntries: number;
   readonly services: readonly ServiceSlots[];
 }
 
-/** Lets requests in, makes them wait, or refuses them at once. */
+/** Admits, queues or refuses requests. */
 export interface Admission {
   admit(query: AdmissionQuery): ResultAsync<AdmissionTicket, Refusal>;
-  /** Takes over a new configuration. */
+  /** Applies a new configuration. */
   configure(cfg: SiteConfig): void;
-  /** Takes over new capacity and refuses what can no longer be met. */
+  /** Applies new capacity and refuses requests that can no longer be served. */
   resize(load: EntryCapacity): void;
 }
