--- a/src/core/routing/consts.ts
+++ b/src/core/routing/consts.ts
@@ -1,38 +1,38 @@
 /**
  * Round trip between an entry and an agent, in milliseconds. An agent counts
- * its requests when it sends a report, so a report holds those that were sent
- * to it a round trip before the report arrives.
+ * its requests when it sends a report, so the report includes the requests
+ * that were sent up to one round trip before it arrives.
  */
 export const REPORT_ROUND_TRIP_MS = 3;
 
-/** Time for which an entry's own counts are kept, in milliseconds. */
+/** Time for which past request counts are kept, in milliseconds. */
 export const COUNT_RETENTION_MS = 1_000;
 
-/** Time until a target that came back takes its full share. */
+/** Time until a recovered target takes its full share, in milliseconds. */
 export const SLOW_START_MS = 10_000;
 
-/** Share that a target takes when it has just come back. */
+/** Share of its capacity that a target may use right after it recovered. */
 export const SLOW_START_SHARE = 0.1;
 
-/** How far above the lighter choice a target with the prefix may be. */
+/** Utilisation above the drawn target that a target with the prefix may have. */
 export const PREFIX_SLACK = 0.25;
 
-/** Reported load beyond this multiple of the capacity is not believed. */
+/** Reported load above this multiple of the capacity is capped. */
 export const MAX_REPORTED_UTILISATION = 2;
 
-/** Time over which a target's outcomes are counted, in milliseconds. */
+/** Window in which the outcomes of a target are counted, in milliseconds. */
 export const FAILURE_WINDOW_MS = 10_000;
 
-/** Outcomes before a target is judged by them. */
+/** Outcomes in a window before a target can be ejected. */
 export const MIN_OUTCOMES = 5;
 
-/** Share of failed outcomes at which a target is ejected. */
+/** Share of failures at which a target is ejected. */
 export const FAILURE_SHARE_THRESHOLD = 0.5;
 
-/** First ejection; each further one in a row is twice as long. */
+/** Length of the first ejection, in milliseconds; doubles with each further one. */
 export const BASE_EJECTION_MS = 5_000;
 
-/** Longest ejection. */
+/** Longest ejection, in milliseconds. */
 export const MAX_EJECTION_MS = 60_000;
 
 /** Share of a service's usable targets that may be ejected at once. */
--- a/src/core/routing/count-history.ts
+++ b/src/core/routing/count-history.ts
@@ -1,4 +1,4 @@
-/** What an entry's own count at a target was a report lag ago. */
+/** Recent request counts of an entry at a target, by time. */
 
 interface CountChange {
   readonly atMs: number;
@@ -6,11 +6,11 @@
 }
 
 /**
- * Remembers the recent counts of own requests, so that a lagged report can
- * be corrected by those that began or ended since it was taken.
+ * Keeps the recent counts of own requests, so that a delayed report can be
+ * corrected by the requests that began or ended since it was taken.
  *
  * @example
- * counts.note({nowMs: 10, count: 3});
+ * counts.record({nowMs: 10, count: 3});
  * counts.countAt(12); // 3
  */
 export class CountHistory {
@@ -21,14 +21,15 @@
   record(options: {nowMs: number; count: number}): void {
     const {nowMs, count} = options;
     const oldestMs = nowMs - this.options.retentionMs;
-    // The last change before the kept time still says what held then.
+    // Keeps the last change before the retention time, whose count still
+    // applied at its start.
     while ((this.changes[1]?.atMs ?? nowMs + 1) <= oldestMs) {
       this.changes.shift();
     }
     this.changes.push({atMs: nowMs, count});
   }
 
-  /** The count that held at a time; 0 before the first change. */
+  /** The count at a time; 0 before the first change. */
   countAt(atMs: number): number {
     return this.changes.findLast((c) => c.atMs <= atMs)?.count ?? 0;
   }
--- a/src/core/routing/estimate-load.ts
+++ b/src/core/routing/estimate-load.ts
@@ -6,25 +6,25 @@
 import type {TargetView} from './types.js';
 
 /**
- * Estimates the requests at a target now: those of this entry, which it
- * counts itself, and those of others as far as the lagged report shows them.
+ * Estimates the requests at a target now: this entry's own count, plus the
+ * requests of other entries according to the delayed report.
  *
  * @example
  * estimateLoad(view) / view.capacity;
  */
 export function estimateLoad(view: TargetView): number {
-  const {running, waiting, ownInFlight, ownInReport: ownAtReport = 0} = view;
-  const believed = MAX_REPORTED_UTILISATION * Math.max(view.capacity, 1);
-  const others = Math.max(0, running + waiting - ownAtReport);
-  return ownInFlight + Math.min(others, believed);
+  const {running, waiting, ownInFlight, ownInReport = 0} = view;
+  const maxReported = MAX_REPORTED_UTILISATION * Math.max(view.capacity, 1);
+  const others = Math.max(0, running + waiting - ownInReport);
+  return ownInFlight + Math.min(others, maxReported);
 }
 
-/** Share of the target's capacity in use; more than 1 where some wait. */
+/** Share of the target's capacity in use; above 1 if requests wait. */
 export function utilisationOf(view: TargetView): number {
   return estimateLoad(view) / Math.max(view.capacity, 1);
 }
 
-/** Share of its capacity that a target may take since it came back. */
+/** Share of its capacity that a target may use during slow start. */
 export function slowStartShare(view: TargetView): number {
   const {usableForMs = SLOW_START_MS} = view;
   const ramp = Math.max(0, usableForMs) / SLOW_START_MS;
--- a/src/core/routing/load-aware-chooser.ts
+++ b/src/core/routing/load-aware-chooser.ts
@@ -7,22 +7,23 @@
 import type {OutlierDetector} from './outlier-detector.js';
 import type {ChoiceQuery, TargetChooser, TargetView} from './types.js';
 
-/** A target with the shares of its capacity that are in use. */
+/** A target with its utilisation. */
 interface Candidate {
   readonly target: TargetView;
-  /** Of its whole capacity. */
+  /** Share of its whole capacity that is in use. */
   readonly utilisation: number;
-  /** Of what it may take while it starts slowly. */
-  readonly used: number;
+  /** Share in use of the capacity that slow start allows. */
+  readonly effectiveUtilisation: number;
 }
 
 /**
- * Draws two targets that have room and takes the less loaded one, or one
- * with the prompt's prefix where that is hardly more loaded. Where none has
- * room it takes the least loaded of all.
+ * Draws two targets with free capacity at random and takes the less loaded
+ * one, or a target that has the prompt's prefix in its cache and is at most
+ * `PREFIX_SLACK` more loaded. If no target has free capacity, takes the least
+ * loaded of all.
  *
  * @example
- * new LoadAwareChoice({random, failures}).choose({query, targets});
+ * new LoadAwareChooser({random, outliers}).choose({query, targets});
  */
 export class LoadAwareChooser implements TargetChooser {
   constructor(
@@ -36,10 +37,13 @@
     const {query, targets} = options;
     const candidates = this.candidatesOf(query, targets);
     if (candidates.length === 0) return Nothing;
-    const withRoom = candidates.filter(({used}) => used < 1);
-    if (withRoom.length === 0) return Just(leastFull(candidates).target);
-    const drawn = this.lighterOfTwo(withRoom);
-    return Just(preferCached({query, withRoom, drawn}).target);
+    const withCapacity = candidates.filter(
+      ({effectiveUtilisation}) => effectiveUtilisation < 1,
+    );
+    if (withCapacity.length === 0)
+      return Just(leastUtilised(candidates).target);
+    const drawn = this.lessLoadedOfTwo(withCapacity);
+    return Just(preferCached({query, withCapacity, drawn}).target);
   }
 
   private candidatesOf(
@@ -50,51 +54,60 @@
       (target) => target.usable && target.service === query.service,
     );
     const vms = ofService.map(({vm}) => vm);
-    const kept = new Set(this.options.outliers.filterSelectable({vms}));
+    const selectable = new Set(this.options.outliers.filterSelectable({vms}));
     const usable = ofService.filter(({vm}) => !query.exclude.includes(vm));
-    const healthy = usable.filter(({vm}) => kept.has(vm));
-    // An ejected target is better than none.
-    const chosen = healthy.length > 0 ? healthy : usable;
-    return chosen.map(createCandidate);
+    const healthy = usable.filter(({vm}) => selectable.has(vm));
+    // Falls back to ejected targets if there are no others.
+    const pool = healthy.length > 0 ? healthy : usable;
+    return pool.map(createCandidate);
   }
 
-  private lighterOfTwo(candidates: readonly Candidate[]): Candidate {
+  private lessLoadedOfTwo(candidates: readonly Candidate[]): Candidate {
     const {random} = this.options;
     const first = random.below(candidates.length);
     if (candidates.length === 1) return candidates[first]!;
     const step = 1 + random.below(candidates.length - 1);
     const second = (first + step) % candidates.length;
-    return lightestOf([candidates[first]!, candidates[second]!]);
+    return leastLoadedOf([candidates[first]!, candidates[second]!]);
   }
 }
 
 function preferCached(options: {
   query: ChoiceQuery;
-  withRoom: readonly Candidate[];
+  withCapacity: readonly Candidate[];
   drawn: Candidate;
 }): Candidate {
-  const {query, withRoom, drawn} = options;
+  const {query, withCapacity, drawn} = options;
   if (query.prefix === '') return drawn;
-  const cached = withRoom.filter(
-    ({target, used}) =>
-      used <= drawn.used + PREFIX_SLACK &&
+  const cached = withCapacity.filter(
+    ({target, effectiveUtilisation}) =>
+      effectiveUtilisation <= drawn.effectiveUtilisation + PREFIX_SLACK &&
       target.cachedPrefixes.includes(query.prefix),
   );
-  return cached.length === 0 ? drawn : lightestOf(cached);
+  return cached.length === 0 ? drawn : leastLoadedOf(cached);
 }
 
-function lightestOf(candidates: readonly Candidate[]): Candidate {
-  return candidates.reduce((a, b) => (b.used < a.used ? b : a));
+function leastLoadedOf(candidates: readonly Candidate[]): Candidate {
+  return candidates.reduce((a, b) =>
+    b.effectiveUtilisation < a.effectiveUtilisation ? b : a,
+  );
 }
 
-/** A slow start never sends work to wait while another has a free slot. */
-function leastFull(candidates: readonly Candidate[]): Candidate {
+/**
+ * Prefers targets with a free slot, even during slow start, so that requests do
+ * not wait at a full target.
+ */
+function leastUtilised(candidates: readonly Candidate[]): Candidate {
   const free = candidates.filter(({utilisation}) => utilisation < 1);
-  if (free.length > 0) return lightestOf(free);
+  if (free.length > 0) return leastLoadedOf(free);
   return candidates.reduce((a, b) => (b.utilisation < a.utilisation ? b : a));
 }
 
 function createCandidate(target: TargetView): Candidate {
   const utilisation = utilisationOf(target);
-  return {target, utilisation, used: utilisation / slowStartShare(target)};
+  return {
+    target,
+    utilisation,
+    effectiveUtilisation: utilisation / slowStartShare(target),
+  };
 }
--- a/src/core/routing/outlier-detector.ts
+++ b/src/core/routing/outlier-detector.ts
@@ -1,4 +1,4 @@
-/** Finds targets that answer fast because they fail. */
+/** Outlier detection: ejects targets of which most requests fail. */
 import type {Clock} from '../clock/index.js';
 import {
   BASE_EJECTION_MS,
@@ -9,26 +9,26 @@
   MIN_OUTCOMES,
 } from './consts.js';
 
-interface TargetRecord {
-  windowAtMs: number;
+interface TargetOutcomes {
+  windowStartMs: number;
   outcomes: number;
   failures: number;
   ejectedUntilMs: number;
-  /** Ejections with no good window between them. */
-  ejections: number;
+  /** Ejections without a window of mostly successful requests between them. */
+  consecutiveEjections: number;
 }
 
 /**
- * Counts the outcomes of each target and takes one out of the choice for a
- * while when most of its requests fail. A target whose load looks low since
- * it fails at once would otherwise draw ever more requests.
+ * Counts the outcomes of each target and ejects a target for some time when
+ * most of its requests fail. A target that fails requests immediately has a
+ * low load, and would otherwise attract more and more requests.
  *
  * @example
- * watch.note({vm: 'engine-1', failed: true});
- * watch.keep({vms: ['engine-1', 'engine-2']});
+ * outliers.recordOutcome({vm: 'engine-1', failed: true});
+ * outliers.filterSelectable({vms: ['engine-1', 'engine-2']});
  */
 export class OutlierDetector {
-  private readonly records = new Map<string, TargetRecord>();
+  private readonly records = new Map<string, TargetOutcomes>();
 
   constructor(private readonly options: {clock: Clock}) {}
 
@@ -40,11 +40,11 @@
     if (record.failures >= record.outcomes * FAILURE_SHARE_THRESHOLD) {
       this.eject(record);
     } else if (record.outcomes >= 2 * MIN_OUTCOMES) {
-      record.ejections = 0;
+      record.consecutiveEjections = 0;
     }
   }
 
-  /** Forgets a target that was replaced or restarted. */
+  /** Discards the outcomes of a target that was replaced or restarted. */
   forget(vm: string): void {
     this.records.delete(vm);
   }
@@ -55,50 +55,50 @@
   }
 
   /**
-   * The targets that may be chosen. At most a share of them stays out; those
-   * whose ejection ends first come back beyond that.
+   * The targets that may be chosen. If more than the allowed share is ejected,
+   * those whose ejection ends first are included.
    */
   filterSelectable(options: {vms: readonly string[]}): string[] {
     const {vms} = options;
-    const out = vms.filter((vm) => this.isEjected(vm));
+    const ejected = vms.filter((vm) => this.isEjected(vm));
     const allowed = Math.floor(vms.length * MAX_EJECTED_SHARE);
-    const excess = out
-      .sort((a, b) => this.untilOf(a) - this.untilOf(b))
-      .slice(0, Math.max(0, out.length - allowed));
-    return vms.filter((vm) => !out.includes(vm) || excess.includes(vm));
+    const readmitted = ejected
+      .sort((a, b) => this.ejectedUntil(a) - this.ejectedUntil(b))
+      .slice(0, Math.max(0, ejected.length - allowed));
+    return vms.filter((vm) => !ejected.includes(vm) || readmitted.includes(vm));
   }
 
-  private untilOf(vm: string): number {
+  private ejectedUntil(vm: string): number {
     return this.records.get(vm)?.ejectedUntilMs ?? 0;
   }
 
-  private eject(record: TargetRecord): void {
+  private eject(record: TargetOutcomes): void {
     const nowMs = this.options.clock.now();
-    const forMs = Math.min(
-      BASE_EJECTION_MS * 2 ** record.ejections,
+    const ejectionMs = Math.min(
+      BASE_EJECTION_MS * 2 ** record.consecutiveEjections,
       MAX_EJECTION_MS,
     );
-    record.ejectedUntilMs = nowMs + forMs;
-    record.ejections++;
+    record.ejectedUntilMs = nowMs + ejectionMs;
+    record.consecutiveEjections++;
     record.outcomes = 0;
     record.failures = 0;
   }
 
-  private recordOf(vm: string): TargetRecord {
+  private recordOf(vm: string): TargetOutcomes {
     const nowMs = this.options.clock.now();
     let record = this.records.get(vm);
     if (record === undefined) {
       record = {
-        windowAtMs: nowMs,
+        windowStartMs: nowMs,
         outcomes: 0,
         failures: 0,
         ejectedUntilMs: 0,
-        ejections: 0,
+        consecutiveEjections: 0,
       };
       this.records.set(vm, record);
     }
-    if (nowMs - record.windowAtMs > FAILURE_WINDOW_MS) {
-      record.windowAtMs = nowMs;
+    if (nowMs - record.windowStartMs > FAILURE_WINDOW_MS) {
+      record.windowStartMs = nowMs;
       record.outcomes = 0;
       record.failures = 0;
     }
--- a/src/core/routing/power-of-two-chooser.ts
+++ b/src/core/routing/power-of-two-chooser.ts
@@ -5,10 +5,11 @@
 import type {ChoiceQuery, TargetChooser, TargetView} from './types.js';
 
 /**
- * Draws two usable targets and takes the less loaded one.
+ * Draws two usable targets at random and takes the less loaded one (power of
+ * two choices).
  *
  * @example
- * new TwoChoices({random}).choose({query, targets});
+ * new PowerOfTwoChooser({random}).choose({query, targets});
  */
 export class PowerOfTwoChooser implements TargetChooser {
   constructor(private readonly options: {random: RandomSource}) {}
@@ -22,7 +23,7 @@
     if (usable.length === 0) return Nothing;
     const first = this.draw(usable);
     const second = this.draw(usable);
-    return Just(loadOf(second) < loadOf(first) ? second : first);
+    return Just(utilisationOf(second) < utilisationOf(first) ? second : first);
   }
 
   private draw(targets: readonly TargetView[]): TargetView {
@@ -36,7 +37,7 @@
 }
 
 /** Share of the target's capacity in use. */
-function loadOf(target: TargetView): number {
+function utilisationOf(target: TargetView): number {
   const used = Math.max(target.running, target.ownInFlight) + target.waiting;
   return used / Math.max(target.capacity, 1);
 }
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -1,35 +1,36 @@
 import type {Maybe} from 'purify-ts';
 
-/** What an entry knows of one target when it chooses. */
+/** Known state of a target when an entry chooses one. */
 export interface TargetView {
   readonly vm: string;
   readonly dataCentre: string;
   readonly service: string;
-  /** Incarnation of the agent beside it; empty before it greeted. */
+  /** Incarnation of the target's agent; empty before its greeting. */
   readonly incarnation: string;
-  /** Connected, healthy, not suspected and not leaving. */
+  /** Connected, healthy, not suspected and not draining. */
   readonly usable: boolean;
-  /** The target leaves and takes no new work. */
+  /** The target shuts down gracefully and takes no new work. */
   readonly draining: boolean;
-  /** Requests of this entry that it runs now. */
+  /** Requests of this entry in flight at the target. */
   readonly ownInFlight: number;
-  /** What it last reported; lags. */
+  /** Running requests in its last report, which may be outdated. */
   readonly running: number;
+  /** Waiting requests in its last report. */
   readonly waiting: number;
-  /** Requests it runs at once; 0 when not known. */
+  /** Requests that it can run concurrently; 0 if unknown. */
   readonly capacity: number;
-  /** Prefixes that it reported as cached; late, with gaps. */
+  /** Prefixes that it reported as cached; may be outdated or incomplete. */
   readonly cachedPrefixes: readonly string[];
-  /** Own requests that the report counts; 0 where it is left out. */
+  /** Own requests included in the report; 0 by default. */
   readonly ownInReport?: number;
-  /** Time since it became usable; without end where it is left out. */
+  /** Time since it became usable; infinite by default. */
   readonly usableForMs?: number;
 }
 
-/** What a request asks of a choice. */
+/** Requirements of a request for the choice of a target. */
 export interface ChoiceQuery {
   readonly service: string;
-  /** VMs that this request has tried in vain. */
+  /** VMs at which this request has failed already. */
   readonly exclude: readonly string[];
   /** Data centre of the entry. */
   readonly dataCentre: string;
