--- a/src/core/placing/choose-engine.ts
+++ b/src/core/placing/choose-engine.ts
@@ -1,4 +1,4 @@
-/** Chooses the engines of a generation: where it runs and where its copy goes. */
+/** Chooses the engines that run a generation and hold a copy of its KV cache. */
 import type {RandomSource} from '../clock/index.js';
 import type {Target} from '../targets/index.js';
 import type {ServiceBaseline} from './service-baseline.js';
@@ -8,74 +8,78 @@
   relativeSlowness,
 } from './service-baseline.js';
 
-/** What a prompt that is yet to be read delays others by, in running requests. */
-const UNREAD_COST = 5;
+/** Cost of each pending prefill at the engine, in running requests. */
+const PREFILL_COST = 5;
 
-/** Added where streams take twice as long as usual, in running requests. */
+/** Cost of streams twice as slow as the median, in running requests. */
 const SLOW_COST = 8;
 
-/** Added where all answers fail that others give, in running requests. */
-const FAILING_COST = 30;
+/** Cost of a failure share 1 above the mean, in running requests. */
+const FAILURE_COST = 30;
 
-/** What a full memory adds, in running requests. */
-const MEMORY_COST = 100;
+/** Cost of a full KV cache, in running requests. */
+const KV_CACHE_FULL_COST = 100;
 
-/** Share of an engine's memory that may be planned for. */
-const MEMORY_SHARE = 0.9;
+/** Share of an engine's KV cache that may be planned for. */
+const KV_CACHE_SHARE = 0.9;
 
+/** Cost of an engine that has just rejected a request, in running requests. */
 const FULL_COST = 50;
+
+/** Cost of an engine that does not respond, in running requests. */
 const PAUSED_COST = 1_000;
 
 /** Spread of the random tie-breaker, in running requests. */
 const JITTER = 1;
 
-/** What a choice is made from. */
+/** Input of `chooseEngine` and `shortlistEngines`. */
 export interface EngineQuery {
   readonly targets: readonly Target[];
-  /** Tokens that the generation needs at its end. */
+  /** Tokens that the generation holds in the KV cache at its end. */
   readonly tokens: number;
+  /** Capacity of an engine's KV cache, in tokens. */
   readonly kvCapacityTokens: number;
-  /** Targets that must not be chosen. */
+  /** Ids of targets that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
-  /** Data centres to stay out of, where another has room. */
+  /** Data centres to avoid while another one has engines. */
   readonly avoidedDataCentres?: ReadonlySet<string>;
-  /** Prefer engines that were heard of lately. */
+  /** Prefer engines from which a message was received recently. */
   readonly preferRecentlySeen?: boolean;
   readonly random: RandomSource;
 }
 
-/** Time for which an engine that was heard of is held to be there. */
-const SEEN_LATELY_MS = 1_500;
+/** Age of the last message up to which an engine counts as seen, in milliseconds. */
+const RECENTLY_SEEN_MS = 1_500;
 
-/** Added where an engine was not heard of lately, in running requests. */
-const UNSEEN_COST = 20;
+/** Cost of an engine that was not seen recently, in running requests. */
+const NOT_SEEN_COST = 20;
 
-/** What staying out of a data centre is worth, in running requests. */
-const AVOIDED_COST = 200;
+/** Cost of an engine in an avoided data centre, in running requests. */
+const AVOIDED_DATA_CENTRE_COST = 200;
 
 /**
- * The engine on which a generation disturbs others least: few running, none
- * reading a prompt, and memory for all of its tokens. Serves the load of long
- * prompts, of which one blocks an engine for a second.
+ * Chooses the engine on which a generation delays others least: few running
+ * requests, no prompt in prefill, and KV cache for all of its tokens. Meant for
+ * long prompts, each of which blocks an engine for a second.
  *
  * @example
- * const engine = chooseEngine({targets, tokens, memoryTokens, excluded, random});
+ * const engine = chooseEngine({targets, tokens, kvCapacityTokens, excluded, random});
  */
-export function chooseEngine(choice: EngineQuery): Target | undefined {
-  return shortlistEngines(choice, 1)[0];
+export function chooseEngine(query: EngineQuery): Target | undefined {
+  return shortlistEngines(query, 1)[0];
 }
 
 /**
- * The best engines for a generation, best first.
+ * Returns the engines with the lowest cost for a generation, best first.
  *
  * @example
- * await prober.refresh(shortlistEngines(choice, 3));
+ * await prober.refresh(shortlistEngines(query, 3));
  */
-export function shortlistEngines(choice: EngineQuery, count: number): Target[] {
-  const usual = computeBaseline(choice.targets);
-  return choice.targets
-    .filter((target) => !choice.excluded.has(target.id))
-    .map((target) => ({target, cost: costOf(target, choice, usual)}))
+export function shortlistEngines(query: EngineQuery, count: number): Target[] {
+  const baseline = computeBaseline(query.targets);
+  return query.targets
+    .filter((target) => !query.excluded.has(target.id))
+    .map((target) => ({target, cost: costOf(target, query, baseline)}))
     .sort((a, b) => a.cost - b.cost)
     .slice(0, count)
     .map(({target}) => target);
@@ -83,26 +87,27 @@
 
 function costOf(
   target: Target,
-  choice: EngineQuery,
-  usual: ServiceBaseline,
+  query: EngineQuery,
+  baseline: ServiceBaseline,
 ): number {
   const {
     tokens,
-    kvCapacityTokens: memoryTokens,
-    avoidedDataCentres: avoided,
+    kvCapacityTokens,
+    avoidedDataCentres,
     random,
-    preferRecentlySeen: isSeenLately,
-  } = choice;
+    preferRecentlySeen,
+  } = query;
   let cost = target.estimatedRequests() + random.float() * JITTER;
-  cost += target.estimatedPrefills() * UNREAD_COST;
-  cost += relativeSlowness(target, usual) * SLOW_COST;
-  cost += excessFailureShare(target, usual) * FAILING_COST;
+  cost += target.estimatedPrefills() * PREFILL_COST;
+  cost += relativeSlowness(target, baseline) * SLOW_COST;
+  cost += excessFailureShare(target, baseline) * FAILURE_COST;
   const planned = target.plannedTokens() + tokens;
-  if (planned > memoryTokens * MEMORY_SHARE) cost += MEMORY_COST;
+  if (planned > kvCapacityTokens * KV_CACHE_SHARE) cost += KV_CACHE_FULL_COST;
   if (target.isFull()) cost += FULL_COST;
   if (target.isPaused()) cost += PAUSED_COST;
-  if (avoided?.has(target.record.dataCentre)) cost += AVOIDED_COST;
-  if (isSeenLately && target.lastSeenAgeMs() > SEEN_LATELY_MS)
-    cost += UNSEEN_COST;
+  if (avoidedDataCentres?.has(target.record.dataCentre))
+    cost += AVOIDED_DATA_CENTRE_COST;
+  if (preferRecentlySeen && target.lastSeenAgeMs() > RECENTLY_SEEN_MS)
+    cost += NOT_SEEN_COST;
   return cost;
 }
--- a/src/core/placing/engine-priority.ts
+++ b/src/core/placing/engine-priority.ts
@@ -1,32 +1,32 @@
-/** How urgent a generation is to the engines that it shares. */
+/** Priority of a generation at an engine. */
 import type {AccountKeys, Route} from '../routes/index.js';
 
-/** Engines know the classes 0 to 9, of which 0 goes first. */
-const LAST_CLASS = 9;
+/** Engines accept priorities 0 to 9, of which 0 is the highest. */
+const LOWEST_PRIORITY = 9;
 
-/** What decides the urgency of a generation. */
+/** Input of `enginePriority`. */
 export interface EnginePriorityQuery {
   readonly route: Pick<Route, 'priority'>;
-  /** The account's own priority goes before the route's. */
+  /** Account of the caller, whose priority overrides the route's. */
   readonly account?: Pick<AccountKeys, 'priority'>;
-  /** Whether the caller has read a part of it already. */
+  /** Whether the caller has received a part of the output already. */
   readonly isResumed: boolean;
 }
 
 /**
- * The class by which engines order generations, and by which the newest of
- * the least urgent loses its place when memory runs out. One that goes on
- * after a loss is the newest at its engine though its caller has read half
- * of it, so it is a class more urgent than those that begin.
- *
- * Load: engines that are full while runs of a lost data centre arrive.
+ * Returns the priority by which an engine orders generations. When its KV
+ * cache is full, the engine preempts the newest generation of the lowest
+ * priority. A generation that was resumed after a loss is the newest at its
+ * engine although its caller has received part of the output, so its priority
+ * is one higher than that of a new one. This matters when engines are full and
+ * the generations of a lost data centre arrive.
  *
  * @example
- * urgencyClass({route: {priority: 1}, isUnderWay: true}); // 0
+ * enginePriority({route: {priority: 1}, isResumed: true}); // 0
  */
-export function enginePriority(facts: EnginePriorityQuery): number {
-  const {route, account, isResumed: isUnderWay} = facts;
+export function enginePriority(query: EnginePriorityQuery): number {
+  const {route, account, isResumed} = query;
   const priority = account?.priority ?? route.priority;
-  const wanted = isUnderWay ? priority - 1 : priority;
-  return Math.min(LAST_CLASS, Math.max(0, Math.round(wanted)));
+  const wanted = isResumed ? priority - 1 : priority;
+  return Math.min(LOWEST_PRIORITY, Math.max(0, Math.round(wanted)));
 }
--- a/src/core/placing/index.ts
+++ b/src/core/placing/index.ts
@@ -1,4 +1,4 @@
-/** Where requests are sent. */
+/** Chooses targets for calls and generations. */
 export type {CallTargetQuery} from './choose-call-target.js';
 export {chooseCallTarget} from './choose-call-target.js';
 export type {EngineQuery} from './choose-engine.js';
--- a/src/core/placing/rank-by-fingerprint.ts
+++ b/src/core/placing/rank-by-fingerprint.ts
@@ -1,15 +1,16 @@
-/** Keeps suspects apart from each other. */
+/** Sends requests that may crash targets to different targets. */
 import {createHash} from 'node:crypto';
 
 import type {Target} from '../targets/index.js';
 
 /**
- * Orders targets in a way that is each suspect's own, so that two of them
- * hardly ever meet. Serves the load of requests that lost targets together:
- * apart from each other, the one that ends targets loses the next one alone.
+ * Orders targets by a hash of the request's fingerprint and the target's id
+ * (rendezvous hashing), so that two requests rarely get the same target first.
+ * After several requests were lost together with their target, this separates
+ * them: the request that caused the crash then loses the next target alone.
  *
  * @example
- * const [target] = rankApart(fingerprint, targets);
+ * const [target] = rankByFingerprint(fingerprint, targets);
  */
 export function rankByFingerprint(
   fingerprint: string,
