--- a/src/core/retrying/decide-retry.ts
+++ b/src/core/retrying/decide-retry.ts
@@ -1,39 +1,39 @@
-/** What follows a call that has no good answer. */
+/** Decides what follows a failed attempt of a call. */
 import {ExchangeFailure} from '../edges/direct-target.js';
 import {RefusalReason, RetryReason} from '../errors/refusals.js';
 import {OperationKind} from '../routes/index.js';
 
-/** First status of a target's own failures. */
+/** Lowest status that counts as a failure of the target. */
 const FIRST_FAILURE_STATUS = 500;
 
-/** How one try of a call ended. */
+/** Result of one attempt of a call. */
 export interface AttemptResult {
-  /** Present where there is no answer. */
+  /** Present if there was no response. */
   readonly failure?: ExchangeFailure;
-  /** Present where the target answered. */
+  /** Present if the target responded. */
   readonly status?: number;
 }
 
-/** What is known when a try has ended. */
+/** State of a call when an attempt has ended. */
 export interface RetryQuery {
   readonly operation: OperationKind;
   readonly result: AttemptResult;
-  /** Targets to which the call was sent. */
+  /** Number of targets to which the call was sent. */
   readonly sentCount: number;
   readonly maxAttempts: number;
-  /** Whether another target is there. */
+  /** Whether another target is available. */
   readonly hasOtherTarget: boolean;
-  /** Takes one repeat out of the service's budget, if one is left. */
+  /** Takes one retry from the service's budget; returns false if none is left. */
   readonly takeFromBudget: () => boolean;
 }
 
-/** What to do next. */
+/** What to do after an attempt. */
 export enum RetryDecision {
-  /** Pass the target's answer on. */
+  /** Forward the target's response. */
   PASS_ON = 'pass_on',
   /** Send the call to another target. */
   RETRY = 'retry',
-  /** Tell the caller that the call failed. */
+  /** Return a failure to the caller. */
   FAIL = 'give_up',
 }
 
@@ -49,7 +49,7 @@
 ]);
 
 /**
- * Whether a failed try certainly had no effect.
+ * Whether a failed attempt certainly had no effect.
  *
  * @example
  * certainlyDidNotRun(ExchangeFailure.REJECTED); // true
@@ -59,7 +59,7 @@
 }
 
 /**
- * Why work is sent again after a failed try, or after a failed answer.
+ * Returns the reason of a retry after a failed attempt or response.
  *
  * @example
  * retryReasonOf(ExchangeFailure.REJECTED, RetryReason.CALL_LOST);
@@ -67,8 +67,8 @@
  */
 export function retryReasonOf(
   failure: ExchangeFailure | undefined,
-  /** The reason where the try may have had an effect. */
-  whenLost: RetryReason,
+  /** The reason if the attempt may have had an effect. */
+  fallback: RetryReason,
 ): RetryReason {
   switch (failure) {
     case ExchangeFailure.NOT_SENT:
@@ -78,12 +78,12 @@
     case ExchangeFailure.WRONG_TARGET:
       return RetryReason.TARGET_REPLACED;
     default:
-      return whenLost;
+      return fallback;
   }
 }
 
 /**
- * Whether a try counts towards the targets that a call may be sent to.
+ * Whether an attempt counts towards the maximum number of attempts.
  *
  * @example
  * countsAsSent(ExchangeFailure.NOT_SENT); // false
@@ -93,8 +93,8 @@
 }
 
 /**
- * Whether a try shows the target to fail: it answered with a failure of its
- * own, or with none.
+ * Whether an attempt counts as a failure of the target: a failure status, or
+ * no response although the call may have run.
  *
  * @example
  * isTargetFailure({status: 500}); // true
@@ -105,31 +105,31 @@
 }
 
 /**
- * Decides what follows a try. An idempotent call is repeated after a failed
- * answer too; any other only where the try had no effect.
+ * Decides what follows an attempt. An idempotent call is also retried after a
+ * failed response; any other call only if the attempt had no effect.
  *
  * @example
- * const verdict = decideRetry({operation, end: {status: 500}, ...rest});
+ * const decision = decideRetry({operation, result: {status: 500}, ...rest});
  */
 export function decideRetry(query: RetryQuery): RetryDecision {
-  const {operation, result: end, sentCount: sent, maxAttempts} = query;
-  const isAnswered = end.failure === undefined;
-  if (isAnswered && !isTargetFailure(end)) return RetryDecision.PASS_ON;
-  const otherwise = isAnswered ? RetryDecision.PASS_ON : RetryDecision.FAIL;
-  const isHarmless =
-    end.failure !== undefined && certainlyDidNotRun(end.failure);
-  if (operation === OperationKind.UNSAFE && !isHarmless) return otherwise;
-  if (sent >= maxAttempts || !query.hasOtherTarget) return otherwise;
-  return query.takeFromBudget() ? RetryDecision.RETRY : otherwise;
+  const {operation, result, sentCount, maxAttempts} = query;
+  const isAnswered = result.failure === undefined;
+  if (isAnswered && !isTargetFailure(result)) return RetryDecision.PASS_ON;
+  const fallback = isAnswered ? RetryDecision.PASS_ON : RetryDecision.FAIL;
+  const didNotRun =
+    result.failure !== undefined && certainlyDidNotRun(result.failure);
+  if (operation === OperationKind.UNSAFE && !didNotRun) return fallback;
+  if (sentCount >= maxAttempts || !query.hasOtherTarget) return fallback;
+  return query.takeFromBudget() ? RetryDecision.RETRY : fallback;
 }
 
-/** The status and reason with which a failed call is answered. */
+/** Status and reason of the response to a failed call. */
 export interface FailureResponse {
   readonly status: number;
   readonly reason: RefusalReason;
 }
 
-/** Why a call is given up. */
+/** How a call failed. */
 export interface FailureQuery {
   /** Some target may have run the call. */
   readonly mayHaveRun: boolean;
@@ -137,11 +137,11 @@
 }
 
 /**
- * The answer to a call that is given up: 503 promises that it did not run,
- * 502 and 504 promise nothing.
+ * Returns the response to a failed call: 503 guarantees that the call did not
+ * run, 502 and 504 leave it open.
  *
  * @example
- * answerFailure({mayHaveRun: true, isTimedOut: false}).status; // 502
+ * toFailureResponse({mayHaveRun: true, isTimedOut: false}).status; // 502
  */
 export function toFailureResponse(query: FailureQuery): FailureResponse {
   const {mayHaveRun, isTimedOut} = query;
--- a/src/core/retrying/index.ts
+++ b/src/core/retrying/index.ts
@@ -1,4 +1,4 @@
-/** Repeating calls by what they are. */
+/** Decides whether failed calls are retried. */
 export type {
   FailureResponse,
   FailureQuery,
