--- a/src/core/targets/consts.ts
+++ b/src/core/targets/consts.ts
@@ -1,16 +1,16 @@
-/** Age up to which a reported load is used, in milliseconds. */
+/** Age up to which a load report is used, in milliseconds. */
 export const MAX_REPORT_AGE_MS = 1_000;
 
-/** Failures in a row after which a target is left alone for a while. */
+/** Consecutive failures after which a target is paused. */
 export const FAILURES_BEFORE_PAUSE = 3;
 
-/** Time for which a failing target takes no work, in milliseconds. */
+/** First pause of a failing target, in milliseconds; doubles each time. */
 export const PAUSE_AFTER_FAILURE_MS = 600;
 
-/** Longest time for which a target takes no work, in milliseconds. */
+/** Longest pause of a target, in milliseconds. */
 export const LONGEST_PAUSE_MS = 4_000;
 
-/** Time for which a target that had no room takes no work. */
+/** Time for which a target that rejected a request counts as full, in milliseconds. */
 export const PAUSE_AFTER_REJECT_MS = 150;
 
 /**
@@ -19,17 +19,20 @@
  */
 export const REREGISTRATION_GRACE_MS = 2_000;
 
-/** Age of what a target reports of itself, in milliseconds. */
+/** Age of a load report when it arrives, in milliseconds. */
 export const REPORT_LAG_MS = 200;
 
-/** Events over which the pace of a stream is averaged. */
+/** Gaps between events that make up one mean. */
 export const EVENT_GAP_SAMPLES = 6;
 
-/** Growth of a known pace with each average, so that slowing shows. */
+/**
+ * Factor by which the shortest mean gap grows with each new mean, so that a
+ * slowdown shows.
+ */
 export const EVENT_GAP_GROWTH = 1.03;
 
-/** Weight of the newest answer in the share of failures. */
+/** Weight of the newest response in the failure share. */
 export const FAILURE_WEIGHT = 0.08;
 
-/** Addresses of former targets whose pace is remembered. */
+/** Addresses of removed targets for which the event gap is kept. */
 export const MAX_REMEMBERED_GAPS = 4_096;
--- a/src/core/targets/index.ts
+++ b/src/core/targets/index.ts
@@ -1,4 +1,4 @@
-/** Registered targets and what is known of their load. */
+/** Registered targets and their estimated load. */
 export {REPORT_LAG_MS} from './consts.js';
 export type {ReportedLoad, TargetWork} from './target.js';
 export {Target} from './target.js';
--- a/src/core/targets/target-set.ts
+++ b/src/core/targets/target-set.ts
@@ -1,4 +1,4 @@
-/** All targets that are registered, as this entry knows them. */
+/** The registered targets that this entry has read from the store. */
 import type {Clock} from '../clock/index.js';
 import type {SourceChange, SourceItem} from '../edges/state-source.js';
 import {REREGISTRATION_GRACE_MS, MAX_REMEMBERED_GAPS} from './consts.js';
@@ -6,9 +6,10 @@
 import type {TargetRecord} from './types.js';
 
 /**
- * Keeps one `Target` for each life of a target. A target that leaves, or
- * whose registration is gone, is given no new work; where the registration
- * was missed during an outage of the store, it has time to come back.
+ * Keeps one `Target` for each incarnation of a target. A target that is
+ * draining or no longer registered gets no new work. If its registration is
+ * missing after an outage of the store, it has a grace period in which it may
+ * register again.
  *
  * @example
  * const targets = new TargetSet({clock, onRemoved: (t) => close(t)});
@@ -17,17 +18,17 @@
  */
 export class TargetSet {
   private readonly targets = new Map<string, Target>();
-  /** Paces of targets that are gone, by address. */
-  private readonly paces = new Map<string, number>();
-  /** When the registration of a target was found missing. */
+  /** Event gaps of removed targets, by address. */
+  private readonly eventGaps = new Map<string, number>();
+  /** Times at which a registration was found missing, by target id. */
   private readonly missingSinceMs = new Map<string, number>();
 
   constructor(
     private readonly options: {
       clock: Clock;
-      /** The target is gone, leaves, or has started anew. */
+      /** Called when a target is removed, drains or was restarted. */
       onRemoved: (target: Target) => void;
-      /** The target takes no work for a time. */
+      /** Called when a target is paused. */
       onPaused?: (target: Target, pauseMs: number) => void;
     },
   ) {}
@@ -37,14 +38,14 @@
     return this.targets.values();
   }
 
-  /** Whether the registered life of a target is the one that is given. */
+  /** Whether this is the registered incarnation of the target. */
   isCurrent(target: Target): boolean {
     return this.targets.get(target.id) === target;
   }
 
-  /** Targets of a service that may be given work. */
+  /** Targets of a service that take work. */
   ofService(service: string): Target[] {
-    this.forgetLapsed();
+    this.removeExpired();
     const found: Target[] = [];
     for (const target of this.targets.values()) {
       const {record} = target;
@@ -53,7 +54,7 @@
     return found;
   }
 
-  /** Takes over a whole list; `afterOutage` if the store was away before. */
+  /** Applies a full list; `afterOutage` if the store was unavailable before. */
   replaceAll(
     items: ReadonlyArray<SourceItem<TargetRecord>>,
     afterOutage: boolean,
@@ -81,10 +82,10 @@
   private put(record: TargetRecord): void {
     this.missingSinceMs.delete(record.id);
     const known = this.targets.get(record.id);
-    if (known !== undefined && isSameLife(known.record, record)) {
-      const wasLeaving = known.record.isDraining;
+    if (known !== undefined && isSameIncarnation(known.record, record)) {
+      const wasDraining = known.record.isDraining;
       known.record = record;
-      if (record.isDraining && !wasLeaving) {
+      if (record.isDraining && !wasDraining) {
         known.recordDraining();
         this.options.onRemoved(known);
       }
@@ -92,8 +93,8 @@
     }
     if (known !== undefined) this.remove(record.id);
     const {clock, onPaused} = this.options;
-    const paceMs = this.paces.get(record.address);
-    const target = new Target({record, clock, onPaused, eventGapMs: paceMs});
+    const eventGapMs = this.eventGaps.get(record.address);
+    const target = new Target({record, clock, onPaused, eventGapMs});
     this.targets.set(record.id, target);
   }
 
@@ -102,7 +103,7 @@
     this.missingSinceMs.set(id, this.options.clock.now());
   }
 
-  private forgetLapsed(): void {
+  private removeExpired(): void {
     if (this.missingSinceMs.size === 0) return;
     const dueMs = this.options.clock.now() - REREGISTRATION_GRACE_MS;
     for (const [id, sinceMs] of [...this.missingSinceMs]) {
@@ -110,11 +111,11 @@
     }
   }
 
-  /** A restarted target runs on the same machine as before. */
-  private rememberPace({record, eventGapMs: paceMs}: Target): void {
-    if (paceMs === undefined) return;
-    if (this.paces.size >= MAX_REMEMBERED_GAPS) this.paces.clear();
-    this.paces.set(record.address, paceMs);
+  /** Kept by address, since a restarted target runs on the same machine. */
+  private rememberEventGap({record, eventGapMs}: Target): void {
+    if (eventGapMs === undefined) return;
+    if (this.eventGaps.size >= MAX_REMEMBERED_GAPS) this.eventGaps.clear();
+    this.eventGaps.set(record.address, eventGapMs);
   }
 
   private remove(id: string): void {
@@ -122,12 +123,12 @@
     const target = this.targets.get(id);
     if (target === undefined) return;
     this.targets.delete(id);
-    this.rememberPace(target);
+    this.rememberEventGap(target);
     target.recordDraining();
     this.options.onRemoved(target);
   }
 }
 
-function isSameLife(a: TargetRecord, b: TargetRecord): boolean {
+function isSameIncarnation(a: TargetRecord, b: TargetRecord): boolean {
   return a.startedAtMs === b.startedAtMs && a.address === b.address;
 }
--- a/src/core/targets/target.ts
+++ b/src/core/targets/target.ts
@@ -1,4 +1,4 @@
-/** A target with what this entry knows and expects of it. */
+/** A target with its reported and estimated load. */
 import type {Clock} from '../clock/index.js';
 import {
   FAILURE_WEIGHT,
@@ -12,29 +12,30 @@
 } from './consts.js';
 import type {TargetRecord} from './types.js';
 
-/** The load that a target tells of. */
+/** Load report of a target. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
-  /** Running requests whose prompts are being read; undefined if not told. */
+  /** Running requests in prefill; undefined if not reported. */
   readonly prefilling?: number;
-  /** Tokens in memory that cannot yield; undefined where it is not told. */
+  /** Tokens in the KV cache that cannot be evicted; undefined if not reported. */
   readonly kvUsedTokens?: number;
-  /** Start of the life that tells, as a Unix time in milliseconds. */
+  /** Start of the reporting incarnation, as a Unix time in milliseconds. */
   readonly startedAtMs?: number;
 }
 
-/** Work that this entry gave to a target. */
+/** Work that this entry sent to a target. */
 export interface TargetWork {
-  /** Tokens in the target's memory at the end of the work; 0 for a call. */
+  /** Tokens in the KV cache at the end of the work; 0 for a call. */
   readonly tokens: number;
   readonly startedAtMs: number;
-  /** The prompt has not been read yet. */
+  /** Whether the prefill of the prompt has not finished. */
   isPrefilling: boolean;
 }
 
 /**
- * One target, as this entry sees it.
+ * One incarnation of a target: its registration, health and load as recorded
+ * by this entry.
  *
  * @example
  * const target = new Target({record, clock});
@@ -46,34 +47,34 @@
   private readonly clock: Clock;
   private readonly onPaused: (target: Target, pauseMs: number) => void;
   private readonly work = new Set<TargetWork>();
-  private copyTokens = 0;
+  private kvCopyTokens = 0;
   private reported: ReportedLoad = {running: 0, waiting: 0};
-  private reportedMs = Number.NEGATIVE_INFINITY;
-  /** When the load was as reported. */
-  private takenMs = Number.NEGATIVE_INFINITY;
-  /** Own work that was under way when the report was taken. */
-  private ownWhenReported = 0;
-  private seenMs = Number.NEGATIVE_INFINITY;
-  private lostMs?: number;
-  private leftMs?: number;
-  private pace?: number;
-  private gapsMs = 0;
+  private reportReceivedAtMs = Number.NEGATIVE_INFINITY;
+  /** Time at which the load was measured. */
+  private reportTakenAtMs = Number.NEGATIVE_INFINITY;
+  /** Own work in flight when the load was measured. */
+  private ownInReport = 0;
+  private seenAtMs = Number.NEGATIVE_INFINITY;
+  private unavailableFromMs?: number;
+  private drainingFromMs?: number;
+  private minMeanGapMs?: number;
+  private gapSumMs = 0;
   private gapCount = 0;
-  private failing = 0;
-  private failures = 0;
-  private pauses = 0;
+  private recentFailureShare = 0;
+  private consecutiveFailures = 0;
+  private consecutivePauses = 0;
   private pausedUntilMs = Number.NEGATIVE_INFINITY;
   private fullUntilMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: {
     record: TargetRecord;
     clock: Clock;
-    /** Told of each pause and of its length in milliseconds. */
+    /** Called on each pause with its length in milliseconds. */
     onPaused?: (target: Target, pauseMs: number) => void;
-    /** The pace of an earlier life at the same address. */
+    /** Event gap of an earlier incarnation at the same address. */
     eventGapMs?: number;
   }) {
-    this.pace = options.eventGapMs;
+    this.minMeanGapMs = options.eventGapMs;
     this.record = options.record;
     this.clock = options.clock;
     this.onPaused = options.onPaused ?? (() => undefined);
@@ -83,12 +84,12 @@
     return this.record.id;
   }
 
-  /** Own requests under way. */
+  /** Own requests in flight. */
   get running(): number {
     return this.work.size;
   }
 
-  /** Own requests whose prompts are still being read. */
+  /** Own requests in prefill. */
   get prefilling(): number {
     let count = 0;
     for (const work of this.work) if (work.isPrefilling) count++;
@@ -106,82 +107,83 @@
     this.work.delete(work);
   }
 
-  /** A copy of a run at another target takes memory here. */
+  /** Adds the copy of a KV cache that this target holds for another one. */
   addKvCopy(tokens: number): void {
-    this.copyTokens += tokens;
+    this.kvCopyTokens += tokens;
   }
 
   removeKvCopy(tokens: number): void {
-    this.copyTokens = Math.max(0, this.copyTokens - tokens);
+    this.kvCopyTokens = Math.max(0, this.kvCopyTokens - tokens);
   }
 
-  /** Takes over what the target said of its load, `lagMs` ago. */
+  /** Records a load report that was measured `lagMs` ago. */
   recordLoad(load: ReportedLoad, lagMs = 0): void {
     this.reported = load;
-    this.reportedMs = this.clock.now();
-    this.takenMs = this.reportedMs - lagMs;
-    this.ownWhenReported = 0;
+    this.reportReceivedAtMs = this.clock.now();
+    this.reportTakenAtMs = this.reportReceivedAtMs - lagMs;
+    this.ownInReport = 0;
     for (const work of this.work) {
-      if (work.startedAtMs <= this.takenMs) this.ownWhenReported++;
+      if (work.startedAtMs <= this.reportTakenAtMs) this.ownInReport++;
     }
     this.recordSeen();
   }
 
-  /** The target has just shown that it is there. */
+  /** Records that a message or response of the target has arrived. */
   recordSeen(): void {
-    this.seenMs = this.clock.now();
-    this.lostMs = undefined;
+    this.seenAtMs = this.clock.now();
+    this.unavailableFromMs = undefined;
   }
 
-  /** When the target was last seen, on the process's clock. */
+  /** Time at which the target was last seen, on the process's clock. */
   get lastSeenAtMs(): number {
-    return this.seenMs;
+    return this.seenAtMs;
   }
 
-  /** Since when the target is not there; undefined if it is. */
+  /** Time since which the target is unavailable; undefined if it is available. */
   get unavailableSinceMs(): number | undefined {
-    return this.lostMs;
+    return this.unavailableFromMs;
   }
 
-  /** Milliseconds since the target last showed that it is there. */
+  /** Milliseconds since the target was last seen. */
   lastSeenAgeMs(): number {
-    return this.clock.now() - this.seenMs;
+    return this.clock.now() - this.seenAtMs;
   }
 
-  /** Milliseconds since the target last told of its load. */
+  /** Milliseconds since the last load report. */
   reportAgeMs(): number {
-    return this.clock.now() - this.reportedMs;
+    return this.clock.now() - this.reportReceivedAtMs;
   }
 
-  /** Requests at the target from all entries, as far as is known. */
+  /** Estimated requests at the target from all entries. */
   estimatedRequests(): number {
     return this.othersRequests() + this.work.size;
   }
 
-  /** Prompts that are read or wait to be, as far as is known. */
+  /** Estimated prompts in prefill or waiting for it. */
   estimatedPrefills(): number {
     if (this.reportAgeMs() > MAX_REPORT_AGE_MS) return this.prefilling;
-    const {prefilling: reading = 0, waiting} = this.reported;
-    let unread = reading + waiting;
+    const {prefilling = 0, waiting} = this.reported;
+    let prefills = prefilling + waiting;
     for (const work of this.work) {
-      if (work.isPrefilling && work.startedAtMs > this.takenMs) unread++;
+      if (work.isPrefilling && work.startedAtMs > this.reportTakenAtMs)
+        prefills++;
     }
-    return unread;
+    return prefills;
   }
 
-  /** Tokens in the target's memory, with those that own work will need. */
+  /** Tokens in the KV cache, with those that own work will need. */
   plannedTokens(): number {
     const own = this.ownTokens();
-    const {kvUsedTokens: memoryUsed} = this.reported;
-    if (memoryUsed === undefined || this.reportAgeMs() > MAX_REPORT_AGE_MS) {
+    const {kvUsedTokens} = this.reported;
+    if (kvUsedTokens === undefined || this.reportAgeMs() > MAX_REPORT_AGE_MS) {
       return own;
     }
-    return Math.max(own, memoryUsed + this.tokensBegunSinceReport());
+    return Math.max(own, kvUsedTokens + this.tokensStartedSinceReport());
   }
 
-  /** Tokens that this entry's work and copies hold in the target's memory. */
+  /** Tokens that this entry's work and copies hold in the KV cache. */
   private ownTokens(): number {
-    let tokens = this.copyTokens;
+    let tokens = this.kvCopyTokens;
     for (const work of this.work) tokens += work.tokens;
     return tokens;
   }
@@ -189,90 +191,92 @@
   private othersRequests(): number {
     if (this.reportAgeMs() > MAX_REPORT_AGE_MS) return 0;
     const {running, waiting} = this.reported;
-    return Math.max(0, running + waiting - this.ownWhenReported);
+    return Math.max(0, running + waiting - this.ownInReport);
   }
 
-  private tokensBegunSinceReport(): number {
+  private tokensStartedSinceReport(): number {
     let tokens = 0;
     for (const work of this.work) {
-      if (work.startedAtMs > this.takenMs) tokens += work.tokens;
+      if (work.startedAtMs > this.reportTakenAtMs) tokens += work.tokens;
     }
     return tokens;
   }
 
-  /** Notes the time between two events of a stream, in milliseconds. */
+  /** Records the time between two events of a stream, in milliseconds. */
   recordEventGap(gapMs: number): void {
-    this.gapsMs += gapMs;
+    this.gapSumMs += gapMs;
     this.gapCount++;
     if (this.gapCount < EVENT_GAP_SAMPLES) return;
-    const meanMs = this.gapsMs / this.gapCount;
-    this.gapsMs = 0;
+    const meanMs = this.gapSumMs / this.gapCount;
+    this.gapSumMs = 0;
     this.gapCount = 0;
-    const agedMs = (this.pace ?? Number.POSITIVE_INFINITY) * EVENT_GAP_GROWTH;
-    this.pace = Math.min(agedMs, meanMs);
+    const agedMs =
+      (this.minMeanGapMs ?? Number.POSITIVE_INFINITY) * EVENT_GAP_GROWTH;
+    this.minMeanGapMs = Math.min(agedMs, meanMs);
   }
 
-  /** Shortest mean time between events seen lately; undefined if unknown. */
+  /** Shortest recent mean time between events; undefined if unknown. */
   get eventGapMs(): number | undefined {
-    return this.pace;
+    return this.minMeanGapMs;
   }
 
-  /** Notes whether an answer was a failure of the target's own. */
+  /** Records whether a response was a failure of the target. */
   recordResponse(isFailure: boolean): void {
     const sample = isFailure ? 1 : 0;
-    this.failing += (sample - this.failing) * FAILURE_WEIGHT;
+    this.recentFailureShare +=
+      (sample - this.recentFailureShare) * FAILURE_WEIGHT;
   }
 
-  /** Share of recent answers that were failures. */
+  /** Share of recent responses that were failures. */
   get failureShare(): number {
-    return this.failing;
+    return this.recentFailureShare;
   }
 
   recordSuccess(): void {
     this.recordSeen();
-    this.failures = 0;
-    this.pauses = 0;
+    this.consecutiveFailures = 0;
+    this.consecutivePauses = 0;
     this.pausedUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** The target did not answer, or not as it should. */
+  /** Records that the target did not respond or that its response was invalid. */
   recordFailure(): void {
-    this.failures++;
-    if (this.failures < FAILURES_BEFORE_PAUSE) return;
+    this.consecutiveFailures++;
+    if (this.consecutiveFailures < FAILURES_BEFORE_PAUSE) return;
     this.pause();
   }
 
   /**
-   * The target is not there: it takes no work for a while, which grows with
-   * each time that it is still not there.
+   * Gives the target no work for some time, because it does not respond. The
+   * pause doubles each time until it responds.
    */
   pause(): void {
-    const pauseMs = PAUSE_AFTER_FAILURE_MS * 2 ** this.pauses;
-    this.pauses++;
+    const pauseMs = PAUSE_AFTER_FAILURE_MS * 2 ** this.consecutivePauses;
+    this.consecutivePauses++;
     this.pauseFor(Math.min(pauseMs, LONGEST_PAUSE_MS));
   }
 
-  /** This life of the target is over; another will register itself. */
+  /** Records that this incarnation ended; a new one will register itself. */
   recordIncarnationEnded(): void {
     this.pauseFor(LONGEST_PAUSE_MS);
   }
 
-  /** The target had no room for a request. */
+  /** Records that the target rejected a request for lack of capacity. */
   recordRejected(): void {
     this.fullUntilMs = this.clock.now() + PAUSE_AFTER_REJECT_MS;
   }
 
-  /** The target takes no new work: it leaves, or is gone. */
+  /** Records that the target takes no new work: it is draining or was removed. */
   recordDraining(): void {
-    this.leftMs ??= this.clock.now();
+    this.drainingFromMs ??= this.clock.now();
     this.record = {...this.record, isDraining: true};
   }
 
-  /** Milliseconds since the target was found to leave; undefined if not. */
+  /** Milliseconds since draining was recorded; undefined if it was not. */
   drainingForMs(): number | undefined {
-    return this.leftMs === undefined
+    return this.drainingFromMs === undefined
       ? undefined
-      : this.clock.now() - this.leftMs;
+      : this.clock.now() - this.drainingFromMs;
   }
 
   isPaused(): boolean {
@@ -285,7 +289,7 @@
 
   private pauseFor(pauseMs: number): void {
     const untilMs = this.clock.now() + pauseMs;
-    this.lostMs ??= this.clock.now();
+    this.unavailableFromMs ??= this.clock.now();
     if (untilMs <= this.pausedUntilMs) return;
     this.pausedUntilMs = untilMs;
     this.onPaused(this, pauseMs);
--- a/src/core/targets/types.ts
+++ b/src/core/targets/types.ts
@@ -1,29 +1,27 @@
-/** Shapes of registered targets. */
+/** Types of registered targets. */
 
-/** A target as it registered itself. */
+/** Registration of a target. */
 export interface TargetRecord {
   readonly id: string;
   readonly service: string;
   /** IP:PORT. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it works on at once. */
+  /** Requests that it runs concurrently. */
   readonly slots: number;
-  /** It finishes its work and takes no more. */
+  /** It finishes its work and takes no new work. */
   readonly isDraining: boolean;
-  /** Unix milliseconds of its start: tells a restart under the same id. */
+  /** Unix time of its start, in milliseconds; differs after a restart. */
   readonly startedAtMs?: number;
 }
 
 /**
- * Names one life of a target: a restart under the same id is another.
+ * Returns the id of an incarnation of a target; a restart under the same
+ * target id is another incarnation.
  *
  * @example
- * lifeOf({id: 'i-7', bornMs: 1000, ...rest}); // 'i-7@1000'
+ * incarnationOf({id: 'i-7', startedAtMs: 1000, ...rest}); // 'i-7@1000'
  */
-export function incarnationOf({
-  id,
-  startedAtMs: bornMs = 0,
-}: TargetRecord): string {
-  return `${id}@${bornMs}`;
+export function incarnationOf({id, startedAtMs = 0}: TargetRecord): string {
+  return `${id}@${startedAtMs}`;
 }
