--- a/src/core/streams/event-sequence.ts
+++ b/src/core/streams/event-sequence.ts
@@ -1,50 +1,51 @@
-/** Keeps a stream whole across the targets that write it. */
+/** Keeps the events of a stream in sequence across several targets. */
 
-/** What to do with an event. */
+/** Result of checking an event. */
 export enum SequenceCheck {
-  /** It is the next one. */
+  /** The event is the next one. */
   PASS = 'pass',
-  /** The caller has it already. */
+  /** The caller has received the event already. */
   SKIP = 'skip',
-  /** One before it is missing: the target's stream cannot be used. */
+  /** An earlier event is missing, so the target's stream cannot be used. */
   GAP = 'gap',
 }
 
 /**
- * Judges events by their ids, which rise by one. An event without an id
- * cannot be placed, so nothing can follow a change of targets after it.
+ * Checks events by their ids, which increase by one. The position of an event
+ * without an id is unknown, so another target cannot resume the stream after
+ * it.
  *
  * @example
  * const sequence = new EventSequence({lastId: 12});
- * sequence.judge(13); // EventVerdict.PASS
+ * sequence.check(13); // SequenceCheck.PASS
  */
 export class EventSequence {
   private last?: number;
-  private passed = 0;
-  private hasUnnumbered = false;
+  private passedCount = 0;
+  private hasEventWithoutId = false;
 
   constructor(options: {lastId?: number}) {
     this.last = options.lastId;
   }
 
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that was passed on to the caller. */
   get lastId(): number | undefined {
     return this.last;
   }
 
-  /** Events passed on since the start. */
+  /** Number of events passed on since the start. */
   get count(): number {
-    return this.passed;
+    return this.passedCount;
   }
 
-  /** Whether another target could continue the stream. */
+  /** Whether another target can resume the stream. */
   get isResumable(): boolean {
-    return !this.hasUnnumbered;
+    return !this.hasEventWithoutId;
   }
 
   check(id: number | undefined): SequenceCheck {
     if (id === undefined) {
-      this.hasUnnumbered = true;
+      this.hasEventWithoutId = true;
       return this.pass();
     }
     if (this.last !== undefined) {
@@ -56,7 +57,7 @@
   }
 
   private pass(): SequenceCheck {
-    this.passed++;
+    this.passedCount++;
     return SequenceCheck.PASS;
   }
 }
--- a/src/core/streams/event-splitter.ts
+++ b/src/core/streams/event-splitter.ts
@@ -1,26 +1,26 @@
-/** Splits the bytes of an event stream into whole events. */
+/** Splits the bytes of an event stream into complete events. */
 import {createParser} from 'eventsource-parser';
 
 const BLANK_LINE = Buffer.from('\n\n');
 
-/** One whole event, with its blank line. */
+/** A complete event with the blank line that ends it. */
 export interface RawEvent {
-  /** The bytes as they came. */
+  /** The bytes as received. */
   readonly bytes: Uint8Array;
-  /** Position of the event in its stream; undefined where it has none. */
+  /** Position of the event in its stream; undefined if it has none. */
   readonly id?: number;
 }
 
 /**
- * Collects bytes until an event is whole. What is left over at the end of a
- * stream is half an event.
+ * Buffers bytes until an event is complete. Bytes that remain at the end of a
+ * stream are an incomplete event.
  *
  * @example
  * const splitter = new EventSplitter();
  * for (const event of splitter.push(chunk)) send(event.bytes);
  */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private pending: Buffer = Buffer.alloc(0);
   private lastId?: string;
   private readonly parser = createParser({
     onEvent: (event) => {
@@ -28,15 +28,15 @@
     },
   });
 
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   get pendingBytes(): number {
-    return this.rest.length;
+    return this.pending.length;
   }
 
   push(chunk: Uint8Array): RawEvent[] {
     const view = Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
     let bytes =
-      this.rest.length === 0 ? view : Buffer.concat([this.rest, view]);
+      this.pending.length === 0 ? view : Buffer.concat([this.pending, view]);
     const events: RawEvent[] = [];
     for (;;) {
       const at = bytes.indexOf(BLANK_LINE);
@@ -45,7 +45,7 @@
       events.push(this.toEvent(bytes.subarray(0, end)));
       bytes = bytes.subarray(end);
     }
-    this.rest = bytes;
+    this.pending = bytes;
     return events;
   }
 
@@ -58,7 +58,7 @@
 }
 
 /**
- * The position that an event id names.
+ * Parses the position in an event id; undefined if the id is not a number.
  *
  * @example
  * toPosition('12'); // 12
--- a/src/core/streams/index.ts
+++ b/src/core/streams/index.ts
@@ -1,4 +1,4 @@
-/** Event streams that are carried from one target to the next by their ids. */
+/** Event streams that can be resumed at another target by event id. */
 export {EventSequence, SequenceCheck} from './event-sequence.js';
 export type {RawEvent} from './event-splitter.js';
 export {EventSplitter, toPosition} from './event-splitter.js';
--- a/src/core/streams/min-generation-time.ts
+++ b/src/core/streams/min-generation-time.ts
@@ -1,27 +1,29 @@
-/** The least time that a generation takes, as those before it took. */
+/** Estimates the shortest possible time of a generation. */
 
-/** Growth of a known minimum with each new sample, so that it is not final. */
-const AGING = 1.01;
+/** Factor by which a minimum grows with each new sample, so that it can rise. */
+const MIN_GROWTH_FACTOR = 1.01;
 
-/** Samples before which nothing is held to be impossible. */
+/** Samples before any estimate is made. */
 const MIN_SAMPLES = 5;
 
-/** Part of the least time that must be missing before a caller is refused. */
-const CAUTION = 0.8;
+/** Share of the shortest time below which the remaining time is too short. */
+const REFUSAL_FACTOR = 0.8;
 
-/** What is known of a generation when it arrives. */
+/** Size of a generation as known on arrival. */
 export interface GenerationSize {
   readonly promptTokens: number;
-  /** Events that it has at most. */
+  /** Maximum number of events. */
   readonly maxEvents: number;
-  /** Events that the caller has already. */
+  /** Number of events that the caller has received already. */
   readonly receivedEvents: number;
 }
 
-/** A generation that ended well. */
+/** Measured times of a successful generation. */
 export interface GenerationSample {
   readonly promptTokens: number;
+  /** Maximum number of events. */
   readonly maxEvents: number;
+  /** Number of events that were sent. */
   readonly events: number;
   /** From arrival to the first event, in milliseconds. */
   readonly firstEventMs: number;
@@ -30,51 +32,46 @@
 }
 
 /**
- * Learns how fast the best generations of a service were. Serves the load
- * after a failure, when callers return with little time left: what cannot
- * be served in it is refused before an engine reads its prompt.
+ * Estimates the shortest time of a generation from the fastest ones of its
+ * service. After a failure, callers retry with little time left; a generation
+ * that cannot finish in that time is refused before an engine spends a prefill
+ * on it.
  *
  * @example
- * const times = new StreamTime();
- * times.learn(generation);
- * times.isHopeless({need, leftMs: 1_000});
+ * const times = new MinGenerationTime();
+ * times.addSample(generation);
+ * times.cannotFinish({need, leftMs: 1_000});
  */
 export class MinGenerationTime {
   private samples = 0;
   private msPerToken = Number.POSITIVE_INFINITY;
   private msPerEvent = Number.POSITIVE_INFINITY;
-  /** Smallest share of the announced events that was written. */
+  /** Smallest recent ratio of events sent to the maximum number of events. */
   private eventShare = 1;
 
-  addSample(times: GenerationSample): void {
-    const {
-      promptTokens,
-      maxEvents,
-      events,
-      firstEventMs,
-      streamingMs: writingMs,
-    } = times;
+  addSample(sample: GenerationSample): void {
+    const {promptTokens, maxEvents, events, firstEventMs, streamingMs} = sample;
     if (promptTokens <= 0 || maxEvents <= 0 || events <= 1) return;
     this.samples++;
-    this.msPerToken = lower(this.msPerToken, firstEventMs / promptTokens);
-    this.msPerEvent = lower(this.msPerEvent, writingMs / (events - 1));
-    this.eventShare = lower(this.eventShare, events / maxEvents);
+    this.msPerToken = updateMin(this.msPerToken, firstEventMs / promptTokens);
+    this.msPerEvent = updateMin(this.msPerEvent, streamingMs / (events - 1));
+    this.eventShare = updateMin(this.eventShare, events / maxEvents);
   }
 
-  /** The least time for a generation, in milliseconds; 0 while unknown. */
+  /** Shortest time for a generation, in milliseconds; 0 while unknown. */
   shortestMs(need: GenerationSize): number {
     if (this.samples < MIN_SAMPLES) return 0;
-    const {promptTokens, maxEvents, receivedEvents: hasEvents} = need;
-    const events = Math.max(0, maxEvents * this.eventShare - hasEvents);
+    const {promptTokens, maxEvents, receivedEvents} = need;
+    const events = Math.max(0, maxEvents * this.eventShare - receivedEvents);
     return promptTokens * this.msPerToken + events * this.msPerEvent;
   }
 
-  /** Whether a generation cannot end in the time that is left. */
+  /** Whether a generation cannot finish in the remaining time. */
   cannotFinish(options: {need: GenerationSize; leftMs: number}): boolean {
-    return options.leftMs < this.shortestMs(options.need) * CAUTION;
+    return options.leftMs < this.shortestMs(options.need) * REFUSAL_FACTOR;
   }
 }
 
-function lower(known: number, sample: number): number {
-  return Math.min(known * AGING, sample);
+function updateMin(known: number, sample: number): number {
+  return Math.min(known * MIN_GROWTH_FACTOR, sample);
 }
--- a/src/core/streams/stall-timeout.ts
+++ b/src/core/streams/stall-timeout.ts
@@ -1,54 +1,58 @@
-/** How long a stream may be silent before its target counts as lost. */
+/** Timeouts for a stream whose target sends no events. */
 
-/** Shortest silence that counts as a loss, in milliseconds. */
-const FLOOR_MS = 300;
+/** Shortest stall timeout, in milliseconds. */
+const MIN_STALL_MS = 300;
 
-/** Longest silence that is waited for, as a share of the pause allowed. */
-const PAUSE_SHARE = 0.65;
+/** Longest stall timeout, as a share of the longest pause allowed. */
+const MAX_PAUSE_SHARE = 0.65;
 
-/** Silence allowed, as a multiple of the widest gap seen. */
-const ALLOWED_GAPS = 2.5;
+/** Stall timeout as a multiple of the widest gap seen. */
+const STALL_GAP_FACTOR = 2.5;
 
-/** Longest silence where a route names no pause, in milliseconds. */
-const DEFAULT_PAUSE_MS = 1_500;
+/** Longest pause between events if the route sets none, in milliseconds. */
+const DEFAULT_MAX_PAUSE_MS = 1_500;
 
 /**
- * The silence after which a stream moves on. Serves the load of targets that
- * fall silent in the middle of streams: leaving a slow target costs little,
- * staying with a dead one costs the answer's timeliness.
+ * Returns the time without events after which a stream is moved to another
+ * target. Moving a stream from a slow target costs little, while staying with a
+ * dead one delays the response beyond its allowed pause.
  *
  * @example
- * stallLimitMs({maxPauseMs: 700, widestGapMs: 60}); // 300
+ * stallTimeoutMs({maxPauseMs: 700, widestGapMs: 60}); // 300
  */
 export function stallTimeoutMs(options: {
+  /** Longest pause between events that the route allows. */
   maxPauseMs?: number;
-  /** Widest gap between events of the same target, lately. */
+  /** Widest recent gap between events of the same target. */
   widestGapMs: number;
 }): number {
-  const {maxPauseMs = DEFAULT_PAUSE_MS, widestGapMs} = options;
-  const ceilingMs = Math.max(FLOOR_MS, maxPauseMs * PAUSE_SHARE);
-  return Math.min(Math.max(FLOOR_MS, widestGapMs * ALLOWED_GAPS), ceilingMs);
+  const {maxPauseMs = DEFAULT_MAX_PAUSE_MS, widestGapMs} = options;
+  const ceilingMs = Math.max(MIN_STALL_MS, maxPauseMs * MAX_PAUSE_SHARE);
+  return Math.min(
+    Math.max(MIN_STALL_MS, widestGapMs * STALL_GAP_FACTOR),
+    ceilingMs,
+  );
 }
 
-/** Shortest silence that is looked into, in milliseconds. */
-const SUSPECT_FLOOR_MS = 130;
+/** Shortest delay before a probe, in milliseconds. */
+const MIN_PROBE_DELAY_MS = 130;
 
-/** Silence that is looked into, as a multiple of the widest gap seen. */
-const SUSPECT_GAPS = 1.6;
+/** Delay before a probe as a multiple of the widest gap seen. */
+const PROBE_GAP_FACTOR = 1.6;
 
 /**
- * The silence after which a target is asked whether it is there at all.
+ * Returns the time without events after which a target is probed.
  *
  * @example
- * suspectLimitMs({maxPauseMs: 700, widestGapMs: 60}); // 130
+ * probeDelayMs({maxPauseMs: 700, widestGapMs: 60}); // 130
  */
 export function probeDelayMs(options: {
   maxPauseMs?: number;
   widestGapMs: number;
 }): number {
-  const byGapsMs = options.widestGapMs * SUSPECT_GAPS;
+  const byGapsMs = options.widestGapMs * PROBE_GAP_FACTOR;
   return Math.min(
-    Math.max(SUSPECT_FLOOR_MS, byGapsMs),
+    Math.max(MIN_PROBE_DELAY_MS, byGapsMs),
     stallTimeoutMs(options),
   );
 }
