--- a/src/core/drain/consts.ts
+++ b/src/core/drain/consts.ts
@@ -1,15 +1,15 @@
 import type {DrainLimits} from './types.js';
 
-/** How often a drain looks whether it has ended, in milliseconds. */
+/** Interval between checks whether a drain is complete, in milliseconds. */
 export const DRAIN_POLL_MS = 50;
 
-/** An entry refuses for long enough that balancers and callers notice. */
+/** An entry refuses new work long enough for load balancers and callers to notice. */
 export const ENTRY_DRAIN_LIMITS: DrainLimits = {
   minDrainMs: 2_000,
   peerTimeoutMs: 5_000,
 };
 
-/** An agent outlasts claims that were written before it began to leave. */
+/** An agent stays up for claims that were written before it began to drain. */
 export const AGENT_DRAIN_LIMITS: DrainLimits = {
   minDrainMs: 1_000,
   peerTimeoutMs: 5_000,
--- a/src/core/drain/drain-controller.ts
+++ b/src/core/drain/drain-controller.ts
@@ -6,15 +6,15 @@
 import type {DrainLimits, DrainState, DrainWork} from './types.js';
 
 /**
- * Takes a process through its planned stop: sets `leaving`, from which moment
- * new work is refused, and calls `onDrained` once it may end.
+ * Controls the graceful shutdown of a process: sets `draining`, after which new
+ * work is refused, and calls `onDrained` once the process may exit.
  *
  * @example
  * process.on('SIGTERM', () => drain.begin());
  */
 export class DrainController {
-  private beganAtMs = 0;
-  private busyAtMs = 0;
+  private startedAtMs = 0;
+  private lastBusyAtMs = 0;
 
   constructor(
     private readonly options: {
@@ -27,14 +27,14 @@
     },
   ) {}
 
-  /** Begins to leave; does nothing when that has begun. */
+  /** Begins to drain; does nothing if it has begun already. */
   begin(): void {
-    const {draining: leaving, clock, logger} = this.options;
-    if (leaving.get()) return;
-    this.beganAtMs = clock.now();
-    this.busyAtMs = this.beganAtMs;
-    logger.info('leaving');
-    leaving.set(true);
+    const {draining, clock, logger} = this.options;
+    if (draining.get()) return;
+    this.startedAtMs = clock.now();
+    this.lastBusyAtMs = this.startedAtMs;
+    logger.info('draining');
+    draining.set(true);
     this.check();
   }
 
@@ -52,10 +52,10 @@
     const {clock, work} = this.options;
     const nowMs = clock.now();
     const running = work.countRunning();
-    if (running > 0) this.busyAtMs = nowMs;
+    if (running > 0) this.lastBusyAtMs = nowMs;
     return {
-      drainingForMs: nowMs - this.beganAtMs,
-      idleForMs: nowMs - this.busyAtMs,
+      drainingForMs: nowMs - this.startedAtMs,
+      idleForMs: nowMs - this.lastBusyAtMs,
       running,
       unsentBytes: work.countUnsentBytes(),
       pendingPeers: work.countPendingPeers(),
--- a/src/core/drain/index.ts
+++ b/src/core/drain/index.ts
@@ -1,4 +1,4 @@
-/** Planned stops: when a process that leaves may end. */
+/** Graceful shutdown: draining a process until it may exit. */
 export * from './consts.js';
 export * from './drain-controller.js';
 export * from './may-exit.js';
--- a/src/core/drain/may-exit.ts
+++ b/src/core/drain/may-exit.ts
@@ -1,9 +1,9 @@
 import type {DrainLimits, DrainState} from './types.js';
 
 /**
- * Whether a process that leaves may end: nothing runs, everything was sent
- * and nobody can still be sending it work. Peers that are silent hold it up
- * for a bounded time only; work in progress holds it up without a bound.
+ * Whether a draining process may exit: no work runs, all responses were sent
+ * and no peer can still send work. Work in progress delays the exit without
+ * bound, peers that do not respond only for a bounded time.
  *
  * @example
  * if (mayExit(state, AGENT_DRAIN_LIMITS)) process.exit(0);
--- a/src/core/drain/types.ts
+++ b/src/core/drain/types.ts
@@ -1,22 +1,22 @@
-/** How far a process that leaves has come. */
+/** Progress of a draining process. */
 export interface DrainState {
-  /** Time since it began to leave, in milliseconds. */
+  /** Time since it began to drain, in milliseconds. */
   readonly drainingForMs: number;
   /** Time since it last had work, in milliseconds; 0 while it has some. */
   readonly idleForMs: number;
-  /** Work that was taken and has not ended. */
+  /** Number of accepted requests that have not ended. */
   readonly running: number;
-  /** Bytes of answers that have not left yet. */
+  /** Bytes of responses that were not sent yet. */
   readonly unsentBytes: number;
-  /** Connected peers that have not promised to send no more work. */
+  /** Connected peers that have not confirmed that they send no more work. */
   readonly pendingPeers: number;
 }
 
 /** Bounds of a drain. */
 export interface DrainLimits {
-  /** Least time for which new work is still refused, in milliseconds. */
+  /** Least time for which the process refuses new work, in milliseconds. */
   readonly minDrainMs: number;
-  /** Longest wait for peers that do not read or answer, in milliseconds. */
+  /** Longest wait for peers that do not read or respond, in milliseconds. */
   readonly peerTimeoutMs: number;
 }
 
