--- a/src/core/membership/consts.ts
+++ b/src/core/membership/consts.ts
@@ -1,26 +1,26 @@
 import {Weigh} from '../config/types.js';
 import type {SuspicionBounds} from './types.js';
 
-/** Gaps that the threshold remembers. */
+/** Number of recent gaps from which a timeout is computed. */
 export const GAP_SAMPLES = 64;
 
-/** A silence is suspect beyond the longest gap kept, times this. */
+/** Timeout as a multiple of the longest recent gap. */
 export const GAP_FACTOR = 3;
 
-/** Bounds while work runs at the peer, by what the deployment weighs. */
+/** Bounds while work runs at the peer, by the recovery goal of the deployment. */
 export const BUSY_BOUNDS: Readonly<Record<Weigh, SuspicionBounds>> = {
   [Weigh.LATENCY]: {floorMs: 450, ceilingMs: 1_500},
   [Weigh.RESOURCES]: {floorMs: 1_200, ceilingMs: 1_800},
 };
 
-/** Bounds while no work runs there. */
+/** Bounds while no work runs at the peer. */
 export const IDLE_BOUNDS: SuspicionBounds = {
   floorMs: 2_500,
   ceilingMs: 5_000,
 };
 
-/** Targets of each service that an entry draws for itself. */
+/** Targets of each service in the subset of an entry. */
 export const SUBSET_SIZE = 32;
 
-/** Entries that watch a target whoever else draws it. */
+/** Entries that watch each target whether it is in their subset or not. */
 export const WATCHERS_PER_TARGET = 2;
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -1,4 +1,4 @@
-/** Who takes part, who is suspected, and whom an entry watches. */
+/** Membership: suspicion of peers and the targets that an entry watches. */
 export * from './consts.js';
 export * from './silence-timeout.js';
 export * from './rendezvous.js';
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -2,7 +2,7 @@
 
 const hasher = await xxhash();
 
-/** Keeps `ab` with `c` apart from `a` with `bc`. */
+/** Separates key and member, so that `ab` + `c` differs from `a` + `bc`. */
 const SEPARATOR = '\n';
 
 interface Scored {
@@ -11,8 +11,8 @@
 }
 
 /**
- * Orders members by rendezvous hashing: each key has an order of its own, and
- * a member that comes or goes moves no other against the rest.
+ * Orders members by rendezvous hashing: each key has its own order, and adding
+ * or removing a member does not change the order of the others.
  *
  * @example
  * rankByRendezvous({key: 'entry-1', members: ['engine-1', 'engine-2']});
@@ -30,24 +30,25 @@
 }
 
 /**
- * Whether a member is among the first `count` in a key's order; far cheaper
- * than the whole order where it is not.
+ * Whether a member is among the first `count` in a key's order. If it is not,
+ * this is much cheaper than computing the whole order.
  *
  * @example
- * isAmongFirst({key: 'engine-1', member: 'entry-1', rivals, count: 2});
+ * isAmongFirst({key: 'engine-1', member: 'entry-1', members, count: 2});
  */
 export function isAmongFirst(options: {
   key: string;
   member: string;
+  /** Members to compare with; `member` may be one of them. */
   members: readonly string[];
   count: number;
 }): boolean {
-  const {key, member, members: rivals, count} = options;
+  const {key, member, members, count} = options;
   const own = {member, score: scoreOf(key, member)};
   let ahead = 0;
-  for (const rival of rivals) {
-    if (rival === member) continue;
-    const other = {member: rival, score: scoreOf(key, rival)};
+  for (const candidate of members) {
+    if (candidate === member) continue;
+    const other = {member: candidate, score: scoreOf(key, candidate)};
     if (compare(other, own) < 0 && ++ahead >= count) return false;
   }
   return true;
--- a/src/core/membership/silence-timeout.ts
+++ b/src/core/membership/silence-timeout.ts
@@ -2,14 +2,14 @@
 import type {SuspicionBounds} from './types.js';
 
 /**
- * Learns from the gaps between a peer's messages how long a silence is
- * unusual: a multiple of the longest gap of late, within bounds. Until a gap
- * is known the ceiling holds.
+ * Adaptive failure detection: computes the time without a message after which
+ * a peer is suspected, as a multiple of the longest recent gap between its
+ * messages, within bounds. Until a gap is recorded, it is the upper bound.
  *
  * @example
- * const threshold = new GapThreshold({floorMs: 600, ceilingMs: 1_500});
- * threshold.note(100);
- * threshold.allowedMs(); // 600
+ * const timeout = new SilenceTimeout({floorMs: 600, ceilingMs: 1_500});
+ * timeout.recordGap(100);
+ * timeout.timeoutMs(); // 600
  */
 export class SilenceTimeout {
   private readonly gaps: number[] = [];
@@ -21,13 +21,13 @@
     this.bounds = bounds;
   }
 
-  /** Takes the time between two messages, in milliseconds. */
+  /** Records the time between two messages, in milliseconds. */
   recordGap(gapMs: number): void {
     this.gaps[this.next] = gapMs;
     this.next = (this.next + 1) % GAP_SAMPLES;
   }
 
-  /** The longest silence that is not suspect, in milliseconds. */
+  /** Longest time without a message before the peer is suspected. */
   timeoutMs(): number {
     const {floorMs, ceilingMs} = this.bounds;
     if (this.gaps.length === 0) return ceilingMs;
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -1,12 +1,12 @@
-/** Bounds of the silence after which a peer is suspected. */
+/** Bounds of the time without a message after which a peer is suspected. */
 export interface SuspicionBounds {
-  /** Never suspect before, in milliseconds. */
+  /** Least time before a peer is suspected, in milliseconds. */
   readonly floorMs: number;
-  /** Always suspect after, in milliseconds. */
+  /** Time after which a peer is always suspected, in milliseconds. */
   readonly ceilingMs: number;
 }
 
-/** A target as the subset sees it. */
+/** A target that can be part of a subset. */
 export interface SubsetTarget {
   readonly vm: string;
   readonly service: string;
