--- a/src/core/admission/consts.ts
+++ b/src/core/admission/consts.ts
@@ -10,7 +10,9 @@
 /** Time constant of the decaying average of a drain rate, in milliseconds. */
 export const DRAIN_RATE_DECAY_MS = 1_000;
 
-/** Time without any slot until waiting requests are refused, in milliseconds. */
+/**
+ * Time without any slot until waiting requests are refused, in milliseconds.
+ */
 export const NO_SLOTS_GRACE_MS = 5_000;
 
 /** Shortest Retry-After of a refusal before jitter, in milliseconds. */
@@ -34,5 +36,7 @@
 /** Mean deviations that a conservative estimate adds to the mean. */
 export const CONSERVATIVE_DEVIATIONS = 2;
 
-/** Share of the difference by which a longer sample raises the shortest time. */
+/**
+ * Share of the difference by which a longer sample raises the shortest time.
+ */
 export const SHORTEST_RISE = 0.05;
--- a/src/core/admission/retry-budget.ts
+++ b/src/core/admission/retry-budget.ts
@@ -4,7 +4,9 @@
 /** Sliding window in which attempts are counted, in milliseconds. */
 export const RETRY_WINDOW_MS = 10_000;
 
-/** Retries per window that are allowed whatever the number of first attempts. */
+/**
+ * Retries per window that are allowed whatever the number of first attempts.
+ */
 export const RETRY_FLOOR = 3;
 
 /** Slices of the window; counts expire one slice at a time. */
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -42,7 +42,9 @@
   PriorityClass.LOW,
 ];
 
-/** In each class, one lane for resumed requests goes before one for new ones. */
+/**
+ * In each class, one lane for resumed requests goes before one for new ones.
+ */
 const LANES_PER_CLASS = 2;
 
 /**
--- a/src/core/drain/consts.ts
+++ b/src/core/drain/consts.ts
@@ -3,7 +3,10 @@
 /** Interval between checks whether a drain is complete, in milliseconds. */
 export const DRAIN_POLL_MS = 50;
 
-/** An entry refuses new work long enough for load balancers and callers to notice. */
+/**
+ * An entry refuses new work long enough for load balancers and callers to
+ * notice.
+ */
 export const ENTRY_DRAIN_LIMITS: DrainLimits = {
   minDrainMs: 2_000,
   peerTimeoutMs: 5_000,
--- a/src/core/membership/consts.ts
+++ b/src/core/membership/consts.ts
@@ -7,7 +7,9 @@
 /** Timeout as a multiple of the longest recent gap. */
 export const GAP_FACTOR = 3;
 
-/** Bounds while work runs at the peer, by the recovery goal of the deployment. */
+/**
+ * Bounds while work runs at the peer, by the recovery goal of the deployment.
+ */
 export const BUSY_BOUNDS: Readonly<Record<Weigh, SuspicionBounds>> = {
   [Weigh.LATENCY]: {floorMs: 450, ceilingMs: 1_500},
   [Weigh.RESOURCES]: {floorMs: 1_200, ceilingMs: 1_800},
--- a/src/core/placing/choose-engine.ts
+++ b/src/core/placing/choose-engine.ts
@@ -1,4 +1,6 @@
-/** Chooses the engines that run a generation and hold a copy of its KV cache. */
+/**
+ * Chooses the engines that run a generation and hold a copy of its KV cache.
+ */
 import type {RandomSource} from '../clock/index.js';
 import type {Target} from '../targets/index.js';
 import type {ServiceBaseline} from './service-baseline.js';
@@ -48,7 +50,10 @@
   readonly random: RandomSource;
 }
 
-/** Age of the last message up to which an engine counts as seen, in milliseconds. */
+/**
+ * Age of the last message up to which an engine counts as seen, in
+ * milliseconds.
+ */
 const RECENTLY_SEEN_MS = 1_500;
 
 /** Cost of an engine that was not seen recently, in running requests. */
--- a/src/core/retrying/decide-retry.ts
+++ b/src/core/retrying/decide-retry.ts
@@ -23,7 +23,9 @@
   readonly maxAttempts: number;
   /** Whether another target is available. */
   readonly hasOtherTarget: boolean;
-  /** Takes one retry from the service's budget; returns false if none is left. */
+  /**
+   * Takes one retry from the service's budget; returns false if none is left.
+   */
   readonly takeFromBudget: () => boolean;
 }
 
--- a/src/core/routing/consts.ts
+++ b/src/core/routing/consts.ts
@@ -14,7 +14,9 @@
 /** Share of its capacity that a target may use right after it recovered. */
 export const SLOW_START_SHARE = 0.1;
 
-/** Utilisation above the drawn target that a target with the prefix may have. */
+/**
+ * Utilisation above the drawn target that a target with the prefix may have.
+ */
 export const PREFIX_SLACK = 0.25;
 
 /** Reported load above this multiple of the capacity is capped. */
@@ -29,7 +31,9 @@
 /** Share of failures at which a target is ejected. */
 export const FAILURE_SHARE_THRESHOLD = 0.5;
 
-/** Length of the first ejection, in milliseconds; doubles with each further one. */
+/**
+ * Length of the first ejection, in milliseconds; doubles with each further one.
+ */
 export const BASE_EJECTION_MS = 5_000;
 
 /** Longest ejection, in milliseconds. */
--- a/src/core/streams/min-generation-time.ts
+++ b/src/core/streams/min-generation-time.ts
@@ -1,6 +1,8 @@
 /** Estimates the shortest possible time of a generation. */
 
-/** Factor by which a minimum grows with each new sample, so that it can rise. */
+/**
+ * Factor by which a minimum grows with each new sample, so that it can rise.
+ */
 const MIN_GROWTH_FACTOR = 1.01;
 
 /** Samples before any estimate is made. */
--- a/src/core/targets/consts.ts
+++ b/src/core/targets/consts.ts
@@ -10,7 +10,10 @@
 /** Longest pause of a target, in milliseconds. */
 export const LONGEST_PAUSE_MS = 4_000;
 
-/** Time for which a target that rejected a request counts as full, in milliseconds. */
+/**
+ * Time for which a target that rejected a request counts as full, in
+ * milliseconds.
+ */
 export const PAUSE_AFTER_REJECT_MS = 150;
 
 /**
--- a/src/core/targets/target.ts
+++ b/src/core/targets/target.ts
@@ -18,7 +18,9 @@
   readonly waiting: number;
   /** Running requests in prefill; undefined if not reported. */
   readonly prefilling?: number;
-  /** Tokens in the KV cache that cannot be evicted; undefined if not reported. */
+  /**
+   * Tokens in the KV cache that cannot be evicted; undefined if not reported.
+   */
   readonly kvUsedTokens?: number;
   /** Start of the reporting incarnation, as a Unix time in milliseconds. */
   readonly startedAtMs?: number;
@@ -139,7 +141,9 @@
     return this.seenAtMs;
   }
 
-  /** Time since which the target is unavailable; undefined if it is available. */
+  /**
+   * Time since which the target is unavailable; undefined if it is available.
+   */
   get unavailableSinceMs(): number | undefined {
     return this.unavailableFromMs;
   }
@@ -239,7 +243,9 @@
     this.pausedUntilMs = Number.NEGATIVE_INFINITY;
   }
 
-  /** Records that the target did not respond or that its response was invalid. */
+  /**
+   * Records that the target did not respond or that its response was invalid.
+   */
   recordFailure(): void {
     this.consecutiveFailures++;
     if (this.consecutiveFailures < FAILURES_BEFORE_PAUSE) return;
@@ -266,7 +272,9 @@
     this.fullUntilMs = this.clock.now() + PAUSE_AFTER_REJECT_MS;
   }
 
-  /** Records that the target takes no new work: it is draining or was removed. */
+  /**
+   * Records that the target takes no new work: it is draining or was removed.
+   */
   recordDraining(): void {
     this.drainingFromMs ??= this.clock.now();
     this.record = {...this.record, isDraining: true};
