--- a/test/core/admission/capacity.test.ts
+++ b/test/core/admission/capacity.test.ts
@@ -25,8 +25,9 @@
 }
 
 /**
- * Lets entries fill their slots at one target again and again, each seeing
- * the others' load some steps late; returns the load of each at the end.
+ * Simulates entries that fill their slots at one target in each step while they
+ * receive the load of the others some steps late; returns the final load of
+ * each entry.
  */
 function settleEntries(wanted: readonly number[], capacity: number): number[] {
   let own = wanted.map(() => 0);
@@ -53,7 +54,7 @@
   return own;
 }
 
-describe('resolveSlots', () => {
+describe('computeSlots', () => {
   it.each([
     {name: 'one entry', wanted: [100], expected: [60]},
     {name: 'two busy entries', wanted: [100, 100], expected: [30, 30]},
@@ -67,7 +68,7 @@
     });
   });
 
-  it('gives at least the fair part and at most all, whatever is reported', () => {
+  it('gives at least the fair share and at most the capacity for any report', () => {
     const viewArb = fc.record({
       ownInFlight: fc.nat({max: 100}),
       running: fc.nat({max: 10_000}),
@@ -93,7 +94,7 @@
     );
   });
 
-  it('gives nothing where no target is usable', () => {
+  it('gives no slots if no target is usable', () => {
     const views = [viewOf({usable: false})];
     expect(computeSlots({views, entryCount: 1})).toBe(0);
   });
--- a/test/core/admission/drain-rate.test.ts
+++ b/test/core/admission/drain-rate.test.ts
@@ -6,7 +6,7 @@
 const SEED = 20261204;
 
 describe('DrainRate', () => {
-  it('finds the interval of an even drain, whatever came before', () => {
+  it('converges to the interval of an even drain after any history', () => {
     const gapsArb = fc.array(fc.integer({min: 0, max: 20_000}), {
       maxLength: 20,
     });
@@ -28,15 +28,15 @@
   });
 
   it.each([
-    {name: 'nothing has left yet', departures: 0, laterMs: 0, expected: 0},
-    {name: 'one has left', departures: 1, laterMs: 0, expected: 50},
+    {name: 'no request has departed', departures: 0, laterMs: 0, expected: 0},
+    {name: 'one request has departed', departures: 1, laterMs: 0, expected: 50},
     {
-      name: 'the queue was empty long',
+      name: 'the queue was empty for a long time',
       departures: 1,
       laterMs: 5_000,
       expected: 0,
     },
-  ])('gives $expected where $name', ({departures, laterMs, expected}) => {
+  ])('returns $expected if $name', ({departures, laterMs, expected}) => {
     const rate = new DrainRate();
     rate.recordWaiting(0);
     for (let i = 1; i <= departures; i++) {
@@ -45,7 +45,7 @@
     expect(rate.intervalMs(50 * departures + laterMs)).toBe(expected);
   });
 
-  it('counts no request that did not wait', () => {
+  it('does not count requests that did not wait', () => {
     const rate = new DrainRate();
     rate.recordDeparture({nowMs: 10, stillWaiting: false});
     expect(rate.intervalMs(10)).toBe(0);
--- a/test/core/admission/fair-admission.test.ts
+++ b/test/core/admission/fair-admission.test.ts
@@ -13,11 +13,11 @@
 import {
   accountOf,
   AdmissionRun,
-  evenly,
+  evenArrivals,
   inTime,
   queryOf,
   serviceOf,
-  settle,
+  flushPromises,
   STEP_MS,
   TICK_MS,
 } from './lib.js';
@@ -26,7 +26,7 @@
 const SLOTS = 4;
 const SERVICE_MS = 200;
 
-/** Requests a second that the slots can serve. */
+/** Requests per second that the slots can serve. */
 const CAPACITY = (SLOTS * 1_000) / SERVICE_MS;
 
 const arrivalArb = fc.record({
@@ -48,8 +48,8 @@
   return {clock, admission, resize};
 }
 
-describe('FairAdmission, whatever comes', () => {
-  it('keeps its slots busy, never over, and gives each one true end', async () => {
+describe('FairAdmission with any arrivals', () => {
+  it('fills its slots, never exceeds them, and ends or refuses each request', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(arrivalArb, {maxLength: 120}),
@@ -64,7 +64,7 @@
           await run.play({arrivals, untilMs: 6_000, check});
           expect(clock.now()).toBeGreaterThanOrEqual(6_000);
           for (const {startedAtMs, endedAtMs, refusal} of arrivals) {
-            // Either it ran and ended, or it was refused and never ran.
+            // A request either ran and ended, or was refused without running.
             expect(endedAtMs !== undefined).toBe(startedAtMs !== undefined);
             expect(refusal === undefined).toBe(startedAtMs !== undefined);
             if (refusal !== undefined) expect(refusal.ran).toBe(Ran.NO);
@@ -75,14 +75,14 @@
     );
   });
 
-  it('never holds what cannot be met, and starts nothing too late', async () => {
+  it('neither queues nor starts requests that would miss their deadline', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(arrivalArb, {minLength: 30, maxLength: 120}),
         async (arrivals: Arrival[]) => {
           const run = new AdmissionRun({slots: SLOTS});
-          // The first requests teach the admission how long one takes.
-          const warm = evenly({
+          // The first requests provide samples of the service time.
+          const warm = evenArrivals({
             account: 'w',
             perSecond: CAPACITY,
             seconds: 1,
@@ -117,7 +117,7 @@
     const total = weights.reduce((a, b) => a + b, 0);
     const run = new AdmissionRun({slots: SLOTS});
     const ofAccounts = weights.map((weight, i) =>
-      evenly({
+      evenArrivals({
         account: `account-${i}`,
         weight,
         perSecond: CAPACITY,
@@ -136,11 +136,11 @@
     });
   });
 
-  it('starves nobody when one account sends ten times its share', async () => {
+  it('starves no account when one sends ten times its share', async () => {
     const run = new AdmissionRun({slots: SLOTS});
     const share = CAPACITY / 4;
     const send = (account: string, perSecond: number): Arrival[] =>
-      evenly({
+      evenArrivals({
         account,
         perSecond,
         seconds: 20,
@@ -158,8 +158,8 @@
     expect(served / possible).toBeGreaterThan(0.95);
   });
 
-  it('serves in time at 3 times capacity what a plain queue does not', async () => {
-    const arrivals = evenly({
+  it('serves in time at 3 times capacity, unlike a FIFO queue', async () => {
+    const arrivals = evenArrivals({
       account: 'a',
       perSecond: 3 * CAPACITY,
       seconds: 20,
@@ -170,12 +170,12 @@
     await run.play({arrivals, untilMs: 24_000});
     const possible = CAPACITY * 20;
     expect(inTime(arrivals).length / possible).toBeGreaterThan(0.95);
-    expect(naiveInTime(arrivals) / possible).toBeLessThan(0.2);
+    expect(fifoInTime(arrivals) / possible).toBeLessThan(0.2);
   });
 });
 
-/** First come, first served, with no bound and no look at deadlines. */
-function naiveInTime(arrivals: readonly Arrival[]): number {
+/** Requests that an unbounded FIFO queue without deadlines serves in time. */
+function fifoInTime(arrivals: readonly Arrival[]): number {
   const freeAtMs = Array.from({length: SLOTS}, () => 0);
   let served = 0;
   for (const {atMs, serviceMs, deadlineMs} of arrivals) {
@@ -187,59 +187,63 @@
   return served;
 }
 
-describe('FairAdmission, case by case', () => {
-  it('puts a higher class before a lower one, and resumes before new work', async () => {
+describe('FairAdmission', () => {
+  it('starts higher classes first, and resumed requests before new ones', async () => {
     const {admission} = createAdmission(1);
     const first = (await admission.admit(queryOf()))._unsafeUnwrap();
     const order: string[] = [];
-    const ask = (name: string, priorityClass: PriorityClass, kind: WorkKind) =>
+    const admit = (
+      name: string,
+      priorityClass: PriorityClass,
+      kind: WorkKind,
+    ) =>
       void admission
         .admit(queryOf({service: serviceOf({priorityClass}), kind}))
         .map((ticket) => {
           order.push(name);
           ticket.release();
         });
-    ask('low', PriorityClass.LOW, WorkKind.NEW);
-    ask('normal', PriorityClass.NORMAL, WorkKind.NEW);
-    ask('normal resume', PriorityClass.NORMAL, WorkKind.RESUME);
-    ask('high', PriorityClass.HIGH, WorkKind.NEW);
+    admit('low', PriorityClass.LOW, WorkKind.NEW);
+    admit('normal', PriorityClass.NORMAL, WorkKind.NEW);
+    admit('normal resume', PriorityClass.NORMAL, WorkKind.RESUME);
+    admit('high', PriorityClass.HIGH, WorkKind.NEW);
     first.release();
-    await settle();
-    await settle();
+    await flushPromises();
+    await flushPromises();
     expect(order).toEqual(['high', 'normal resume', 'normal', 'low']);
   });
 
-  it('keeps slots for resumes that new work may not take', async () => {
+  it('reserves slots for resumed requests', async () => {
     const {admission} = createAdmission(10, 2);
     let started = 0;
-    const ask = (kind: WorkKind): void =>
+    const admit = (kind: WorkKind): void =>
       void admission.admit(queryOf({kind})).map(() => started++);
-    for (let i = 0; i < 20; i++) ask(WorkKind.NEW);
-    await settle();
+    for (let i = 0; i < 20; i++) admit(WorkKind.NEW);
+    await flushPromises();
     expect(started).toBe(8);
-    for (let i = 0; i < 20; i++) ask(WorkKind.RESUME);
-    await settle();
+    for (let i = 0; i < 20; i++) admit(WorkKind.RESUME);
+    await flushPromises();
     expect(started).toBe(10);
-    for (let i = 0; i < 3; i++) ask(WorkKind.RUNNING);
-    await settle();
+    for (let i = 0; i < 3; i++) admit(WorkKind.RUNNING);
+    await flushPromises();
     expect(started).toBe(13);
   });
 
-  it('splits the limit of an account over live entries, not for resumes', async () => {
+  it('splits the limit of an account between live entries for new requests only', async () => {
     const {admission} = createAdmission(100, 0, 3);
     const clientAccount = accountOf({maxConcurrent: 9});
-    const ask = (kind: WorkKind) =>
+    const admit = (kind: WorkKind) =>
       admission.admit(queryOf({clientAccount, kind}));
     for (let i = 0; i < 3; i++) {
-      expect((await ask(WorkKind.NEW)).isOk()).toBe(true);
+      expect((await admit(WorkKind.NEW)).isOk()).toBe(true);
     }
-    const refusal = (await ask(WorkKind.NEW))._unsafeUnwrapErr();
+    const refusal = (await admit(WorkKind.NEW))._unsafeUnwrapErr();
     expect(refusal.reason).toBe(RefusalReason.ACCOUNT_LIMIT);
     expect(refusal.retryAfterMs).toBeGreaterThan(0);
-    expect((await ask(WorkKind.RUNNING)).isOk()).toBe(true);
+    expect((await admit(WorkKind.RUNNING)).isOk()).toBe(true);
   });
 
-  it('bounds the queue and gives a full one fairly', async () => {
+  it('bounds the queue and evicts from the account with most waiting requests', async () => {
     const {admission} = createAdmission(1);
     const limits = {
       bodyBytes: 1,
@@ -255,34 +259,34 @@
       limits,
     });
     const refused: string[] = [];
-    const ask = (name: string): void =>
+    const admit = (name: string): void =>
       void admission
         .admit(queryOf({clientAccount: accountOf({name})}))
         .mapErr(({reason}) => refused.push(`${name} ${reason}`));
-    for (let i = 0; i < 6; i++) ask('greedy');
-    await settle();
+    for (let i = 0; i < 6; i++) admit('greedy');
+    await flushPromises();
     expect(admission.waiting).toBe(4);
     expect(refused).toEqual(['greedy overloaded']);
-    ask('modest');
-    await settle();
+    admit('modest');
+    await flushPromises();
     expect(admission.waiting).toBe(4);
     expect(refused).toEqual(['greedy overloaded', 'greedy overloaded']);
   });
 
-  it('lets a caller that goes away leave the queue', async () => {
+  it('removes the request of a caller that disconnects from the queue', async () => {
     const {admission} = createAdmission(1);
     await admission.admit(queryOf());
-    const leaving = new AbortController();
-    const waiting = admission.admit(queryOf({signal: leaving.signal}));
-    await settle();
+    const controller = new AbortController();
+    const waiting = admission.admit(queryOf({signal: controller.signal}));
+    await flushPromises();
     expect(admission.waiting).toBe(1);
-    leaving.abort();
+    controller.abort();
     const refusal = (await waiting)._unsafeUnwrapErr();
     expect(refusal.reason).toBe(RefusalReason.CALLER_GONE);
     expect(admission.waiting).toBe(0);
   });
 
-  it('refuses what waits when there is no target for long', async () => {
+  it('refuses waiting requests when there was no target for a long time', async () => {
     const {admission, clock, resize} = createAdmission(0);
     const waiting = admission.admit(queryOf());
     clock.advance(1_000);
@@ -295,21 +299,21 @@
     expect(refusal.ran).toBe(Ran.NO);
   });
 
-  it('spreads the return of refused callers over the rate it drains at', async () => {
+  it('spreads the retries of refused callers at the drain rate', async () => {
     const {admission, clock} = createAdmission(1);
-    const ask = (deadlineMs: number) =>
+    const admit = (deadlineMs: number) =>
       admission.admit(queryOf({deadlineAtMs: clock.now() + deadlineMs}));
-    const first = (await ask(10_000))._unsafeUnwrap();
+    const first = (await admit(10_000))._unsafeUnwrap();
     clock.advance(1_000);
     first.release(TicketOutcome.SERVED);
-    await ask(10_000);
+    await admit(10_000);
     const returns: number[] = [];
     for (let i = 0; i < 10; i++) {
-      const refusal = (await ask(1_500))._unsafeUnwrapErr();
+      const refusal = (await admit(1_500))._unsafeUnwrapErr();
       expect(refusal.reason).toBe(RefusalReason.DEADLINE_UNREACHABLE);
       returns.push(refusal.retryAfterMs!);
     }
-    // One request a second leaves, so ten callers take about ten seconds.
+    // One request per second departs, so ten callers take about ten seconds.
     expect(Math.max(...returns)).toBeGreaterThan(7_000);
     expect(new Set(returns).size).toBe(10);
   });
--- a/test/core/admission/fair-queue.test.ts
+++ b/test/core/admission/fair-queue.test.ts
@@ -19,8 +19,8 @@
   REMOVE,
 }
 
-/** The naive twin: one list; each item's start is set when it arrives. */
-class NaiveQueue {
+/** Reference model: one list; each item's start time is set on arrival. */
+class ReferenceQueue {
   private items: Array<{item: Item; start: number}> = [];
   private readonly finish = new Map<string, number>();
   private now = 0;
@@ -55,18 +55,18 @@
 });
 
 describe('FairQueue', () => {
-  it('serves in the order of the naive twin', () => {
+  it('serves in the order of the reference model', () => {
     fc.assert(
       fc.property(fc.array(stepArb, {maxLength: 200}), (steps) => {
         const queue = new FairQueue<Item>();
-        const naive = new NaiveQueue();
+        const reference = new ReferenceQueue();
         steps.forEach(({kind, flow, cost}, id) => {
           if (kind === StepKind.PUSH) {
             const item = {id, flow, cost, weight: WEIGHTS[flow]};
             queue.push(item);
-            naive.push(item);
+            reference.push(item);
           } else {
-            expect(queue.shift()?.id).toBe(naive.shift()?.id);
+            expect(queue.shift()?.id).toBe(reference.shift()?.id);
           }
         });
         const order = queue.ordered().map(({id}) => id);
@@ -76,7 +76,7 @@
     );
   });
 
-  it('gives flows that wait their shares, to within one item each', () => {
+  it('serves backlogged flows by weight, to within one item each', () => {
     const costs = fc.array(fc.integer({min: 1, max: 100}), {
       minLength: 60,
       maxLength: 60,
@@ -97,7 +97,7 @@
     );
   });
 
-  it('loses no item when some are taken out, and keeps count', () => {
+  it('keeps all other items and the count when items are removed', () => {
     fc.assert(
       fc.property(
         fc.array(flowArb, {maxLength: 60}),
@@ -123,7 +123,7 @@
     );
   });
 
-  it('gives a flow that was idle no claim to the past', () => {
+  it('gives a flow no credit for idle time', () => {
     const queue = new FairQueue<Item>();
     const item = (flow: string, id: number): Item => {
       return {id, flow, cost: 10, weight: 1};
--- a/test/core/admission/lib.ts
+++ b/test/core/admission/lib.ts
@@ -1,4 +1,4 @@
-/** Drives an admission with arrivals on a clock that the test moves. */
+/** Simulates arrivals at an admission on a manual clock. */
 import {
   FairAdmission,
   TicketOutcome,
@@ -12,13 +12,13 @@
 import {PriorityClass, ServiceKind} from '../../../src/core/config/index.js';
 import type {Refusal} from '../../../src/core/errors/index.js';
 
-/** Time between two resizes, as the load controller does it. */
+/** Time between two resizes, as in the load controller, in milliseconds. */
 export const TICK_MS = 100;
 
-/** Time to which the end of a request is noted. */
+/** Resolution of the simulation, in milliseconds. */
 export const STEP_MS = 10;
 
-/** One request of a run, and what became of it. */
+/** One request of a run and its result. */
 export interface Arrival {
   readonly account: string;
   readonly weight: number;
@@ -31,7 +31,7 @@
   refusedAtMs?: number;
 }
 
-/** A client account with no limit that matters. */
+/** A client account with a limit that is never reached. */
 export function accountOf(
   fields: Partial<ClientAccountConfig>,
 ): ClientAccountConfig {
@@ -65,12 +65,12 @@
   };
 }
 
-/** Lets the promises of the last step settle. */
-export function settle(): Promise<void> {
+/** Waits until pending promises are settled. */
+export function flushPromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Runs arrivals against a number of slots, until all have their end. */
+/** Runs arrivals against a number of slots. */
 export class AdmissionRun {
   readonly clock = new ManualClock();
   readonly admission = new FairAdmission({
@@ -90,13 +90,13 @@
   }): Promise<void> {
     const {arrivals, untilMs, check} = options;
     for (const arrival of arrivals) {
-      const run = (): void => this.ask(arrival);
+      const run = (): void => this.admit(arrival);
       this.clock.schedule({delayMs: arrival.atMs, run});
     }
     this.clock.repeat({periodMs: TICK_MS, run: () => this.tick()});
     while (this.clock.now() < untilMs) {
       this.clock.advance(STEP_MS);
-      await settle();
+      await flushPromises();
       check?.();
     }
   }
@@ -108,7 +108,7 @@
     this.admission.resize({liveEntries: 1, services});
   }
 
-  private ask(arrival: Arrival): void {
+  private admit(arrival: Arrival): void {
     const {account: name, weight} = arrival;
     const query = queryOf({
       clientAccount: accountOf({name, weight}),
@@ -131,8 +131,8 @@
   }
 }
 
-/** Arrivals of one account at an even rate. */
-export function evenly(options: {
+/** Creates arrivals of one account at an even rate. */
+export function evenArrivals(options: {
   account: string;
   weight?: number;
   perSecond: number;
@@ -148,7 +148,7 @@
   });
 }
 
-/** Requests that were answered by their deadline. */
+/** Requests that ended by their deadline. */
 export function inTime(arrivals: readonly Arrival[]): Arrival[] {
   return arrivals.filter(
     ({endedAtMs, atMs, deadlineMs}) =>
--- a/test/core/admission/retry-budget.test.ts
+++ b/test/core/admission/retry-budget.test.ts
@@ -15,48 +15,53 @@
 
 interface Step {
   readonly waitMs: number;
-  readonly firstTry: boolean;
+  readonly isFirstAttempt: boolean;
 }
 
-/** The naive twin: it keeps every event and counts them anew each time. */
-class NaiveBudget {
-  private readonly events: Array<{slice: number; firstTry: boolean}> = [];
+/** Reference model: keeps every event and counts them each time. */
+class ReferenceBudget {
+  private readonly events: Array<{slice: number; isFirstAttempt: boolean}> = [];
 
-  note(nowMs: number): void {
-    this.events.push({slice: Math.floor(nowMs / SLICE_MS), firstTry: true});
+  recordFirstAttempt(nowMs: number): void {
+    this.events.push({
+      slice: Math.floor(nowMs / SLICE_MS),
+      isFirstAttempt: true,
+    });
   }
 
-  tryRetry(nowMs: number): boolean {
+  tryTakeRetry(nowMs: number): boolean {
     const slice = Math.floor(nowMs / SLICE_MS);
     const recent = this.events.filter((e) => e.slice > slice - 10);
-    const firstTries = recent.filter((e) => e.firstTry).length;
-    const retries = recent.length - firstTries;
-    const allowed = Math.max(RETRY_FLOOR, Math.floor(RATIO * firstTries));
+    const firstAttempts = recent.filter((e) => e.isFirstAttempt).length;
+    const retries = recent.length - firstAttempts;
+    const allowed = Math.max(RETRY_FLOOR, Math.floor(RATIO * firstAttempts));
     if (retries >= allowed) return false;
-    this.events.push({slice, firstTry: false});
+    this.events.push({slice, isFirstAttempt: false});
     return true;
   }
 }
 
 const stepArb = fc.record({
   waitMs: fc.oneof(fc.constant(0), fc.integer({min: 0, max: 4_000})),
-  firstTry: fc.boolean(),
+  isFirstAttempt: fc.boolean(),
 });
 
 describe('RetryBudget', () => {
-  it('allows what the naive twin allows', () => {
+  it('allows the same retries as the reference model', () => {
     fc.assert(
       fc.property(fc.array(stepArb, {maxLength: 300}), (steps: Step[]) => {
         const clock = new ManualClock();
         const budget = new RetryBudget({clock, ratio: RATIO});
-        const naive = new NaiveBudget();
-        for (const {waitMs, firstTry} of steps) {
+        const reference = new ReferenceBudget();
+        for (const {waitMs, isFirstAttempt} of steps) {
           clock.advance(waitMs);
-          if (firstTry) {
+          if (isFirstAttempt) {
             budget.recordFirstAttempt();
-            naive.note(clock.now());
+            reference.recordFirstAttempt(clock.now());
           } else {
-            expect(budget.tryTakeRetry()).toBe(naive.tryRetry(clock.now()));
+            expect(budget.tryTakeRetry()).toBe(
+              reference.tryTakeRetry(clock.now()),
+            );
           }
         }
       }),
@@ -65,24 +70,25 @@
   });
 
   it.each([1, 2, 10])(
-    'bounds amplification at 1.1 when all fails %i times over',
-    (wantedPerTry) => {
+    'bounds amplification at 1.1 if every request needs %i retries',
+    (retriesPerAttempt) => {
       const clock = new ManualClock();
       const budget = new RetryBudget({clock, ratio: RATIO});
       let sent = 0;
-      const firstTries = 10_000;
-      for (let i = 0; i < firstTries; i++) {
+      const firstAttempts = 10_000;
+      for (let i = 0; i < firstAttempts; i++) {
         clock.advance(10);
         budget.recordFirstAttempt();
         sent++;
-        for (let k = 0; k < wantedPerTry && budget.tryTakeRetry(); k++) sent++;
+        for (let k = 0; k < retriesPerAttempt && budget.tryTakeRetry(); k++)
+          sent++;
       }
-      expect(sent / firstTries).toBeLessThanOrEqual(1.1);
-      expect(sent / firstTries).toBeGreaterThan(1.09);
+      expect(sent / firstAttempts).toBeLessThanOrEqual(1.1);
+      expect(sent / firstAttempts).toBeGreaterThan(1.09);
     },
   );
 
-  it('allows the retry of a lone failure', () => {
+  it('allows the retry of a single failure', () => {
     const budget = new RetryBudget({clock: new ManualClock(), ratio: RATIO});
     budget.recordFirstAttempt();
     expect(budget.tryTakeRetry()).toBe(true);
@@ -90,7 +96,7 @@
 });
 
 describe('RetryBudgets', () => {
-  it('shares one budget per service and none between services', () => {
+  it('keeps one budget per service', () => {
     const budgets = new RetryBudgets({clock: new ManualClock()});
     const stock = {name: 'stock', retryRatio: RATIO};
     const drafts = {name: 'drafts', retryRatio: RATIO};
--- a/test/core/drain/drain-controller.test.ts
+++ b/test/core/drain/drain-controller.test.ts
@@ -12,27 +12,27 @@
 const SEED = 6;
 const STEP_MS = 50;
 
-/** What is left of the work at one step. */
+/** Remaining work at one step. */
 interface Step {
   readonly running: number;
   readonly unsent: number;
   readonly peers: number;
-  readonly asks: boolean;
+  readonly beginsAgain: boolean;
 }
 
 const STEP = fc.record({
   running: fc.integer({min: 0, max: 1}),
   unsent: fc.integer({min: 0, max: 1}),
   peers: fc.integer({min: 0, max: 1}),
-  asks: fc.boolean(),
+  beginsAgain: fc.boolean(),
 });
 
 function start(now: {step: Step}) {
-  const leaving = new Cell(false);
+  const draining = new Cell(false);
   const clock = new ManualClock();
-  const ends: number[] = [];
+  const drainedAtMs: number[] = [];
   const drain = new DrainController({
-    draining: leaving,
+    draining,
     clock,
     logger: SILENT_LOGGER,
     limits: AGENT_DRAIN_LIMITS,
@@ -41,34 +41,34 @@
       countUnsentBytes: () => now.step.unsent,
       countPendingPeers: () => now.step.peers,
     },
-    onDrained: () => void ends.push(clock.now()),
+    onDrained: () => void drainedAtMs.push(clock.now()),
   });
-  return {leaving, clock, ends, drain};
+  return {draining, clock, drainedAtMs, drain};
 }
 
 describe('DrainController', () => {
-  it(`ends once, never with work, never unbounded (seed ${SEED})`, () => {
-    const {minDrainMs: noticeMs, peerTimeoutMs: silentPeerMs} =
-      AGENT_DRAIN_LIMITS;
+  it(`drains once, without work and in bounded time (seed ${SEED})`, () => {
+    const {minDrainMs, peerTimeoutMs} = AGENT_DRAIN_LIMITS;
     fc.assert(
       fc.property(fc.array(STEP, {minLength: 1, maxLength: 300}), (steps) => {
         const now = {step: steps[0]!};
-        const {leaving, clock, ends, drain} = start(now);
+        const {draining, clock, drainedAtMs, drain} = start(now);
         drain.begin();
-        expect(leaving.get()).toBe(true);
-        let endedWith: Step | undefined;
+        expect(draining.get()).toBe(true);
+        let lastStep: Step | undefined;
         for (const step of steps) {
           now.step = step;
-          if (step.asks) drain.begin();
+          if (step.beginsAgain) drain.begin();
           clock.advance(STEP_MS);
-          if (ends.length > 0) endedWith ??= step;
+          if (drainedAtMs.length > 0) lastStep ??= step;
         }
-        expect(ends.length).toBeLessThanOrEqual(1);
-        if (endedWith !== undefined) expect(endedWith.running).toBe(0);
-        if (ends.length === 1) expect(ends[0]).toBeGreaterThanOrEqual(noticeMs);
-        now.step = {running: 0, unsent: 1, peers: 1, asks: false};
-        clock.advance(noticeMs + silentPeerMs + STEP_MS);
-        expect(ends).toHaveLength(1);
+        expect(drainedAtMs.length).toBeLessThanOrEqual(1);
+        if (lastStep !== undefined) expect(lastStep.running).toBe(0);
+        if (drainedAtMs.length === 1)
+          expect(drainedAtMs[0]).toBeGreaterThanOrEqual(minDrainMs);
+        now.step = {running: 0, unsent: 1, peers: 1, beginsAgain: false};
+        clock.advance(minDrainMs + peerTimeoutMs + STEP_MS);
+        expect(drainedAtMs).toHaveLength(1);
       }),
       {seed: SEED},
     );
--- a/test/core/placing/engine-priority.test.ts
+++ b/test/core/placing/engine-priority.test.ts
@@ -1,4 +1,4 @@
-/** Urgency of generations at the engines that they share. */
+/** Priority of generations at an engine. */
 import {describe, expect, it} from 'vitest';
 
 import {enginePriority} from '../../../src/core/placing/index.js';
@@ -13,40 +13,56 @@
 
 const CASES: readonly Case[] = [
   {name: 'the priority of the route', route: 2, expected: 2},
-  {name: "the account's before the route's", route: 2, account: 4, expected: 4},
-  {name: "an account's most urgent", route: 2, account: 0, expected: 0},
   {
-    name: 'one more for a run under way',
+    name: "the account's priority before the route's",
+    route: 2,
+    account: 4,
+    expected: 4,
+  },
+  {name: "an account's highest priority", route: 2, account: 0, expected: 0},
+  {
+    name: 'one priority higher for a resumed generation',
     route: 2,
     isResumed: true,
     expected: 1,
   },
-  {name: 'no class before the first', route: 0, isResumed: true, expected: 0},
-  {name: 'no class behind the last', route: 12, expected: 9},
+  {
+    name: 'no priority above the highest',
+    route: 0,
+    isResumed: true,
+    expected: 0,
+  },
+  {name: 'no priority below the lowest', route: 12, expected: 9},
 ];
 
-describe('urgencyClass', () => {
+describe('enginePriority', () => {
   it.each(CASES)('takes $name', ({route, account, isResumed, expected}) => {
-    const facts = {
+    const query = {
       route: {priority: route},
       account: account === undefined ? undefined : {priority: account},
       isResumed: isResumed ?? false,
     };
-    expect(enginePriority(facts)).toBe(expected);
+    expect(enginePriority(query)).toBe(expected);
   });
 
-  it('lets a full engine give up what its caller has not begun to read', () => {
-    // An engine takes the place of the newest of the least urgent.
-    const begun = enginePriority({route: {priority: 1}, isResumed: false});
-    const goneOn = enginePriority({route: {priority: 1}, isResumed: true});
-    const runs = [
-      {id: 'old', atMs: 1, urgency: begun},
-      {id: 'fresh', atMs: 2, urgency: begun},
-      {id: 'moved here', atMs: 3, urgency: goneOn},
+  it('lets a full engine preempt a new generation before a resumed one', () => {
+    // An engine preempts the newest generation of the lowest priority.
+    const newPriority = enginePriority({
+      route: {priority: 1},
+      isResumed: false,
+    });
+    const resumedPriority = enginePriority({
+      route: {priority: 1},
+      isResumed: true,
+    });
+    const generations = [
+      {id: 'old', atMs: 1, priority: newPriority},
+      {id: 'fresh', atMs: 2, priority: newPriority},
+      {id: 'moved here', atMs: 3, priority: resumedPriority},
     ];
-    const [loser] = runs.sort(
-      (a, b) => b.urgency - a.urgency || b.atMs - a.atMs,
+    const [preempted] = generations.sort(
+      (a, b) => b.priority - a.priority || b.atMs - a.atMs,
     );
-    expect(loser?.id).toBe('fresh');
+    expect(preempted?.id).toBe('fresh');
   });
 });
--- a/test/core/placing/placing.test.ts
+++ b/test/core/placing/placing.test.ts
@@ -1,4 +1,4 @@
-/** Plays loads on the choice of targets and checks what callers get. */
+/** Checks the choice of targets under simulated load. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock, SeededRandom} from '../../../src/core/clock/index.js';
@@ -10,10 +10,10 @@
 import {Target} from '../../../src/core/targets/index.js';
 
 const SEED = 20261204;
-const MEMORY = 55_000;
-const TOKENS = 6_000;
+const KV_CAPACITY_TOKENS = 55_000;
+const GENERATION_TOKENS = 6_000;
 
-function site(dataCentres: readonly string[]) {
+function createTargets(dataCentres: readonly string[]) {
   const clock = new ManualClock();
   const targets = dataCentres.map(
     (dataCentre, index) =>
@@ -37,8 +37,8 @@
   random = new SeededRandom(SEED),
 ) => ({
   targets,
-  tokens: TOKENS,
-  kvCapacityTokens: MEMORY,
+  tokens: GENERATION_TOKENS,
+  kvCapacityTokens: KV_CAPACITY_TOKENS,
   excluded: new Set<string>(),
   random,
 });
@@ -46,33 +46,39 @@
 describe('chooseEngine', () => {
   it.each([
     {
-      name: 'an engine that reads a prompt',
-      spoil: (t: Target) => void t.begin({tokens: TOKENS}),
+      name: 'an engine in prefill',
+      degrade: (t: Target) => void t.begin({tokens: GENERATION_TOKENS}),
     },
-    {name: 'an engine that is not there', spoil: (t: Target) => t.pause()},
-    {name: 'an engine without room', spoil: (t: Target) => t.recordRejected()},
     {
-      name: 'an engine whose memory is full of copies',
-      spoil: (t: Target) => t.addKvCopy(MEMORY),
+      name: 'an engine that does not respond',
+      degrade: (t: Target) => t.pause(),
     },
     {
-      name: 'an engine whose others wait',
-      spoil: (t: Target) =>
+      name: 'a full engine',
+      degrade: (t: Target) => t.recordRejected(),
+    },
+    {
+      name: 'an engine whose KV cache is full of copies',
+      degrade: (t: Target) => t.addKvCopy(KV_CAPACITY_TOKENS),
+    },
+    {
+      name: 'an engine with waiting requests',
+      degrade: (t: Target) =>
         t.recordLoad({running: 1, waiting: 2, prefilling: 1}),
     },
-  ])('stays away from $name', ({spoil}) => {
-    const {targets} = site(['a', 'a', 'b']);
-    spoil(targets[0]!);
-    spoil(targets[1]!);
+  ])('avoids $name', ({degrade}) => {
+    const {targets} = createTargets(['a', 'a', 'b']);
+    degrade(targets[0]!);
+    degrade(targets[1]!);
     for (let seed = 0; seed < 50; seed++) {
       const random = new SeededRandom(seed);
       expect(chooseEngine(choice(targets, random))).toBe(targets[2]);
     }
   });
 
-  it('stays out of a data centre while another has engines', () => {
-    const {targets} = site(['a', 'b']);
-    targets[1]!.begin({tokens: TOKENS});
+  it('avoids a data centre while another has engines', () => {
+    const {targets} = createTargets(['a', 'b']);
+    targets[1]!.begin({tokens: GENERATION_TOKENS});
     const avoidedDataCentres = new Set(['a']);
     const query = {...choice(targets), avoidedDataCentres};
     expect(chooseEngine(query)).toBe(targets[1]);
@@ -82,32 +88,35 @@
   });
 
   it('prefers fast engines until they are busy', () => {
-    const {targets} = site(['a', 'a', 'a']);
+    const {targets} = createTargets(['a', 'a', 'a']);
     for (const [index, target] of targets.entries()) {
       for (let i = 0; i < 6; i++) target.recordEventGap(index === 0 ? 40 : 31);
     }
     const random = new SeededRandom(SEED);
     const picks = Array.from({length: 3}, () => {
       const target = chooseEngine(choice(targets, random))!;
-      target.begin({tokens: TOKENS});
+      target.begin({tokens: GENERATION_TOKENS});
       return target.id;
     });
     expect(picks.slice(0, 2).sort()).toEqual(['i-1', 'i-2']);
     expect(picks[2]).toBe('i-0');
   });
 
-  it('reads prompts sooner than a choice at random, at two thirds load', () => {
+  it('starts prefills sooner than a random choice at two thirds load', () => {
     const waits = {chosen: playPrompts(true), random: playPrompts(false)};
     expect(waits.chosen).toBeLessThan(waits.random / 2);
   });
 });
 
 /**
- * Plays 600 prompts of a second each on 12 engines, 8 a second, from four
- * entries that see reports 200 ms late. Returns the mean wait in ms.
+ * Simulates 600 prefills of one second each on 12 engines, at 8 per second, from
+ * four entries that receive reports 200 ms late. Returns the mean wait in
+ * milliseconds.
  */
 function playPrompts(usesChoice: boolean): number {
-  const entries = Array.from({length: 4}, () => site(Array(12).fill('a')));
+  const entries = Array.from({length: 4}, () =>
+    createTargets(Array(12).fill('a')),
+  );
   const random = new SeededRandom(SEED);
   const freeAtMs = Array<number>(12).fill(0);
   let nowMs = 0;
@@ -149,19 +158,19 @@
     random: new SeededRandom(SEED),
   });
 
-  it('takes the nearer of two idle targets', () => {
-    const {targets} = site(['b', 'a']);
+  it('prefers the idle target in its own data centre', () => {
+    const {targets} = createTargets(['b', 'a']);
     expect(chooseCallTarget(query(targets))).toBe(targets[1]);
   });
 
-  it('tries no target twice', () => {
-    const {targets} = site(['a', 'b']);
+  it('chooses no target twice', () => {
+    const {targets} = createTargets(['a', 'b']);
     expect(chooseCallTarget(query(targets, ['i-0']))).toBe(targets[1]);
     expect(chooseCallTarget(query(targets, ['i-0', 'i-1']))).toBeUndefined();
   });
 
-  it('leaves a target whose answers fail more than usual', () => {
-    const {targets} = site(['a', 'b', 'b']);
+  it('avoids a target with a higher failure share than the others', () => {
+    const {targets} = createTargets(['a', 'b', 'b']);
     for (let i = 0; i < 30; i++) {
       targets[0]!.recordResponse(i % 2 === 0);
       targets[1]!.recordResponse(i % 10 === 0);
--- a/test/core/placing/rank-by-fingerprint.test.ts
+++ b/test/core/placing/rank-by-fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Suspects are placed apart from each other. */
+/** Requests that may crash targets are sent to different targets. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
@@ -6,12 +6,12 @@
 import {Target} from '../../../src/core/targets/index.js';
 
 const TARGETS = 12;
-const SUSPECTS = 200;
+const REQUESTS = 200;
 
-/** Chance that two suspects meet where all targets are as likely. */
+/** Probability that two requests get the same target at random. */
 const CHANCE = 1 / TARGETS;
 
-describe('rankApart', () => {
+describe('rankByFingerprint', () => {
   const clock = new ManualClock();
   const targets = Array.from({length: TARGETS}, (_, i) => {
     const record = {
@@ -27,17 +27,17 @@
   const first = (i: number) =>
     rankByFingerprint(`suspect ${i}`, targets)[0]!.id;
 
-  it('gives a suspect the same order each time, with every target', () => {
+  it('returns all targets, in the same order for the same fingerprint', () => {
     expect(rankByFingerprint('p', targets)).toEqual(
       rankByFingerprint('p', targets),
     );
     expect(new Set(rankByFingerprint('p', targets)).size).toBe(TARGETS);
   });
 
-  it('lets two suspects hardly ever meet', () => {
-    const meetings = Array.from({length: SUSPECTS}, (_, i) => i).filter(
-      (i) => first(i) === first(i + SUSPECTS),
+  it('rarely ranks the same target first for two fingerprints', () => {
+    const collisions = Array.from({length: REQUESTS}, (_, i) => i).filter(
+      (i) => first(i) === first(i + REQUESTS),
     );
-    expect(meetings.length / SUSPECTS).toBeLessThan(2 * CHANCE);
+    expect(collisions.length / REQUESTS).toBeLessThan(2 * CHANCE);
   });
 });
--- a/test/core/retrying/decide-retry.test.ts
+++ b/test/core/retrying/decide-retry.test.ts
@@ -14,65 +14,65 @@
 
 const SEED = 20261204;
 
-const endArb: fc.Arbitrary<AttemptResult> = fc.oneof(
+const resultArb: fc.Arbitrary<AttemptResult> = fc.oneof(
   fc.record({failure: fc.constantFrom(...Object.values(ExchangeFailure))}),
   fc.record({status: fc.constantFrom(200, 204, 404, 500, 502, 503)}),
 );
 
-/** Plays a whole call against targets that end each try as told. */
+/** Simulates a call whose attempts have the given results. */
 function play(options: {
   operation: OperationKind;
   maxAttempts: number;
-  ends: readonly AttemptResult[];
+  results: readonly AttemptResult[];
 }) {
-  const {operation, maxAttempts, ends} = options;
+  const {operation, maxAttempts, results} = options;
   let sent = 0;
   let ran = 0;
-  for (const [index, end] of ends.entries()) {
+  for (const [index, result] of results.entries()) {
     const didRun =
-      end.failure === undefined || !certainlyDidNotRun(end.failure);
+      result.failure === undefined || !certainlyDidNotRun(result.failure);
     if (didRun) ran++;
-    if (countsAsSent(end.failure)) sent++;
-    const verdict = decideRetry({
+    if (countsAsSent(result.failure)) sent++;
+    const decision = decideRetry({
       operation,
-      result: end,
+      result,
       sentCount: sent,
       maxAttempts,
-      hasOtherTarget: index + 1 < ends.length,
+      hasOtherTarget: index + 1 < results.length,
       takeFromBudget: () => true,
     });
-    if (verdict !== RetryDecision.RETRY) return {sent, ran, verdict, end};
+    if (decision !== RetryDecision.RETRY) return {sent, ran, decision, result};
   }
   throw new Error('retried without a target');
 }
 
 describe('decideRetry', () => {
-  it('runs no unsafe call twice, and sends none to too many targets', () => {
+  it('runs no unsafe call twice and does not exceed the maximum attempts', () => {
     fc.assert(
       fc.property(
         fc.constantFrom(...Object.values(OperationKind)),
         fc.integer({min: 1, max: 4}),
-        fc.array(endArb, {minLength: 1, maxLength: 8}),
-        (operation, maxAttempts, ends) => {
-          const {sent, ran, verdict, end} = play({
+        fc.array(resultArb, {minLength: 1, maxLength: 8}),
+        (operation, maxAttempts, results) => {
+          const {sent, ran, decision, result} = play({
             operation,
             maxAttempts,
-            ends,
+            results,
           });
           expect(sent).toBeLessThanOrEqual(maxAttempts);
           if (operation === OperationKind.UNSAFE) {
             expect(ran).toBeLessThanOrEqual(1);
           }
-          const isAnswered = end.failure === undefined;
-          expect(verdict === RetryDecision.PASS_ON).toBe(isAnswered);
+          const isAnswered = result.failure === undefined;
+          expect(decision === RetryDecision.PASS_ON).toBe(isAnswered);
         },
       ),
       {seed: SEED, numRuns: 3_000},
     );
   });
 
-  it('sends nothing again once the budget is spent', () => {
-    const verdict = decideRetry({
+  it('does not retry once the budget is spent', () => {
+    const decision = decideRetry({
       operation: OperationKind.SAFE,
       result: {status: 500},
       sentCount: 1,
@@ -80,11 +80,11 @@
       hasOtherTarget: true,
       takeFromBudget: () => false,
     });
-    expect(verdict).toBe(RetryDecision.PASS_ON);
+    expect(decision).toBe(RetryDecision.PASS_ON);
   });
 });
 
-describe('answerFailure', () => {
+describe('toFailureResponse', () => {
   it.each([
     {mayHaveRun: false, isTimedOut: false, status: 503},
     {mayHaveRun: false, isTimedOut: true, status: 503},
--- a/test/core/routing/load-aware-chooser.test.ts
+++ b/test/core/routing/load-aware-chooser.test.ts
@@ -45,14 +45,14 @@
   };
 }
 
-function createChoice(seed = 1) {
+function createChooser(seed = 1) {
   const clock = new ManualClock();
-  const failures = new OutlierDetector({clock});
+  const outliers = new OutlierDetector({clock});
   const random = new SeededRandom(seed);
   return {
     clock,
-    failures,
-    chooser: new LoadAwareChooser({random, outliers: failures}),
+    outliers,
+    chooser: new LoadAwareChooser({random, outliers}),
   };
 }
 
@@ -74,28 +74,28 @@
     list.map((fields, i) => viewOf({...fields, vm: `engine-${i}`})),
   );
 
-describe('LoadAwareChoice', () => {
-  it('chooses where the naive twin finds a candidate, and one of them', () => {
+describe('LoadAwareChooser', () => {
+  it('chooses one of the usable targets that are not excluded, if any', () => {
     const excludeArb = fc.subarray(['engine-0', 'engine-1', 'engine-2']);
     fc.assert(
       fc.property(viewsArb, excludeArb, (targets, exclude) => {
-        const {chooser} = createChoice();
+        const {chooser} = createChooser();
         const query = queryOf({exclude});
-        const naive = targets
+        const expected = targets
           .filter((t) => t.usable && t.service === 'drafts')
           .filter((t) => !exclude.includes(t.vm));
         const chosen = chooser.choose({query, targets}).extract();
-        expect(chosen === undefined).toBe(naive.length === 0);
-        if (chosen !== undefined) expect(naive).toContain(chosen);
+        expect(chosen === undefined).toBe(expected.length === 0);
+        if (chosen !== undefined) expect(expected).toContain(chosen);
       }),
       {seed: SEED, numRuns: RUNS},
     );
   });
 
-  it('queues at no target while another has room', () => {
+  it('chooses no full target while another has free capacity', () => {
     fc.assert(
       fc.property(viewsArb, fc.nat(), (targets, seed) => {
-        const {chooser} = createChoice(seed);
+        const {chooser} = createChooser(seed);
         const query = queryOf();
         const chosen = chooser.choose({query, targets}).extract();
         const hasRoom = (t: TargetView): boolean =>
@@ -110,15 +110,20 @@
   });
 
   it.each([
-    {name: 'reports of nothing', lie: 0},
-    {name: 'reports of full targets', lie: 16},
-    {name: 'reports beyond belief', lie: 1_000},
-  ])('balances by its own counts under $name', ({lie}) => {
-    const {chooser} = createChoice();
+    {name: 'reports without load', reported: 0},
+    {name: 'reports of full targets', reported: 16},
+    {name: 'reports far above capacity', reported: 1_000},
+  ])('balances by its own counts under $name', ({reported}) => {
+    const {chooser} = createChooser();
     const own = [0, 0, 0, 0];
     for (let i = 0; i < 48; i++) {
       const targets = own.map((ownInFlight, k) =>
-        viewOf({vm: `engine-${k}`, ownInFlight, running: lie, ownInReport: 0}),
+        viewOf({
+          vm: `engine-${k}`,
+          ownInFlight,
+          running: reported,
+          ownInReport: 0,
+        }),
       );
       const chosen = chooser.choose({query: queryOf(), targets}).extract()!;
       own[Number(chosen.vm.slice('engine-'.length))]!++;
@@ -126,8 +131,8 @@
     expect(Math.max(...own) - Math.min(...own)).toBeLessThanOrEqual(6);
   });
 
-  it('takes a target with the prefix, if it is hardly more loaded', () => {
-    const {chooser} = createChoice();
+  it('prefers a target with the cached prefix, if it is little more loaded', () => {
+    const {chooser} = createChooser();
     const query = queryOf({prefix: 'p'});
     const cachedPrefixes = ['p'];
     const choose = (running: number): string =>
@@ -144,9 +149,9 @@
     expect(choose(12)).toBe('empty');
   });
 
-  it('gives a target that came back little at first', () => {
+  it('sends few requests to a recovered target at first', () => {
     const countFor = (usableForMs: number): number => {
-      const {chooser} = createChoice();
+      const {chooser} = createChooser();
       const own = [0, 0, 0];
       for (let i = 0; i < 24; i++) {
         const targets = own.map((ownInFlight, k) =>
@@ -166,10 +171,13 @@
   });
 });
 
-/** Sends calls of which one target fails each at once; the rest hold them. */
+/**
+ * Sends calls to three targets, of which one fails each call immediately and
+ * the others keep them in flight; returns the number of failed calls.
+ */
 function sendToFailing(
   chooser: TargetChooser,
-  failures: OutlierDetector,
+  outliers: OutlierDetector,
 ): number {
   const own = [0, 0, 0];
   let failed = 0;
@@ -179,57 +187,60 @@
     );
     const {vm} = chooser.choose({query: queryOf(), targets}).extract()!;
     const isFailing = vm === '0';
-    failures.recordOutcome({vm, failed: isFailing});
+    outliers.recordOutcome({vm, failed: isFailing});
     if (isFailing) failed++;
     else own[Number(vm)]!++;
   }
   return failed;
 }
 
-describe('FailureWatch', () => {
-  it('stops what a choice by load alone sends to a target that fails fast', () => {
-    const {chooser, failures} = createChoice();
+describe('OutlierDetector', () => {
+  it('stops sending to a target that fails fast, unlike a choice by load only', () => {
+    const {chooser, outliers} = createChooser();
     const random = new SeededRandom(1);
-    const naive = new PowerOfTwoChooser({random});
-    const blind = sendToFailing(naive, new OutlierDetector(createChoice()));
-    expect(blind).toBeGreaterThan(100);
-    expect(sendToFailing(chooser, failures)).toBeLessThanOrEqual(10);
+    const loadOnly = new PowerOfTwoChooser({random});
+    const failedByLoadOnly = sendToFailing(
+      loadOnly,
+      new OutlierDetector(createChooser()),
+    );
+    expect(failedByLoadOnly).toBeGreaterThan(100);
+    expect(sendToFailing(chooser, outliers)).toBeLessThanOrEqual(10);
   });
 
-  it('never ejects more than half, whatever fails', () => {
-    const noteArb = fc.record({vm: fc.nat({max: 7}), failed: fc.boolean()});
+  it('never ejects more than half of the targets', () => {
+    const outcomeArb = fc.record({vm: fc.nat({max: 7}), failed: fc.boolean()});
     fc.assert(
-      fc.property(fc.array(noteArb, {maxLength: 200}), (notes) => {
-        const {failures} = createChoice();
-        notes.forEach(({vm, failed}) =>
-          failures.recordOutcome({vm: String(vm), failed}),
+      fc.property(fc.array(outcomeArb, {maxLength: 200}), (outcomes) => {
+        const {outliers} = createChooser();
+        outcomes.forEach(({vm, failed}) =>
+          outliers.recordOutcome({vm: String(vm), failed}),
         );
         const vms = Array.from({length: 8}, (_, i) => String(i));
-        expect(failures.filterSelectable({vms}).length).toBeGreaterThanOrEqual(
+        expect(outliers.filterSelectable({vms}).length).toBeGreaterThanOrEqual(
           4,
         );
-        expect(failures.filterSelectable({vms: ['3']})).toEqual(['3']);
+        expect(outliers.filterSelectable({vms: ['3']})).toEqual(['3']);
       }),
       {seed: SEED, numRuns: RUNS},
     );
   });
 
-  it('lets a target back after a while, and keeps it out longer each time', () => {
-    const {clock, failures} = createChoice();
-    const outFor = (): number => {
+  it('ends an ejection after some time and doubles the next one', () => {
+    const {clock, outliers} = createChooser();
+    const ejectionMs = (): number => {
       for (let i = 0; i < 5; i++)
-        failures.recordOutcome({vm: 'a', failed: true});
+        outliers.recordOutcome({vm: 'a', failed: true});
       let ms = 0;
-      for (; failures.isEjected('a'); ms += 100) clock.advance(100);
+      for (; outliers.isEjected('a'); ms += 100) clock.advance(100);
       return ms;
     };
-    const first = outFor();
-    expect(outFor()).toBe(2 * first);
+    const first = ejectionMs();
+    expect(ejectionMs()).toBe(2 * first);
   });
 });
 
-describe('OwnCounts', () => {
-  it('tells what held at a time, as the naive twin does', () => {
+describe('CountHistory', () => {
+  it('returns the same count at a time as a full history', () => {
     const changeArb = fc.record({
       waitMs: fc.nat({max: 300}),
       count: fc.nat({max: 9}),
@@ -248,8 +259,8 @@
             all.push({atMs: nowMs, count});
           }
           const atMs = nowMs - backMs;
-          const naive = all.filter((c) => c.atMs <= atMs).at(-1)?.count ?? 0;
-          expect(counts.countAt(atMs)).toBe(naive);
+          const expected = all.filter((c) => c.atMs <= atMs).at(-1)?.count ?? 0;
+          expect(counts.countAt(atMs)).toBe(expected);
         },
       ),
       {seed: SEED, numRuns: RUNS},
--- a/test/core/streams/streams.test.ts
+++ b/test/core/streams/streams.test.ts
@@ -15,7 +15,7 @@
 const eventText = (id: number) => `id: ${id}\ndata: piece ${id}\n\n`;
 
 describe('EventSplitter', () => {
-  it('gives the same events however the bytes are cut', () => {
+  it('returns the same events for any chunks', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 12}),
@@ -41,7 +41,7 @@
     );
   });
 
-  it('holds back half an event', () => {
+  it('buffers an incomplete event', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: half'))).toEqual([]);
     expect(splitter.pendingBytes).toBeGreaterThan(0);
@@ -49,7 +49,7 @@
 });
 
 describe('EventSequence', () => {
-  it('passes each event once and in order, from any targets', () => {
+  it('passes each event once and in order from several targets', () => {
     fc.assert(
       fc.property(
         fc.array(
@@ -59,14 +59,14 @@
           }),
           {minLength: 1, maxLength: 8},
         ),
-        (runs) => {
+        (ranges) => {
           const sequence = new EventSequence({lastId: 0});
           const passed: number[] = [];
-          for (const {from, count} of runs) {
+          for (const {from, count} of ranges) {
             for (let id = from; id < from + count; id++) {
-              const verdict = sequence.check(id);
-              if (verdict === SequenceCheck.GAP) break;
-              if (verdict === SequenceCheck.PASS) passed.push(id);
+              const check = sequence.check(id);
+              if (check === SequenceCheck.GAP) break;
+              if (check === SequenceCheck.PASS) passed.push(id);
             }
           }
           expect(passed).toEqual(passed.map((_, i) => i + 1));
@@ -76,27 +76,27 @@
     );
   });
 
-  it('cannot go on after an event without an id', () => {
+  it('cannot resume after an event without an id', () => {
     const sequence = new EventSequence({});
     expect(sequence.check(undefined)).toBe(SequenceCheck.PASS);
     expect(sequence.isResumable).toBe(false);
   });
 });
 
-describe('limits of silence', () => {
+describe('probe delay and stall timeout', () => {
   it.each([
-    {widestGapMs: 0, suspectMs: 130, stallMs: 300},
-    {widestGapMs: 100, suspectMs: 160, stallMs: 300},
-    {widestGapMs: 170, suspectMs: 272, stallMs: 425},
-    {widestGapMs: 600, suspectMs: 455, stallMs: 455},
-  ])('gaps of $widestGapMs ms', ({widestGapMs, suspectMs, stallMs}) => {
-    const facts = {maxPauseMs: 700, widestGapMs};
-    expect(probeDelayMs(facts)).toBeCloseTo(suspectMs);
-    expect(stallTimeoutMs(facts)).toBeCloseTo(stallMs);
+    {widestGapMs: 0, probeMs: 130, stallMs: 300},
+    {widestGapMs: 100, probeMs: 160, stallMs: 300},
+    {widestGapMs: 170, probeMs: 272, stallMs: 425},
+    {widestGapMs: 600, probeMs: 455, stallMs: 455},
+  ])('gaps of $widestGapMs ms', ({widestGapMs, probeMs, stallMs}) => {
+    const options = {maxPauseMs: 700, widestGapMs};
+    expect(probeDelayMs(options)).toBeCloseTo(probeMs);
+    expect(stallTimeoutMs(options)).toBeCloseTo(stallMs);
   });
 });
 
-describe('StreamTime', () => {
+describe('MinGenerationTime', () => {
   const sample = {
     promptTokens: 1_000,
     maxEvents: 100,
@@ -106,22 +106,30 @@
   };
   const need = {promptTokens: 5_000, maxEvents: 100, receivedEvents: 0};
 
-  function taught(samples: number): MinGenerationTime {
+  function createTimes(samples: number): MinGenerationTime {
     const times = new MinGenerationTime();
     for (let i = 0; i < samples; i++) times.addSample(sample);
     return times;
   }
 
-  it('holds nothing to be impossible before it knows', () => {
-    expect(taught(4).cannotFinish({need, leftMs: 1})).toBe(false);
+  it('rules out no generation before it has enough samples', () => {
+    expect(createTimes(4).cannotFinish({need, leftMs: 1})).toBe(false);
   });
 
   it.each([
-    {name: 'a new one', receivedEvents: 0, shortestMs: 1_500},
-    {name: 'half of it is there', receivedEvents: 25, shortestMs: 1_250},
-    {name: 'all of it may be there', receivedEvents: 60, shortestMs: 1_000},
+    {name: 'a new generation', receivedEvents: 0, shortestMs: 1_500},
+    {
+      name: 'a generation with half of its events received',
+      receivedEvents: 25,
+      shortestMs: 1_250,
+    },
+    {
+      name: 'a generation with possibly all events received',
+      receivedEvents: 60,
+      shortestMs: 1_000,
+    },
   ])('$name takes $shortestMs ms', ({receivedEvents, shortestMs}) => {
-    const times = taught(5);
+    const times = createTimes(5);
     expect(times.shortestMs({...need, receivedEvents})).toBeCloseTo(
       shortestMs,
       -1,
@@ -129,10 +137,10 @@
   });
 
   it.each([
-    {leftMs: 800, isHopeless: true},
-    {leftMs: 1_400, isHopeless: false},
-    {leftMs: 9_000, isHopeless: false},
-  ])('$leftMs ms left: $isHopeless', ({leftMs, isHopeless}) => {
-    expect(taught(9).cannotFinish({need, leftMs})).toBe(isHopeless);
+    {leftMs: 800, cannotFinish: true},
+    {leftMs: 1_400, cannotFinish: false},
+    {leftMs: 9_000, cannotFinish: false},
+  ])('$leftMs ms left: $cannotFinish', ({leftMs, cannotFinish}) => {
+    expect(createTimes(9).cannotFinish({need, leftMs})).toBe(cannotFinish);
   });
 });
--- a/test/core/targets/targets.test.ts
+++ b/test/core/targets/targets.test.ts
@@ -4,7 +4,7 @@
 import type {TargetRecord} from '../../../src/core/targets/index.js';
 import {Target, TargetSet} from '../../../src/core/targets/index.js';
 
-const LAPSE_MS = 2_000;
+const GRACE_MS = 2_000;
 
 function record(fields: Partial<TargetRecord> = {}): TargetRecord {
   return {
@@ -42,16 +42,16 @@
     targets.applyChanges([{name: 'i-1', value, isDeleted}]);
 
   it.each([
-    {name: 'leaves', value: record({isDraining: true}), isDeleted: false},
+    {name: 'drains', value: record({isDraining: true}), isDeleted: false},
     {name: 'is deleted', value: undefined, isDeleted: true},
-    {name: 'cannot be read any more', value: undefined, isDeleted: false},
-  ])('gives no work to one that $name', ({value, isDeleted}) => {
+    {name: 'can no longer be decoded', value: undefined, isDeleted: false},
+  ])('gives no work to a target that $name', ({value, isDeleted}) => {
     change(value, isDeleted);
     expect(usable()).toEqual([]);
     expect(removed).toEqual(['i-1']);
   });
 
-  it('starts afresh with one that was born anew under its id', () => {
+  it('resets the state of a target that was restarted under its id', () => {
     const [before] = targets.ofService('s');
     before!.begin({tokens: 9});
     change(record({startedAtMs: 2}));
@@ -61,7 +61,7 @@
     expect(removed).toEqual(['i-1']);
   });
 
-  it('remembers the pace of a machine over restarts', () => {
+  it('keeps the event gap of an address over restarts', () => {
     const [before] = targets.ofService('s');
     for (let i = 0; i < 6; i++) before!.recordEventGap(40);
     change(record({startedAtMs: 2}));
@@ -70,8 +70,8 @@
 
   it.each([
     {afterOutage: false, waitMs: 0, expected: []},
-    {afterOutage: true, waitMs: LAPSE_MS - 1, expected: ['i-1']},
-    {afterOutage: true, waitMs: LAPSE_MS, expected: []},
+    {afterOutage: true, waitMs: GRACE_MS - 1, expected: ['i-1']},
+    {afterOutage: true, waitMs: GRACE_MS, expected: []},
   ])(
     'missing, after an outage $afterOutage, for $waitMs ms: $expected',
     ({afterOutage, waitMs, expected}) => {
@@ -81,11 +81,11 @@
     },
   );
 
-  it('takes back one that registers again in time', () => {
+  it('keeps a target that registers again in time', () => {
     targets.replaceAll([], true);
-    clock.advance(LAPSE_MS / 2);
+    clock.advance(GRACE_MS / 2);
     change(record());
-    clock.advance(LAPSE_MS);
+    clock.advance(GRACE_MS);
     expect(usable()).toEqual(['i-1']);
   });
 });
@@ -105,7 +105,7 @@
     });
   });
 
-  it('pauses longer each time that it is not there', () => {
+  it('doubles each pause up to a limit until the target responds', () => {
     for (let i = 0; i < 5; i++) {
       target.pause();
       expect(target.isPaused()).toBe(true);
@@ -118,7 +118,7 @@
     expect(pauses.at(-1)).toBe(600);
   });
 
-  it('counts the work of others by reports, and its own at once', () => {
+  it('counts the work of others by reports and its own immediately', () => {
     target.begin({tokens: 1});
     clock.advance(300);
     target.recordLoad({running: 3, waiting: 1, prefilling: 1}, 200);
@@ -130,7 +130,7 @@
     expect(target.estimatedRequests()).toBe(2);
   });
 
-  it('plans memory for work that a report does not show yet', () => {
+  it('plans KV cache for work that a report does not include yet', () => {
     clock.advance(1_000);
     target.recordLoad({running: 0, waiting: 0, kvUsedTokens: 10_000}, 200);
     target.begin({tokens: 6_000});
