--- a/src/core/admission/fair-admission.ts
+++ b/src/core/admission/fair-admission.ts
@@ -7,7 +7,7 @@
 import type {Refusal} from '../errors/refusals.js';
 import {Ran, RefusalReason} from '../errors/refusals.js';
 import {splitLimit} from './capacity.js';
-import type {QueueRank, PoolRequest} from './service-pool.js';
+import type {PoolRequest, QueueRank} from './service-pool.js';
 import {ServicePool} from './service-pool.js';
 import type {
   Admission,
@@ -52,9 +52,9 @@
     this.queueLength = cfg.limits.queueLength;
   }
 
-  resize(load: EntryCapacity): void {
-    this.liveEntries = load.liveEntries;
-    for (const slots of load.services) {
+  resize(capacity: EntryCapacity): void {
+    this.liveEntries = capacity.liveEntries;
+    for (const slots of capacity.services) {
       this.poolOf(slots.service).resize(slots);
     }
   }
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Evicts the lowest-ranked request from a full queue; false if the new
-   * request ranks lowest itself.
+   * Evicts the lowest-ranked request if the queue is full; returns false if the
+   * new request ranks lowest itself.
    */
   private makeQueueSpace(pool: ServicePool, request: PoolRequest): boolean {
     if (pool.canStartNow(request) || this.waiting < this.queueLength)
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -130,9 +130,10 @@
     for (const {queued} of this.flows.values()) {
       const last = queued.at(-1)?.item;
       if (last === undefined) continue;
-      const pressure = queued.length / last.weight;
-      const longer = longest === undefined || pressure > longest.weightedLength;
-      if (longer) longest = {weightedLength: pressure, last};
+      const weightedLength = queued.length / last.weight;
+      const longer =
+        longest === undefined || weightedLength > longest.weightedLength;
+      if (longer) longest = {weightedLength, last};
     }
     return longest;
   }
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -58,7 +58,7 @@
  */
 export class ServicePool {
   private readonly lanes: ReadonlyArray<FairQueue<PoolRequest>>;
-  private readonly times = new ServiceTimeEstimator();
+  private readonly serviceTimes = new ServiceTimeEstimator();
   private readonly drainRate = new DrainRate();
   private readonly retryAfterSchedule: RetryAfterSchedule;
   private slots = 0;
@@ -98,13 +98,15 @@
     this.refuseUnreachable();
   }
 
-  /** Whether a new request can be expected to finish by its deadline. */
+  /** Whether a new request can finish by its deadline, as far as estimated. */
   canMeetDeadline(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
     const size = request.cost;
     if (this.canStartNow(request)) {
-      return leftMs > 0 && leftMs >= this.times.shortestMs({size, nowMs});
+      return (
+        leftMs > 0 && leftMs >= this.serviceTimes.shortestMs({size, nowMs})
+      );
     }
     const lane = laneOf(request);
     const ahead = this.lanes.slice(0, lane);
@@ -112,7 +114,9 @@
       ahead.reduce((sum, queue) => sum + queue.size, 0) +
       this.lanes[lane]!.countAhead(request.flow);
     const waitMs = (before + 1) * this.intervalMs();
-    return leftMs > 0 && waitMs + this.times.conservativeMs(size) <= leftMs;
+    return (
+      leftMs > 0 && waitMs + this.serviceTimes.conservativeMs(size) <= leftMs
+    );
   }
 
   /** Starts or queues a request; call `canMeetDeadline` first. */
@@ -230,8 +234,8 @@
     // whether the service has become faster.
     const neededMs =
       this.waiting > 1
-        ? this.times.conservativeMs(size)
-        : this.times.shortestMs({size, nowMs});
+        ? this.serviceTimes.conservativeMs(size)
+        : this.serviceTimes.shortestMs({size, nowMs});
     return leftMs > 0 && leftMs >= neededMs;
   }
 
@@ -249,9 +253,9 @@
     const heldMs = nowMs - request.startedAtMs;
     const size = request.cost;
     if (outcome !== TicketOutcome.FAILED) {
-      this.times.add({heldMs, size, nowMs});
+      this.serviceTimes.add({heldMs, size, nowMs});
     }
-    const unitMs = this.times.expectedMs(1);
+    const unitMs = this.serviceTimes.expectedMs(1);
     if (unitMs === 0) return;
     const cost = heldMs / unitMs - size;
     this.lanes[laneOf(request)]!.charge({...request, cost});
@@ -266,7 +270,7 @@
     const intervalMs = this.intervalMs();
     let waitMs = intervalMs;
     for (const request of this.lanes.flatMap((lane) => lane.ordered())) {
-      const neededMs = waitMs + this.times.conservativeMs(request.cost);
+      const neededMs = waitMs + this.serviceTimes.conservativeMs(request.cost);
       const leftMs = request.deadlineAtMs - nowMs;
       if (leftMs > 0 && neededMs <= leftMs) {
         waitMs += intervalMs;
@@ -286,7 +290,7 @@
 
   /** Time between two departures, in milliseconds; 0 while unknown. */
   private intervalMs(): number {
-    const theoreticalMs = this.times.meanHeldMs() / this.newWorkSlots;
+    const theoreticalMs = this.serviceTimes.meanHeldMs() / this.newWorkSlots;
     const nowMs = this.options.clock.now();
     return Math.max(theoreticalMs, this.drainRate.intervalMs(nowMs));
   }
@@ -302,7 +306,7 @@
    * by Little's law.
    */
   private turnaroundSlots(): number {
-    const heldMs = this.times.meanHeldMs();
+    const heldMs = this.serviceTimes.meanHeldMs();
     if (heldMs === 0) return 0;
     return Math.floor(this.slots * Math.min(1, SLOT_TURNAROUND_MS / heldMs));
   }
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -68,5 +68,5 @@
   /** Applies a new configuration. */
   configure(cfg: SiteConfig): void;
   /** Applies new capacity and refuses requests that can no longer be served. */
-  resize(load: EntryCapacity): void;
+  resize(capacity: EntryCapacity): void;
 }
--- a/src/core/streams/event-sequence.ts
+++ b/src/core/streams/event-sequence.ts
@@ -28,7 +28,7 @@
     this.last = options.lastId;
   }
 
-  /** Id of the last event that was passed on to the caller. */
+  /** Id of the last event that the caller has received. */
   get lastId(): number | undefined {
     return this.last;
   }
--- a/src/core/streams/event-splitter.ts
+++ b/src/core/streams/event-splitter.ts
@@ -58,7 +58,8 @@
 }
 
 /**
- * Parses the position in an event id; undefined if the id is not a number.
+ * Parses the position in an event id; undefined if the id is not a number of at
+ * most 9 digits.
  *
  * @example
  * toPosition('12'); // 12
--- a/src/core/streams/index.ts
+++ b/src/core/streams/index.ts
@@ -2,6 +2,6 @@
 export {EventSequence, SequenceCheck} from './event-sequence.js';
 export type {RawEvent} from './event-splitter.js';
 export {EventSplitter, toPosition} from './event-splitter.js';
-export {stallTimeoutMs, probeDelayMs} from './stall-timeout.js';
-export type {GenerationSize, GenerationSample} from './min-generation-time.js';
+export {probeDelayMs, stallTimeoutMs} from './stall-timeout.js';
+export type {GenerationSample, GenerationSize} from './min-generation-time.js';
 export {MinGenerationTime} from './min-generation-time.js';
