--- a/src/core/poison/crash-causes.ts
+++ b/src/core/poison/crash-causes.ts
@@ -1,18 +1,19 @@
-/** Which request of several caused an engine's crash. */
+/** Finds which of several requests caused the crash of an engine. */
 
-/** A request that ran in an engine, with the crashes it was in before. */
+/** A request that runs in an engine, with its earlier crashes. */
 export interface Suspect {
   readonly id: string;
   readonly crashes: readonly string[];
 }
 
 /**
- * Returns the ids of those suspects of a crash that are also in an earlier
- * crash, and in it alone of all that ran now. Two crashes have such a
- * request and no other in common.
+ * Returns the ids of the suspects that caused a crash: each is the only one of
+ * the suspects that also ran in some earlier crash. It is then the only request
+ * that the two crashes have in common.
  *
  * @example
- * findCulprits([{id: 'a', crashes: ['c1']}, {id: 'b', crashes: []}]);
+ * // ['a']
+ * findCrashCauses([{id: 'a', crashes: ['c1']}, {id: 'b', crashes: []}]);
  */
 export function findCrashCauses(suspects: readonly Suspect[]): string[] {
   const counts = new Map<string, number>();
@@ -27,17 +28,18 @@
 }
 
 /**
- * Whether a request may run beside others: none of them may have been in a
- * crash with it.
+ * Returns whether a request may run in the same engine as others, which
+ * requires that it has no earlier crash in common with any of them.
  *
  * @example
- * isApart({crashes: ['c1'], beside: [{id: 'b', crashes: ['c1']}]});
+ * // false
+ * sharesNoCrash({crashes: ['c1'], others: [{id: 'b', crashes: ['c1']}]});
  */
 export function sharesNoCrash(options: {
   crashes: readonly string[];
   others: readonly Suspect[];
 }): boolean {
-  const {crashes, others: beside} = options;
+  const {crashes, others} = options;
   const own = new Set(crashes);
-  return !beside.some((other) => other.crashes.some((c) => own.has(c)));
+  return !others.some((other) => other.crashes.some((c) => own.has(c)));
 }
--- a/src/core/poison/data-centre-outage.ts
+++ b/src/core/poison/data-centre-outage.ts
@@ -1,51 +1,59 @@
-/** Whether a target was lost together with its data centre. */
+/** Detects targets that were lost in a data-centre outage. */
 import type {Target} from '../targets/index.js';
 import {lifeOf} from '../targets/index.js';
 
-/** Targets of one data centre fall within this time, in milliseconds. */
-const TOGETHER_MS = 600;
+/** Targets lost in one outage are lost within this time, in milliseconds. */
+const OUTAGE_WINDOW_MS = 600;
 
-/** Share of the other targets that fall with a data centre. */
-const FALLEN_SHARE = 0.75;
+/** Minimum share of the other targets that are lost in an outage. */
+const MIN_LOST_SHARE = 0.75;
 
-/** What is known of a lost target and of those around it. */
+/** A lost target and the other known targets. */
 export interface OutageQuery {
   readonly lost: Target;
   readonly lostAtMs: number;
-  /** All targets that are known. */
+  /** All known targets. */
   readonly targets: Iterable<Target>;
-  /** Lives that the request may have ended before it came to this one. */
+  /** Incarnations that the request may have crashed before this one. */
   readonly crashedBefore: ReadonlySet<string>;
 }
 
 /**
- * Whether most of the targets beside a lost one went at the same time, though
- * the request cannot have ended them one after the other. Serves the load of a data centre that fails
- * with all that runs in it; a request which ends several targets of one data
- * centre, one after the other, is not taken for that.
+ * Returns whether most other targets of a lost target's data centre were lost
+ * at the same time. Targets of the same service are preferred for the check.
+ *
+ * An outage of a data centre must not count as a crash caused by the request.
+ * A request that crashes several targets of one data centre, one after the
+ * other, is not mistaken for an outage: the targets that it may have crashed
+ * before are excluded.
  *
  * @example
- * if (fellTogether({lost, lostAtMs, targets, endedBefore})) dismiss();
+ * const query = {lost, lostAtMs, targets, crashedBefore};
+ * if (isDataCentreOutage(query)) ledger.recordOutage(key);
  */
 export function isDataCentreOutage(query: OutageQuery): boolean {
-  const {lost, lostAtMs, targets, crashedBefore: endedBefore} = query;
-  const witnesses = [...targets].filter(
+  const {lost, lostAtMs, targets, crashedBefore} = query;
+  const neighbours = [...targets].filter(
     (target) =>
       target !== lost &&
       target.record.dataCentre === lost.record.dataCentre &&
-      !endedBefore.has(lifeOf(target.record)) &&
-      wasThere(target, lostAtMs),
+      !crashedBefore.has(lifeOf(target.record)) &&
+      wasPresent(target, lostAtMs),
   );
-  const peers = witnesses.filter(
+  const sameService = neighbours.filter(
     ({record}) => record.service === lost.record.service,
   );
-  const asked = peers.length > 0 ? peers : witnesses;
-  const fallen = asked.filter((target) => target.lostSinceMs !== undefined);
-  return fallen.length > 0 && fallen.length >= asked.length * FALLEN_SHARE;
+  const considered = sameService.length > 0 ? sameService : neighbours;
+  const alsoLost = considered.filter(
+    (target) => target.lostSinceMs !== undefined,
+  );
+  return (
+    alsoLost.length > 0 && alsoLost.length >= considered.length * MIN_LOST_SHARE
+  );
 }
 
-/** Whether a target was there until about the time of a loss. */
-function wasThere({lostSinceMs, record}: Target, lostAtMs: number): boolean {
+/** Returns whether a target was present until about the time of a loss. */
+function wasPresent({lostSinceMs, record}: Target, lostAtMs: number): boolean {
   if (lostSinceMs === undefined) return !record.isLeaving;
-  return lostSinceMs >= lostAtMs - TOGETHER_MS;
+  return lostSinceMs >= lostAtMs - OUTAGE_WINDOW_MS;
 }
--- a/src/core/poison/drop-oldest.ts
+++ b/src/core/poison/drop-oldest.ts
@@ -1,17 +1,17 @@
-/** Bounds what is remembered. */
+/** Bounds the size of maps and sets. */
 
 /**
- * Drops the oldest entry where there are more than `most`.
+ * Drops the oldest entry if there are more than `maxSize`.
  *
  * @example
- * dropOldest({entries: culprits, most: 10_000});
+ * dropOldest({entries: records, maxSize: 10_000});
  */
 export function dropOldest<K>(options: {
   entries: Map<K, unknown> | Set<K>;
   maxSize: number;
 }): void {
-  const {entries, maxSize: most} = options;
-  if (entries.size <= most) return;
+  const {entries, maxSize} = options;
+  if (entries.size <= maxSize) return;
   const [oldest] = entries.keys();
   entries.delete(oldest!);
 }
--- a/src/core/poison/index.ts
+++ b/src/core/poison/index.ts
@@ -1,4 +1,4 @@
-/** Requests that end the targets that run them. */
+/** Detection and quarantine of requests that crash their targets. */
 export * from './crash-causes.js';
 export * from './quarantine.js';
 export {isDataCentreOutage} from './data-centre-outage.js';
--- a/src/core/poison/loss-ledger.ts
+++ b/src/core/poison/loss-ledger.ts
@@ -1,36 +1,36 @@
-/** Targets that were lost under requests, as all entries saw it. */
+/** Counts the targets that were lost under requests, at all entries. */
 import type {Clock} from '../clock/index.js';
 import {dropOldest} from './drop-oldest.js';
 import type {RecordedLoss, RecordedLosses} from './recorded-losses.js';
 import type {Loss} from './loss-table.js';
 import {LossTable} from './loss-table.js';
 
-/** Losses after which a request counts as their cause. */
+/** Number of losses from which a request counts as their cause. */
 export const POISON_LOSSES = 3;
 
-/** Losses from which a request is sent on with care. */
+/** Number of losses from which a request is resent only with precautions. */
 export const SUSPECT_LOSSES = 2;
 
-/** Falls of data centres after which chance explains them no more. */
+/** Data-centre outages under one request from which it counts as the cause. */
 export const MAX_OUTAGES = 5;
 
-/** Time for which a loss is held against a request, in milliseconds. */
-const MEMORY_MS = 600_000;
+/** Time for which a loss counts against a request, in milliseconds. */
+const LOSS_RETENTION_MS = 600_000;
 
-/** Losses in one fall of a data centre come this close, in milliseconds. */
-const ONE_FALL_MS = 2_000;
+/** Maximum interval between losses in one outage, in milliseconds. */
+const SAME_OUTAGE_MS = 2_000;
 
-/** Requests that are remembered of a kind; the oldest ones go first. */
+/** Maximum requests in each collection; the oldest are dropped first. */
 const MAX_REQUESTS = 4_096;
 
-/** A request and the life of a target that it lost. */
+/** A request and the incarnation of a target that was lost under it. */
 export interface LossKey {
   readonly request: string;
   readonly incarnation: string;
 }
 
-/** Falls of data centres that took targets from a request. */
-interface Falls {
+/** Data-centre outages in which targets were lost under a request. */
+interface Outages {
   readonly count: number;
   readonly lastMs: number;
 }
@@ -38,244 +38,257 @@
 const NONE: ReadonlySet<string> = new Set();
 
 /**
- * Counts the lives of targets that were lost under each request, at all
- * entries together. Serves the load of a request that ends every target which
- * begins it and comes again at any entry: one entry sees only some of its
- * losses. A life counts once, however many equal requests were lost with it.
+ * Counts the incarnations of targets that were lost under each request, over
+ * all entries. It detects a request that crashes every target that starts it
+ * and that is retried at any entry, so that each entry sees only some of its
+ * losses. An incarnation counts once, however many equal requests it ran.
  *
  * @example
  * const ledger = new LossLedger({clock});
- * const loss = {request: fingerprint, life: lifeOf(target.record)};
- * ledger.note(loss);
- * ledger.settle(loss);
+ * const loss = {request: fingerprint, incarnation: 'i-7@1000'};
+ * ledger.recordLoss(loss);
+ * ledger.confirm(loss);
  * if (ledger.isPoison(fingerprint)) refuse();
  */
 export class LossLedger {
-  private readonly own = new LossTable();
-  private readonly others = new Map<string, LossTable>();
-  private readonly falls = new Map<string, Falls>();
-  private readonly ownHarmless = new Set<string>();
-  private readonly othersHarmless = new Map<string, ReadonlySet<string>>();
-  /** Lives that requests known to be poison have ended, by request. */
-  private readonly explained = new Map<string, ReadonlySet<string>>();
+  private readonly ownLosses = new LossTable();
+  private readonly otherLosses = new Map<string, LossTable>();
+  private readonly outages = new Map<string, Outages>();
+  /** Requests that this entry served after others recorded losses. */
+  private readonly ownServed = new Set<string>();
+  /** The same of the other entries, by entry. */
+  private readonly othersServed = new Map<string, ReadonlySet<string>>();
+  /** Incarnations that quarantined requests crashed, by request. */
+  private readonly attributed = new Map<string, ReadonlySet<string>>();
 
   constructor(private readonly options: {clock: Clock}) {}
 
-  /** Whether no request has lost a target lately. */
+  /** Whether no losses and no outages are recorded. */
   get isEmpty(): boolean {
-    return this.own.isEmpty && this.others.size + this.falls.size === 0;
+    return (
+      this.ownLosses.isEmpty && this.otherLosses.size + this.outages.size === 0
+    );
   }
 
-  /** A target was lost under a request; the cause is not known yet. */
+  /** Records a loss whose cause is not known yet. */
   recordLoss(key: LossKey): void {
     this.putOwn(key, false);
   }
 
-  /** No other cause was found: the loss is held against the request. */
+  /** Attributes a loss to its request, as no other cause was found. */
   confirm(key: LossKey): void {
-    const loss = this.own.lossesOf(key.request).get(key.incarnation);
-    if (loss !== undefined) this.own.put({...loss, isSettled: true});
+    const loss = this.ownLosses.lossesOf(key.request).get(key.incarnation);
+    if (loss !== undefined) this.ownLosses.put({...loss, isSettled: true});
   }
 
-  /** The loss had another cause. */
+  /** Removes a loss that had another cause. */
   dismiss(key: LossKey): void {
-    this.own.remove(key);
+    this.ownLosses.remove(key);
   }
 
-  /** The target was lost with its data centre. */
+  /** Records that a target was lost in an outage of its data centre. */
   recordOutage(key: LossKey): void {
     const {request} = key;
     this.dismiss(key);
     const lastMs = this.options.clock.now();
-    const earlier = this.falls.get(request);
+    const earlier = this.outages.get(request);
     const isSame =
-      earlier !== undefined && lastMs - earlier.lastMs <= ONE_FALL_MS;
+      earlier !== undefined && lastMs - earlier.lastMs <= SAME_OUTAGE_MS;
     const count = (earlier?.count ?? 0) + (isSame ? 0 : 1);
-    this.falls.delete(request);
-    this.falls.set(request, {count, lastMs});
-    dropOldest({entries: this.falls, maxSize: MAX_REQUESTS});
+    this.outages.delete(request);
+    this.outages.set(request, {count, lastMs});
+    dropOldest({entries: this.outages, maxSize: MAX_REQUESTS});
   }
 
   /**
-   * One target has served the whole request: it ends none. Whether that is
-   * news to other entries, which hold losses against it.
+   * Records that one target served the request completely, so that it crashes
+   * none. Returns whether to publish this: other entries have recorded losses
+   * under the request and have not received it yet.
    */
   recordServed(request: string): boolean {
-    this.falls.delete(request);
-    this.own.removeAll(request);
-    const isNews =
-      this.isKnownToOthers(request) && !this.ownHarmless.has(request);
-    if (isNews) this.ownHarmless.add(request);
-    dropOldest({entries: this.ownHarmless, maxSize: MAX_REQUESTS});
-    return isNews;
+    this.outages.delete(request);
+    this.ownLosses.removeAll(request);
+    const mustPublish =
+      this.isRecordedByOthers(request) && !this.ownServed.has(request);
+    if (mustPublish) this.ownServed.add(request);
+    dropOldest({entries: this.ownServed, maxSize: MAX_REQUESTS});
+    return mustPublish;
   }
 
-  /** Entries of whose notes something is known. */
+  /** Entries whose recorded losses have been received. */
   get knownEntries(): readonly string[] {
-    return [...this.othersHarmless.keys()];
+    return [...this.othersServed.keys()];
   }
 
-  /** Takes over what another entry has to tell. */
-  updateEntry(entry: string, notes: RecordedLosses): void {
-    const earlier = this.others.get(entry);
+  /** Replaces the losses of another entry. */
+  updateEntry(entry: string, recorded: RecordedLosses): void {
+    const earlier = this.otherLosses.get(entry);
     const nowMs = this.options.clock.now();
     const table = new LossTable();
-    for (const {request, life: incarnation, isSettled} of notes.losses) {
+    for (const {request, life: incarnation, isSettled} of recorded.losses) {
       const known = earlier?.lossesOf(request).get(incarnation);
       const atMs = known?.atMs ?? nowMs;
       table.put({request, incarnation, atMs, isSettled});
     }
-    if (table.isEmpty) this.others.delete(entry);
-    else this.others.set(entry, table);
-    this.othersHarmless.set(entry, new Set(notes.harmless));
+    if (table.isEmpty) this.otherLosses.delete(entry);
+    else this.otherLosses.set(entry, table);
+    this.othersServed.set(entry, new Set(recorded.harmless));
   }
 
-  /** An entry's notes are gone. */
+  /** Removes the losses of an entry whose object was deleted. */
   removeEntry(entry: string): void {
-    this.others.delete(entry);
-    this.othersHarmless.delete(entry);
+    this.otherLosses.delete(entry);
+    this.othersServed.delete(entry);
   }
 
-  /** Takes over what an earlier life of this entry had told. */
-  restore(notes: RecordedLosses): void {
-    for (const {request, life} of notes.losses) {
-      // Nobody is left who could look into its cause.
-      this.putOwn({request, incarnation: life}, true);
+  /** Restores the losses that an earlier incarnation of this entry stored. */
+  restore(recorded: RecordedLosses): void {
+    for (const {request, life: incarnation} of recorded.losses) {
+      // The incarnation that could have diagnosed the cause has ended.
+      this.putOwn({request, incarnation}, true);
     }
-    for (const request of notes.harmless) this.ownHarmless.add(request);
+    for (const request of recorded.harmless) this.ownServed.add(request);
   }
 
-  /** A request is known to have ended some lives, so others did not. */
-  attribute(request: string, lives: readonly string[]): void {
-    this.explained.set(request, new Set(lives));
-    dropOldest({entries: this.explained, maxSize: MAX_REQUESTS});
+  /** Attributes crashes to a request; they no longer count against others. */
+  attribute(request: string, incarnations: readonly string[]): void {
+    this.attributed.set(request, new Set(incarnations));
+    dropOldest({entries: this.attributed, maxSize: MAX_REQUESTS});
   }
 
-  /** A request is let go: what was held against it counts no more. */
+  /** Clears a request that was released: its losses no longer count. */
   reset(request: string): void {
-    this.explained.delete(request);
-    this.falls.delete(request);
+    this.attributed.delete(request);
+    this.outages.delete(request);
     for (const table of this.tables()) table.removeAll(request);
   }
 
-  /** What this entry has to tell the others. */
+  /** Returns the losses of this entry, to share them with the others. */
   toRecordedLosses(): RecordedLosses {
-    const losses = [...this.own.all()]
+    const losses = [...this.ownLosses.all()]
       .filter((loss) => this.isFresh(loss))
-      .map(({request, incarnation: life, isSettled}): RecordedLoss => {
-        return {request, life, isSettled};
+      .map(({request, incarnation, isSettled}): RecordedLoss => {
+        return {request, life: incarnation, isSettled};
       });
-    return {losses, harmless: [...this.ownHarmless]};
+    return {losses, harmless: [...this.ownServed]};
   }
 
-  /** Lives that were lost under a request, whether looked into or not. */
+  /** Returns the incarnations lost under a request, diagnosed or not. */
   incarnationsOf(request: string): ReadonlySet<string> {
-    return this.collect(request, () => true);
+    return this.collectIncarnations(request, () => true);
   }
 
   /**
-   * Lives that were lost under a request before a time, and those of which
-   * other entries tell: the request may have gone from one to the next.
+   * Returns the incarnations lost under a request at this entry before a time,
+   * and at other entries at any time: the caller may have retried at them.
    */
   incarnationsBefore(request: string, beforeMs: number): ReadonlySet<string> {
-    const own = this.own.lossesOf(request);
-    return this.collect(request, (loss) => {
+    const own = this.ownLosses.lossesOf(request);
+    return this.collectIncarnations(request, (loss) => {
       const isOwn = own.get(loss.incarnation) === loss;
       return !isOwn || loss.atMs <= beforeMs;
     });
   }
 
-  /** Whether a request is to be sent on with care. */
+  /** Returns whether a request is resent only with precautions. */
   isSuspect(request: string): boolean {
     return this.incarnationsOf(request).size >= SUSPECT_LOSSES;
   }
 
-  /** Whether the causes of a request's losses have to be known first. */
+  /** Returns whether losses must be diagnosed before the request is sent. */
   mayBePoison(request: string): boolean {
     const isOften = this.incarnationsOf(request).size >= POISON_LOSSES;
     return isOften || this.isPoison(request);
   }
 
   /**
-   * Whether a request ends its targets. Where another one lost the same
-   * targets, either may be the cause, so one more loss is awaited.
+   * Returns whether a request crashes its targets. If another request lost the
+   * same targets, either may be the cause, so one more loss is required.
    */
   isPoison(request: string): boolean {
-    if ((this.falls.get(request)?.count ?? 0) >= MAX_OUTAGES) return true;
-    const lives = this.collect(request, ({isSettled}) => isSettled);
-    if (lives.size < POISON_LOSSES) return false;
-    return lives.size > POISON_LOSSES || !this.hasTwin(request, lives);
+    if ((this.outages.get(request)?.count ?? 0) >= MAX_OUTAGES) return true;
+    const incarnations = this.collectIncarnations(
+      request,
+      ({isSettled}) => isSettled,
+    );
+    if (incarnations.size < POISON_LOSSES) return false;
+    return (
+      incarnations.size > POISON_LOSSES ||
+      !this.hasOtherSuspect(request, incarnations)
+    );
   }
 
-  private putOwn(
-    {request, incarnation: life}: LossKey,
-    isSettled: boolean,
-  ): void {
+  private putOwn({request, incarnation}: LossKey, isSettled: boolean): void {
     const atMs = this.options.clock.now();
-    this.own.put({request, incarnation: life, atMs, isSettled});
+    this.ownLosses.put({request, incarnation, atMs, isSettled});
   }
 
-  private collect(
+  private collectIncarnations(
     request: string,
-    counts: (loss: Loss) => boolean,
+    matches: (loss: Loss) => boolean,
   ): ReadonlySet<string> {
-    if (this.isEmpty || this.isHarmless(request)) return NONE;
-    const lives = new Set<string>();
+    if (this.isEmpty || this.wasServed(request)) return NONE;
+    const incarnations = new Set<string>();
     for (const table of this.tables()) {
       for (const loss of table.lossesOf(request).values()) {
-        if (this.isHeld(loss) && counts(loss)) lives.add(loss.incarnation);
+        if (this.isCounted(loss) && matches(loss))
+          incarnations.add(loss.incarnation);
       }
     }
-    return lives;
+    return incarnations;
   }
 
-  /** Whether another request has lost all of some lives too. */
-  private hasTwin(request: string, lives: ReadonlySet<string>): boolean {
+  /** Returns whether all incarnations were also lost under another request. */
+  private hasOtherSuspect(
+    request: string,
+    incarnations: ReadonlySet<string>,
+  ): boolean {
     const shared = new Map<string, Set<string>>();
     for (const table of this.tables()) {
       for (const loss of table.all()) {
-        const isOther = loss.request !== request && lives.has(loss.incarnation);
-        if (!isOther || !this.isHeld(loss)) continue;
-        const theirs = shared.get(loss.request) ?? new Set<string>();
-        shared.set(loss.request, theirs.add(loss.incarnation));
+        const isOther =
+          loss.request !== request && incarnations.has(loss.incarnation);
+        if (!isOther || !this.isCounted(loss)) continue;
+        const lost = shared.get(loss.request) ?? new Set<string>();
+        shared.set(loss.request, lost.add(loss.incarnation));
       }
     }
     return [...shared].some(
-      ([other, theirs]) =>
-        theirs.size === lives.size && !this.isHarmless(other),
+      ([other, lost]) =>
+        lost.size === incarnations.size && !this.wasServed(other),
     );
   }
 
   private *tables(): Iterable<LossTable> {
-    yield this.own;
-    yield* this.others.values();
+    yield this.ownLosses;
+    yield* this.otherLosses.values();
   }
 
-  private isHeld(loss: Loss): boolean {
-    return this.isFresh(loss) && !this.isExplained(loss);
+  private isCounted(loss: Loss): boolean {
+    return this.isFresh(loss) && !this.isAttributedToOther(loss);
   }
 
   private isFresh({atMs}: Loss): boolean {
-    return this.options.clock.now() - atMs <= MEMORY_MS;
+    return this.options.clock.now() - atMs <= LOSS_RETENTION_MS;
   }
 
-  private isExplained({request, incarnation: life}: Loss): boolean {
-    for (const [culprit, lives] of this.explained) {
-      if (culprit !== request && lives.has(life)) return true;
+  private isAttributedToOther({request, incarnation}: Loss): boolean {
+    for (const [cause, incarnations] of this.attributed) {
+      if (cause !== request && incarnations.has(incarnation)) return true;
     }
     return false;
   }
 
-  private isHarmless(request: string): boolean {
-    if (this.ownHarmless.has(request)) return true;
-    for (const requests of this.othersHarmless.values()) {
+  private wasServed(request: string): boolean {
+    if (this.ownServed.has(request)) return true;
+    for (const requests of this.othersServed.values()) {
       if (requests.has(request)) return true;
     }
     return false;
   }
 
-  private isKnownToOthers(request: string): boolean {
-    for (const table of this.others.values()) {
+  private isRecordedByOthers(request: string): boolean {
+    for (const table of this.otherLosses.values()) {
       if (table.lossesOf(request).size > 0) return true;
     }
     return false;
--- a/src/core/poison/loss-table.ts
+++ b/src/core/poison/loss-table.ts
@@ -1,29 +1,29 @@
-/** Losses of one entry, by request and life of the lost target. */
+/** Losses of one entry, by request and incarnation of the lost target. */
 import {dropOldest} from './drop-oldest.js';
 
 /** One target that was lost under a request. */
 export interface Loss {
   readonly request: string;
-  /** Life of the target, as `lifeOf` names it. */
+  /** Identifier of the lost incarnation of the target. */
   readonly incarnation: string;
-  /** When this process learned of it, on its own clock. */
+  /** When this process recorded or received it, on its own clock. */
   readonly atMs: number;
-  /** No other cause of the loss was found; else it is not known yet. */
+  /** Whether diagnosis has ended and found no cause other than the request. */
   readonly isSettled: boolean;
 }
 
-/** Requests that are remembered; the oldest ones go first. */
+/** Maximum requests in the table; the oldest are dropped first. */
 const MAX_REQUESTS = 4_096;
 
 const NONE: ReadonlyMap<string, Loss> = new Map();
 
 /**
- * Finds losses by their requests.
+ * Indexes losses by request.
  *
  * @example
  * const table = new LossTable();
- * table.put({request, life, atMs: clock.now(), isSettled: false});
- * table.of(request).size; // 1
+ * table.put({request, incarnation, atMs: clock.now(), isSettled: false});
+ * table.lossesOf(request).size; // 1
  */
 export class LossTable {
   private readonly byRequest = new Map<string, Map<string, Loss>>();
@@ -32,26 +32,26 @@
     return this.byRequest.size === 0;
   }
 
-  /** The losses under a request, by life. */
+  /** Returns the losses under a request, by incarnation. */
   lossesOf(request: string): ReadonlyMap<string, Loss> {
     return this.byRequest.get(request) ?? NONE;
   }
 
-  /** Adds a loss, or replaces what was known of it. */
+  /** Adds or replaces a loss. */
   put(loss: Loss): void {
-    const {request, incarnation: life} = loss;
-    const lives = this.byRequest.get(request) ?? new Map<string, Loss>();
-    lives.set(life, loss);
-    // The newest requests stand last.
+    const {request, incarnation} = loss;
+    const losses = this.byRequest.get(request) ?? new Map<string, Loss>();
+    losses.set(incarnation, loss);
+    // Reinserts the request, so that the order is by latest loss.
     this.byRequest.delete(request);
-    this.byRequest.set(request, lives);
+    this.byRequest.set(request, losses);
     dropOldest({entries: this.byRequest, maxSize: MAX_REQUESTS});
   }
 
   remove({request, incarnation}: {request: string; incarnation: string}): void {
-    const lives = this.byRequest.get(request);
-    lives?.delete(incarnation);
-    if (lives?.size === 0) this.byRequest.delete(request);
+    const losses = this.byRequest.get(request);
+    losses?.delete(incarnation);
+    if (losses?.size === 0) this.byRequest.delete(request);
   }
 
   removeAll(request: string): void {
@@ -59,6 +59,6 @@
   }
 
   *all(): Iterable<Loss> {
-    for (const lives of this.byRequest.values()) yield* lives.values();
+    for (const losses of this.byRequest.values()) yield* losses.values();
   }
 }
--- a/src/core/poison/quarantine.ts
+++ b/src/core/poison/quarantine.ts
@@ -1,67 +1,67 @@
-/** Requests that are refused for good. */
+/** Quarantined requests, which are refused. */
 import {array, Codec, string} from 'purify-ts';
 import type {GetType} from 'purify-ts';
 
 import {dropOldest} from './drop-oldest.js';
 
-/** Most entries kept; the oldest ones go first. */
+/** Maximum quarantined requests; the oldest are dropped first. */
 export const MAX_QUARANTINED = 10_000;
 
-/** What the object store holds of a culprit, under its fingerprint. */
+/** Codec of the object of a quarantined request, under its fingerprint. */
 export const QUARANTINE_RECORD = Codec.interface({
   clientAccount: string,
-  /** The crashes that it caused; the others in them are not held against the requests. */
+  /** The crashes that it caused; they do not count against other requests. */
   crashes: array(string),
 });
 
-/** A request that crashed its engines. */
+/** The record of a request that crashed its targets. */
 export type QuarantineRecord = GetType<typeof QUARANTINE_RECORD>;
 
 /**
  * The fingerprints that this process refuses.
  *
  * @example
- * quarantine.add({fingerprint, culprit});
+ * quarantine.add({fingerprint, record});
  * quarantine.has(fingerprint);
  */
 export class Quarantine {
-  private readonly culprits = new Map<string, QuarantineRecord>();
+  private readonly records = new Map<string, QuarantineRecord>();
   private readonly listeners = new Set<
-    (fingerprint: string, culprit: QuarantineRecord) => void
+    (fingerprint: string, record: QuarantineRecord) => void
   >();
   private readonly removalListeners = new Set<(fingerprint: string) => void>();
 
   get isEmpty(): boolean {
-    return this.culprits.size === 0;
+    return this.records.size === 0;
   }
 
   has(fingerprint: string): boolean {
-    return this.culprits.has(fingerprint);
+    return this.records.has(fingerprint);
   }
 
-  /** Adds a culprit and tells the listeners if it is new. */
+  /** Adds a request and notifies the listeners if it is new. */
   add(options: {fingerprint: string; record: QuarantineRecord}): void {
-    const {fingerprint, record: culprit} = options;
-    if (this.culprits.has(fingerprint)) return;
-    this.culprits.set(fingerprint, culprit);
-    dropOldest({entries: this.culprits, maxSize: MAX_QUARANTINED});
-    for (const listener of [...this.listeners]) listener(fingerprint, culprit);
+    const {fingerprint, record} = options;
+    if (this.records.has(fingerprint)) return;
+    this.records.set(fingerprint, record);
+    dropOldest({entries: this.records, maxSize: MAX_QUARANTINED});
+    for (const listener of [...this.listeners]) listener(fingerprint, record);
   }
 
-  /** Takes a culprit off the list, after operators deleted its object. */
+  /** Removes a request after its object was deleted. */
   remove(fingerprint: string): void {
-    if (!this.culprits.delete(fingerprint)) return;
+    if (!this.records.delete(fingerprint)) return;
     for (const listener of [...this.removalListeners]) listener(fingerprint);
   }
 
-  /** Calls `listener` with each culprit that is taken off the list. */
+  /** Calls `listener` for each request that is removed. */
   onRemoved(listener: (fingerprint: string) => void): void {
     this.removalListeners.add(listener);
   }
 
-  /** Calls `listener` with each new culprit; the result removes it. */
+  /** Calls `listener` for each new request; the result unsubscribes. */
   subscribe(
-    listener: (fingerprint: string, culprit: QuarantineRecord) => void,
+    listener: (fingerprint: string, record: QuarantineRecord) => void,
   ): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
--- a/src/core/poison/recorded-losses.ts
+++ b/src/core/poison/recorded-losses.ts
@@ -1,25 +1,28 @@
-/** What an entry tells the others of the targets that requests lost. */
+/** Losses of targets under requests, as an entry shares them with others. */
 import {array, boolean, Codec, string} from 'purify-ts';
 import type {GetType} from 'purify-ts';
 
 const RECORDED_LOSS = Codec.interface({
   /** Fingerprint of the request. */
   request: string,
-  /** Life of the target, as `lifeOf` names it. */
+  /** Identifier of the lost incarnation of the target. */
   life: string,
-  /** No other cause of the loss was found; else it is not known yet. */
+  /** Whether diagnosis has ended and found no cause other than the request. */
   isSettled: boolean,
 });
 
-/** What the object store holds of one entry's losses, under its VM. */
+/** Codec of the object that holds the losses of one entry, under its VM. */
 export const RECORDED_LOSSES = Codec.interface({
   losses: array(RECORDED_LOSS),
-  /** Fingerprints of requests that ended well after others had lost targets. */
+  /**
+   * Fingerprints of requests that were served completely after other entries
+   * had recorded losses under them.
+   */
   harmless: array(string),
 });
 
 /** One target that was lost under a request. */
 export type RecordedLoss = GetType<typeof RECORDED_LOSS>;
 
-/** All that one entry has to tell. */
+/** All recorded losses of one entry. */
 export type RecordedLosses = GetType<typeof RECORDED_LOSSES>;
--- a/test/core/poison/crash-causes.test.ts
+++ b/test/core/poison/crash-causes.test.ts
@@ -13,40 +13,44 @@
 const CASES: ReadonlyArray<{
   name: string;
   suspects: Readonly<Record<string, readonly string[]>>;
-  culprits: readonly string[];
+  causes: readonly string[];
 }> = [
-  {name: 'first crash', suspects: {a: [], b: []}, culprits: []},
-  {name: 'second crash alone', suspects: {a: ['c']}, culprits: ['a']},
+  {name: 'first crash', suspects: {a: [], b: []}, causes: []},
   {
-    name: 'second crash beside innocents',
+    name: 'second crash of a single request',
+    suspects: {a: ['c']},
+    causes: ['a'],
+  },
+  {
+    name: 'second crash together with unrelated requests',
     suspects: {a: ['c'], b: [], d: ['other']},
-    culprits: ['a', 'd'],
+    causes: ['a', 'd'],
   },
   {
-    name: 'two of the same crash',
+    name: 'two requests of the same crash',
     suspects: {a: ['c'], b: ['c']},
-    culprits: [],
+    causes: [],
   },
   {
-    name: 'a crash noted twice',
+    name: 'a crash that is listed twice',
     suspects: {a: ['c', 'c'], b: []},
-    culprits: ['a'],
+    causes: ['a'],
   },
 ];
 
-describe('findCulprits', () => {
-  it.each(CASES)('names after $name', ({suspects, culprits}) => {
+describe('findCrashCauses', () => {
+  it.each(CASES)('returns the causes after $name', ({suspects, causes}) => {
     const list = Object.entries(suspects).map(([id, crashes]) => ({
       id,
       crashes,
     }));
-    expect(findCrashCauses(list)).toEqual(culprits);
+    expect(findCrashCauses(list)).toEqual(causes);
   });
 
-  it(`names the one culprit in two crashes (seed ${SEED})`, () => {
+  it(`finds the only cause of two crashes (seed ${SEED})`, () => {
     fc.assert(
       fc.property(fc.integer(), (seed) => {
-        const {named, crashes} = simulate(new SeededRandom(seed));
+        const {causes: named, crashes} = simulate(new SeededRandom(seed));
         expect(named).toEqual(['r0']);
         expect(crashes).toBe(2);
       }),
@@ -55,8 +59,8 @@
   });
 });
 
-/** Request r0 crashes each engine; as many engines as requests are left. */
-function simulate(random: SeededRandom): {named: string[]; crashes: number} {
+/** Request r0 crashes each engine; there are two more engines than requests. */
+function simulate(random: SeededRandom): {causes: string[]; crashes: number} {
   const count = 1 + random.below(8);
   const engines = Array.from({length: count + 2}, (): Suspect[] => []);
   const ids = Array.from({length: count}, (_, i) => `r${i}`);
@@ -65,17 +69,16 @@
     const crashed = engines.findIndex((e) => e.some(({id}) => id === 'r0'));
     const batch = engines[crashed]!;
     const named = findCrashCauses(batch);
-    if (named.length > 0) return {named, crashes};
+    if (named.length > 0) return {causes: named, crashes};
     engines[crashed] = [];
     for (const {id, crashes: before} of batch) {
       const suspect = {id, crashes: [...before, `c${crashes}`]};
-      const apart = engines.filter(
-        (beside, i) =>
-          i !== crashed &&
-          sharesNoCrash({crashes: suspect.crashes, others: beside}),
+      const candidates = engines.filter(
+        (others, i) =>
+          i !== crashed && sharesNoCrash({crashes: suspect.crashes, others}),
       );
-      apart[random.below(apart.length)]!.push(suspect);
+      candidates[random.below(candidates.length)]!.push(suspect);
     }
   }
-  return {named: [], crashes: 0};
+  return {causes: [], crashes: 0};
 }
--- a/test/core/poison/data-centre-outage.test.ts
+++ b/test/core/poison/data-centre-outage.test.ts
@@ -1,4 +1,4 @@
-/** Targets that are lost together with their data centre. */
+/** Targets that are lost in a data-centre outage. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
@@ -8,71 +8,80 @@
 const ENGINES = 'engines';
 const DESKS = 'desks';
 
-/** When the target is lost that is asked about, in milliseconds. */
+/** When the target in question is lost, in milliseconds. */
 const LOST_MS = 10_000;
 
-interface Beside {
+/** Another known target. */
+interface Neighbour {
   readonly service?: string;
   readonly dataCentre?: string;
-  /** When it is found lost; it is there where this is left out. */
+  /** When it is lost; undefined if it is present. */
   readonly lostMs?: number;
-  /** The request may have ended it before. */
-  readonly wasEnded?: boolean;
+  /** Whether the request may have crashed it before. */
+  readonly wasCrashed?: boolean;
 }
 
 const LOST = {lostMs: LOST_MS};
 
 const CASES: ReadonlyArray<{
   name: string;
-  beside: readonly Beside[];
-  isFall: boolean;
+  neighbours: readonly Neighbour[];
+  isOutage: boolean;
 }> = [
-  {name: 'all others went too', beside: [LOST, LOST, LOST], isFall: true},
-  {name: 'all others are there', beside: [{}, {}, {}], isFall: false},
-  {name: 'one of three went too', beside: [LOST, {}, {}], isFall: false},
   {
-    name: 'another went, long before',
-    beside: [{lostMs: LOST_MS - 5_000}],
-    isFall: false,
+    name: 'all others were lost too',
+    neighbours: [LOST, LOST, LOST],
+    isOutage: true,
   },
+  {name: 'all others are present', neighbours: [{}, {}, {}], isOutage: false},
   {
-    name: 'the one that is left went, another was gone long before',
-    beside: [LOST, {lostMs: LOST_MS - 5_000}],
-    isFall: true,
+    name: 'one of three was lost too',
+    neighbours: [LOST, {}, {}],
+    isOutage: false,
   },
   {
-    name: 'the request had ended the others',
-    beside: [
-      {...LOST, wasEnded: true},
-      {...LOST, wasEnded: true},
+    name: 'another was lost long before',
+    neighbours: [{lostMs: LOST_MS - 5_000}],
+    isOutage: false,
+  },
+  {
+    name: 'the only other present target was lost, another long before',
+    neighbours: [LOST, {lostMs: LOST_MS - 5_000}],
+    isOutage: true,
+  },
+  {
+    name: 'the request may have crashed the others',
+    neighbours: [
+      {...LOST, wasCrashed: true},
+      {...LOST, wasCrashed: true},
     ],
-    isFall: false,
+    isOutage: false,
   },
   {
-    name: 'the request had ended one, and one that it never met is there',
-    beside: [{...LOST, wasEnded: true}, {}],
-    isFall: false,
+    name: 'the request may have crashed one, and an unrelated one is present',
+    neighbours: [{...LOST, wasCrashed: true}, {}],
+    isOutage: false,
   },
   {
-    name: 'another data centre went',
-    beside: [{...LOST, dataCentre: 'b'}],
-    isFall: false,
+    name: 'a target of another data centre was lost',
+    neighbours: [{...LOST, dataCentre: 'b'}],
+    isOutage: false,
   },
   {
-    name: 'it was the only one of its service, and the rest went',
-    beside: [
+    name: 'it was the only one of its service, and all others were lost',
+    neighbours: [
       {...LOST, service: DESKS},
       {...LOST, service: DESKS},
     ],
-    isFall: true,
+    isOutage: true,
   },
-  {name: 'it was alone', beside: [], isFall: false},
+  {name: 'there was no other target', neighbours: [], isOutage: false},
 ];
 
-describe('fellTogether', () => {
-  it.each(CASES)('says $isFall where $name', ({beside, isFall}) => {
+describe('isDataCentreOutage', () => {
+  it.each(CASES)('returns $isOutage if $name', ({neighbours, isOutage}) => {
     const clock = new ManualClock();
-    const create = (i: number, {service, dataCentre}: Beside) =>
+    const create = (i: number, {service, dataCentre}: Neighbour) =>
       new Target({
         clock,
         record: {
@@ -86,8 +95,8 @@
         },
       });
     const lost = create(0, {});
-    const others = beside.map((options, i) => create(i + 1, options));
-    const byTime = beside
+    const others = neighbours.map((options, i) => create(i + 1, options));
+    const byTime = neighbours
       .map(({lostMs}, i) => ({target: others[i]!, lostMs}))
       .filter(({lostMs}) => lostMs !== undefined)
       .sort((a, b) => a.lostMs! - b.lostMs!);
@@ -95,13 +104,13 @@
       clock.advance(lostMs! - clock.now());
       target.pause();
     }
-    const ended = others.filter((_, i) => beside[i]!.wasEnded === true);
+    const crashed = others.filter((_, i) => neighbours[i]!.wasCrashed === true);
     const answer = isDataCentreOutage({
       lost,
       lostAtMs: LOST_MS,
       targets: [lost, ...others],
-      crashedBefore: new Set(ended.map(({record}) => lifeOf(record))),
+      crashedBefore: new Set(crashed.map(({record}) => lifeOf(record))),
     });
-    expect(answer).toBe(isFall);
+    expect(answer).toBe(isOutage);
   });
 });
