--- a/src/core/generation/assembly.ts
+++ b/src/core/generation/assembly.ts
@@ -1,24 +1,25 @@
-/** Puts one answer together from the words of its attempts. */
+/** Assembles one output from the messages of its attempts. */
 import type {FinishReason, GenerationSpec, Token} from '../edges/index.js';
 import {EndVerdict, validateEnd} from './validate-end.js';
 import type {TokenLog} from './token-log.js';
 import {LogState} from './token-log.js';
 
-/** What a word of an attempt did to the answer. */
+/** Effect of a message of an attempt on the output. */
 export enum StepKind {
-  /** It is of no attempt that counts, or it was known. */
+  /** The message is of another attempt, a duplicate or after the end. */
   IGNORED = 'ignored',
   APPENDED = 'appended',
-  /** The attempt can no longer be trusted; another one must follow. */
+  /** The message contradicts the output; another attempt must follow. */
   BROKEN = 'broken',
   /** The end has to be confirmed by another attempt. */
   UNCONFIRMED = 'unconfirmed',
   FINISHED = 'finished',
 }
 
-/** What happened, and how many tokens were new. */
+/** Result of a message. */
 export interface Step {
   readonly kind: StepKind;
+  /** Number of new tokens. */
   readonly appended: number;
 }
 
@@ -26,13 +27,13 @@
 const BROKEN: Step = {kind: StepKind.BROKEN, appended: 0};
 
 /**
- * Takes only the next positions of the current attempt. Whatever is late,
- * doubled or of another attempt changes nothing.
+ * Accepts only the next positions of the current attempt. Messages that are
+ * late, duplicated or of another attempt change nothing.
  *
  * @example
  * const assembly = new Assembly({log, spec});
  * assembly.begin(attemptId);
- * assembly.takeTokens({attemptId, position: 0, tokens});
+ * assembly.receiveTokens({attemptId, position: 0, tokens});
  */
 export class Assembly {
   private currentId = '';
@@ -45,23 +46,23 @@
     },
   ) {}
 
-  /** The attempt whose words count; empty for none. */
+  /** Id of the current attempt; empty for none. */
   get attemptId(): string {
     return this.currentId;
   }
 
-  /** Tokens that the current attempt has added. */
+  /** Number of tokens that the current attempt has added. */
   get progress(): number {
     return this.options.log.length - this.resumedAt;
   }
 
-  /** From now on only this attempt's words count. */
+  /** Makes an attempt the current one. */
   begin(attemptId: string): void {
     this.currentId = attemptId;
     this.resumedAt = this.options.log.length;
   }
 
-  /** From now on no attempt's words count. */
+  /** Clears the current attempt, so that all messages are ignored. */
   clearAttempt(): void {
     this.currentId = '';
   }
@@ -72,7 +73,7 @@
     tokens: readonly Token[];
   }): Step {
     const {attemptId, position, tokens} = options;
-    if (!this.counts(attemptId)) return IGNORED;
+    if (!this.isCurrent(attemptId)) return IGNORED;
     const {log, spec} = this.options;
     if (position + tokens.length > spec.maxTokens) return BROKEN;
     const {appended, gap} = log.append({position, tokens});
@@ -87,7 +88,7 @@
     finishReason: FinishReason;
   }): Step {
     const {attemptId, length, finishReason} = options;
-    if (!this.counts(attemptId)) return IGNORED;
+    if (!this.isCurrent(attemptId)) return IGNORED;
     const {log, spec} = this.options;
     const verdict = validateEnd({
       end: {length, finishReason},
@@ -103,7 +104,7 @@
     return {kind: StepKind.FINISHED, appended: 0};
   }
 
-  private counts(attemptId: string): boolean {
+  private isCurrent(attemptId: string): boolean {
     if (this.options.log.state !== LogState.RUNNING) return false;
     return attemptId !== '' && attemptId === this.currentId;
   }
--- a/src/core/generation/detect-finish.ts
+++ b/src/core/generation/detect-finish.ts
@@ -1,27 +1,26 @@
-/** What can be known of an answer's end from its tokens alone. */
+/** Detects the end of an output from its tokens. */
 import type {GenerationSpec, Token} from '../edges/engine-driver.js';
 import {FinishReason} from '../edges/engine-driver.js';
 
 /**
- * Returns why an answer is over, as far as its tokens show: a stop string
- * was completed, or `maxTokens` are there. Undefined where only an engine
- * can tell.
+ * Returns why an output has ended: it contains a stop string or has reached
+ * `maxTokens`. Undefined if the tokens alone do not show an end.
  *
  * @example
- * resolveKnownFinish({spec, tokens}) ?? startNextAttempt();
+ * detectFinish({spec, tokens}) ?? startNextAttempt();
  */
 export function detectFinish(options: {
   spec: Pick<GenerationSpec, 'maxTokens' | 'stop'>;
   tokens: readonly Token[];
 }): FinishReason | undefined {
   const {spec, tokens} = options;
-  if (endsWithStop(spec.stop, tokens)) return FinishReason.STOP;
+  if (hasStopString(spec.stop, tokens)) return FinishReason.STOP;
   if (tokens.length >= spec.maxTokens) return FinishReason.LENGTH;
   return undefined;
 }
 
-/** Looks only at the text that the last tokens make up. */
-function endsWithStop(
+/** Searches only the tail where a stop string can end in the last token. */
+function hasStopString(
   stop: readonly string[],
   tokens: readonly Token[],
 ): boolean {
--- a/src/core/generation/event-id.ts
+++ b/src/core/generation/event-id.ts
@@ -1,4 +1,4 @@
-/** Identities of server-sent events, enough to find an answer and go on. */
+/** Ids of server-sent events, which suffice to find and resume an output. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
@@ -6,14 +6,14 @@
 import type {GenerationError} from './types.js';
 import {GenerationErrorKind} from './types.js';
 
-/** Where an answer can be found, and how much of it the caller has. */
+/** Location of an output, and the position up to which the caller has it. */
 export interface EventId {
   readonly requestId: string;
   readonly attemptId: string;
   /** VM of the agent that journals the attempt. */
   readonly agentVm: string;
   readonly agentIncarnation: string;
-  /** VM of the entry that holds a copy. */
+  /** VM of the entry that holds a copy of the output. */
   readonly entryVm: string;
   /** Next position that the caller needs. */
   readonly position: number;
@@ -26,10 +26,10 @@
 const NAME_PATTERN = /^[A-Za-z0-9._-]+$/;
 
 /**
- * Writes an event identity.
+ * Encodes an event id.
  *
  * @example
- * const id = encodeEventId({...place, position: 12});
+ * const id = encodeEventId({...location, position: 12});
  */
 export function encodeEventId(id: EventId): string {
   return [
@@ -43,7 +43,7 @@
 }
 
 /**
- * Reads an event identity; fails with BAD_EVENT_ID.
+ * Decodes an event id; fails with BAD_EVENT_ID.
  *
  * @example
  * decodeEventId(req.header('last-event-id') ?? '');
--- a/src/core/generation/fingerprint.ts
+++ b/src/core/generation/fingerprint.ts
@@ -1,9 +1,11 @@
+/** Fingerprints of request contents. */
 import {createHash} from 'node:crypto';
 
 const FINGERPRINT_CHARS = 32;
 
 /**
- * Hashes what identifies a request's content, for one client account.
+ * Returns a hash of the content of a request, for one client account. The
+ * length of each part is hashed too, so that different splits differ.
  *
  * @example
  * fingerprintOf({clientAccount: 'demo', parts: ['POST', '/orders', body]});
--- a/src/core/generation/index.ts
+++ b/src/core/generation/index.ts
@@ -1,4 +1,4 @@
-/** Positions, attempts and journals of long generations. */
+/** Outputs, attempts and recovery of long generations. */
 export * from './assembly.js';
 export * from './event-id.js';
 export * from './fingerprint.js';
--- a/src/core/generation/prompt-prefix.ts
+++ b/src/core/generation/prompt-prefix.ts
@@ -1,9 +1,9 @@
-/** Fingerprints of prompt prefixes, as engines report what they cache. */
+/** Fingerprints of prompt prefixes, as engines report the cached ones. */
 import xxhash from 'xxhash-wasm';
 
 const HASH = await xxhash();
 
-/** Characters of a prompt that its fingerprint covers. */
+/** Number of characters of a prompt that its fingerprint covers. */
 export const PREFIX_CHARACTERS = 256;
 
 /**
--- a/src/core/generation/recovery-policy.ts
+++ b/src/core/generation/recovery-policy.ts
@@ -1,31 +1,31 @@
-/** How losses are recovered from, by what a deployment weighs. */
+/** Policies for the recovery from losses, by the priority of a deployment. */
 import {Weigh} from '../config/types.js';
 
-/** Thresholds of a deployment's recovery. */
+/** Recovery policy of a deployment. */
 export interface RecoveryPolicy {
   /**
-   * A second attempt starts beside one that has been silent for this share
-   * of the silence that makes its agent suspect; Infinity for never.
+   * A hedged attempt starts when the current one has been silent for this
+   * share of the silence allowed to its agent; Infinity disables hedging.
    */
   readonly hedgeShare: number;
-  /** Whether a resume prefers targets that have the prompt cached. */
+  /** Whether a resume prefers targets with the prompt in the cache. */
   readonly prefersCached: boolean;
 }
 
-/** A second attempt where capacity is idle. */
+/** Hedges attempts, which uses idle capacity. */
 const LATENCY: RecoveryPolicy = {
   hedgeShare: 2 / 3,
   prefersCached: false,
 };
 
-/** No second attempt, and cached prompts first. */
+/** Does not hedge, and prefers cached prompts. */
 const RESOURCES: RecoveryPolicy = {
   hedgeShare: Number.POSITIVE_INFINITY,
   prefersCached: true,
 };
 
 /**
- * Returns the policy for what a deployment weighs.
+ * Returns the policy for the priority of a deployment.
  *
  * @example
  * resolveRecoveryPolicy(cfg.recovery.weigh).prefersCached;
--- a/src/core/generation/silence-limit.ts
+++ b/src/core/generation/silence-limit.ts
@@ -1,17 +1,17 @@
-/** How long a peer may be silent, by the gaps observed before. */
+/** Limits the silence of a peer by the gaps between its messages. */
 
-/** Share of the widest gap that remains after another gap. */
+/** Factor by which the widest gap decays with each observed gap. */
 const DECAY = 0.98;
 
-/** Silence allowed, as a multiple of the widest recent gap. */
-const ALLOWED_GAPS = 3;
+/** Allowed silence as a multiple of the widest recent gap. */
+const GAP_FACTOR = 3;
 
-/** Silence that is never allowed, in milliseconds. */
+/** Maximum of the allowed silence, in milliseconds. */
 export const SILENCE_CEILING_MS = 1_800;
 
 /**
- * Remembers the widest recent gap between a peer's words, so that a peer
- * which is slow under load is not taken for dead.
+ * Records the widest recent gap between messages of a peer, so that a peer
+ * that is slow under load is not considered dead.
  *
  * @example
  * const limit = new SilenceLimit();
@@ -19,16 +19,19 @@
  * limit.allowedMs(450);
  */
 export class SilenceLimit {
-  private widestMs = 0;
+  private widestGapMs = 0;
 
-  /** Notes a gap that ended with a word. */
+  /** Records a gap that ended with a message. */
   observe(gapMs: number): void {
-    this.widestMs = Math.max(gapMs, this.widestMs * DECAY);
+    this.widestGapMs = Math.max(gapMs, this.widestGapMs * DECAY);
   }
 
-  /** The silence allowed now; at least `floorMs`, at most the ceiling. */
+  /**
+   * Returns the allowed silence in milliseconds: at least `floorMs`, and at most
+   * SILENCE_CEILING_MS unless `floorMs` is higher.
+   */
   allowedMs(floorMs: number): number {
-    const byGaps = this.widestMs * ALLOWED_GAPS;
+    const byGaps = this.widestGapMs * GAP_FACTOR;
     const ceilingMs = Math.max(floorMs, SILENCE_CEILING_MS);
     return Math.min(Math.max(floorMs, byGaps), ceilingMs);
   }
--- a/src/core/generation/token-log.ts
+++ b/src/core/generation/token-log.ts
@@ -1,26 +1,27 @@
+/** The tokens of an output. */
 import type {FinishReason, Token} from '../edges/engine-driver.js';
 
-/** Whether an answer goes on. */
+/** State of an output. */
 export enum LogState {
   RUNNING = 'running',
   FINISHED = 'finished',
-  /** No more tokens will come, and the answer is not whole. */
+  /** No more tokens will be added, and the output is incomplete. */
   BROKEN = 'broken',
 }
 
-/** What an append did. */
+/** Result of an append. */
 export interface AppendResult {
-  /** Tokens that were new. */
+  /** Number of new tokens. */
   readonly appended: number;
-  /** Tokens that stood there already. */
+  /** Number of tokens that were in the log already. */
   readonly duplicates: number;
-  /** Tokens are missing between the log's end and the first one given. */
+  /** Whether tokens are missing between the log and the appended ones. */
   readonly gap: boolean;
 }
 
 /**
- * The tokens of one answer from position 0 on, without holes. It is the
- * journal of an attempt at an agent and the copy of an answer at an entry.
+ * The tokens of one output from position 0, without gaps. An agent uses it as
+ * the journal of an attempt, an entry as its copy of an output.
  *
  * @example
  * const log = new TokenLog();
@@ -29,10 +30,10 @@
 export class TokenLog {
   private readonly tokens: Token[];
   private readonly listeners = new Set<() => void>();
-  private current = LogState.RUNNING;
+  private currentState = LogState.RUNNING;
   private reason: FinishReason | undefined;
 
-  /** Starts with the tokens of an answer so far. */
+  /** Starts with the given tokens of an unfinished output. */
   constructor(prefix: readonly Token[] = []) {
     this.tokens = [...prefix];
   }
@@ -42,21 +43,21 @@
   }
 
   get state(): LogState {
-    return this.current;
+    return this.currentState;
   }
 
-  /** Why the answer ended; undefined until it has. */
+  /** Why the output finished; undefined until then. */
   get finishReason(): FinishReason | undefined {
     return this.reason;
   }
 
   /**
-   * Adds the tokens that follow the log's end; those already there are
-   * skipped, and a gap adds nothing.
+   * Adds the tokens that follow the end of the log. Tokens that are in the log
+   * already are skipped. If there is a gap, no tokens are added.
    */
   append(options: {position: number; tokens: readonly Token[]}): AppendResult {
     const {position, tokens} = options;
-    if (this.current !== LogState.RUNNING) {
+    if (this.currentState !== LogState.RUNNING) {
       return {appended: 0, duplicates: tokens.length, gap: false};
     }
     if (position > this.tokens.length) {
@@ -71,28 +72,28 @@
     return {appended, duplicates: skip, gap: false};
   }
 
-  /** Ends the answer as whole. */
+  /** Marks the output as complete. */
   finish(reason: FinishReason): void {
-    if (this.current !== LogState.RUNNING) return;
-    this.current = LogState.FINISHED;
+    if (this.currentState !== LogState.RUNNING) return;
+    this.currentState = LogState.FINISHED;
     this.reason = reason;
     this.notify();
   }
 
-  /** Ends the log without a whole answer. */
+  /** Marks the output as incomplete; no more tokens are added. */
   markBroken(): void {
-    if (this.current !== LogState.RUNNING) return;
-    this.current = LogState.BROKEN;
+    if (this.currentState !== LogState.RUNNING) return;
+    this.currentState = LogState.BROKEN;
     this.notify();
   }
 
-  /** The tokens from a position on, at most `limit` of them. */
+  /** Returns the tokens from a position on, at most `limit` of them. */
   slice(options: {from: number; limit?: number}): readonly Token[] {
     const {from, limit = this.tokens.length} = options;
     return this.tokens.slice(from, from + limit);
   }
 
-  /** Calls `listener` after each change; the result removes it. */
+  /** Calls `listener` after each change; the result unsubscribes. */
   subscribe(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
--- a/src/core/generation/types.ts
+++ b/src/core/generation/types.ts
@@ -1,6 +1,7 @@
+/** Errors of the generation layer. */
 import type {Layer, LayerError} from '../errors/types.js';
 
-/** Errors of the generation layer. */
+/** Kinds of errors of the generation layer. */
 export enum GenerationErrorKind {
   BAD_EVENT_ID = 'bad_event_id',
 }
--- a/src/core/generation/validate-end.ts
+++ b/src/core/generation/validate-end.ts
@@ -1,49 +1,49 @@
-/** Whether an engine's word that an answer is over can be taken. */
+/** Validates the end of an output as an engine reports it. */
 import type {GenerationSpec, Token} from '../edges/engine-driver.js';
 import {FinishReason} from '../edges/engine-driver.js';
 import {detectFinish} from './detect-finish.js';
 
-/** Tokens after a resume within which an end is confirmed elsewhere. */
+/** An end within this many tokens after a resume needs a confirmation. */
 export const EARLY_END_WINDOW = 16;
 
-/** What to do with an end. */
+/** How to handle an end. */
 export enum EndVerdict {
   ACCEPT = 'accept',
-  /** Ask another engine to go on; it ends at once if the answer is whole. */
+  /** Resume at another engine, which ends at once if the output is complete. */
   CONFIRM = 'confirm',
   /** The end contradicts the request; the attempt is broken. */
   BROKEN = 'broken',
 }
 
-/** An end as an attempt reported it. */
+/** An end as reported by an attempt. */
 export interface ReportedEnd {
   readonly finishReason: FinishReason;
-  /** Length of the whole answer. */
+  /** Length of the complete output, in tokens. */
   readonly length: number;
 }
 
 /**
- * Judges an end. `length` before `maxTokens` is broken. A `stop` that the
- * text does not show, and that comes shortly after a resume, is confirmed by
- * another engine; an attempt that adds no token and ends confirms it.
+ * Validates an end. `length` before `maxTokens` is broken. A `stop` shortly
+ * after a resume needs a confirmation by another engine unless the text
+ * contains a stop string. An attempt that ends without a new token confirms it.
  *
  * @example
- * judgeEnd({end, spec, tokens, resumedAt: 120});
+ * validateEnd({end, spec, tokens, resumedAt: 120});
  */
 export function validateEnd(options: {
   end: ReportedEnd;
   spec: Pick<GenerationSpec, 'maxTokens' | 'stop'>;
-  /** The answer as it was received. */
+  /** The output as received. */
   tokens: readonly Token[];
-  /** Length of the answer when the attempt began. */
+  /** Length of the output when the attempt began, in tokens. */
   resumedAt: number;
 }): EndVerdict {
   const {end, spec, tokens, resumedAt} = options;
   if (end.length !== tokens.length) return EndVerdict.BROKEN;
-  const known = detectFinish({spec, tokens});
-  if (known === end.finishReason) return EndVerdict.ACCEPT;
+  const detected = detectFinish({spec, tokens});
+  if (detected === end.finishReason) return EndVerdict.ACCEPT;
   if (end.finishReason === FinishReason.LENGTH) return EndVerdict.BROKEN;
   const added = tokens.length - resumedAt;
-  const early = resumedAt > 0 && added > 0 && added <= EARLY_END_WINDOW;
-  return early ? EndVerdict.CONFIRM : EndVerdict.ACCEPT;
+  const isEarly = resumedAt > 0 && added > 0 && added <= EARLY_END_WINDOW;
+  return isEarly ? EndVerdict.CONFIRM : EndVerdict.ACCEPT;
 }
--- a/test/core/generation/assembly.test.ts
+++ b/test/core/generation/assembly.test.ts
@@ -1,3 +1,4 @@
+/** Assembly, compared with a simple reference model. */
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
@@ -15,48 +16,48 @@
 const RUNS = 500;
 const SCHEDULES_PER_RUN = 250;
 
-/** A word of an attempt on its way. */
-interface Word {
+/** A message of an attempt in transit. */
+interface AttemptMessage {
   readonly attemptId: string;
   readonly position: number;
   readonly tokens: readonly Token[];
-  /** Set on the final word. */
+  /** Set on the final message. */
   readonly finish?: FinishReason;
 }
 
-/** What happens next at the entry. */
-type Event = {word: Word} | {begin: string};
+/** An event at the entry. */
+type ScheduleEvent = {message: AttemptMessage} | {begin: string};
 
 interface Schedule {
   readonly maxTokens: number;
-  readonly events: readonly Event[];
+  readonly events: readonly ScheduleEvent[];
 }
 
-/** Ids tell the attempt that wrote them, so that any mix shows. */
+/** Token ids contain attempt and position, so that mix-ups are detected. */
 function tokenOf(attempt: number, position: number): Token {
   return {id: attempt * 1_000 + position, text: `${attempt}.${position} `};
 }
 
 /**
- * Draws a schedule: attempts begin one after another while the words of all
- * of them are lost, doubled, delayed, put out of order and crossed.
+ * Draws a schedule: attempts begin one after another while messages of all of
+ * them are lost, duplicated, delayed, reordered and interleaved.
  */
 function drawSchedule(random: SeededRandom): Schedule {
   const maxTokens = 1 + random.below(8);
   const attempts = 1 + random.below(4);
-  const timed: Array<{atMs: number; event: Event}> = [];
+  const timed: Array<{atMs: number; event: ScheduleEvent}> = [];
   for (let attempt = 0; attempt < attempts; attempt++) {
     const beginMs = attempt * random.below(12);
     const attemptId = `a${attempt}`;
     timed.push({atMs: beginMs, event: {begin: attemptId}});
     const from = random.below(maxTokens + 1);
-    const words = drawWords({random, attempt, from, maxTokens});
-    words.forEach((word, i) => {
+    const messages = drawMessages({random, attempt, from, maxTokens});
+    messages.forEach((message, i) => {
       const copies = random.below(8) === 0 ? 2 : Number(random.below(7) > 0);
       const isLate = random.below(4) === 0;
       for (let copy = 0; copy < copies; copy++) {
         const delayMs = isLate ? random.below(20) : 0;
-        timed.push({atMs: beginMs + i + 1 + delayMs, event: {word}});
+        timed.push({atMs: beginMs + i + 1 + delayMs, event: {message}});
       }
     });
   }
@@ -64,15 +65,15 @@
   return {maxTokens, events: timed.map(({event}) => event)};
 }
 
-function drawWords(options: {
+function drawMessages(options: {
   random: SeededRandom;
   attempt: number;
   from: number;
   maxTokens: number;
-}): Word[] {
+}): AttemptMessage[] {
   const {random, attempt, from, maxTokens} = options;
   const attemptId = `a${attempt}`;
-  const words: Word[] = [];
+  const messages: AttemptMessage[] = [];
   let position = from;
   while (position < maxTokens) {
     const count = 1 + random.below(3);
@@ -80,17 +81,17 @@
     const tokens = Array.from({length}, (_, i) =>
       tokenOf(attempt, position + i),
     );
-    words.push({attemptId, position, tokens});
+    messages.push({attemptId, position, tokens});
     position += length;
   }
   const early = random.below(6) === 0;
   const finish = early ? FinishReason.STOP : FinishReason.LENGTH;
-  words.push({attemptId, position, tokens: [], finish});
-  return words;
+  messages.push({attemptId, position, tokens: [], finish});
+  return messages;
 }
 
-/** The naive twin: one token at a time, from all that ever came. */
-class NaiveAnswer {
+/** Reference model: adds one token at a time. */
+class ReferenceOutput {
   readonly ids: number[] = [];
   finishes = 0;
   private current = '';
@@ -105,7 +106,7 @@
     this.startedAt = this.ids.length;
   }
 
-  take({attemptId, position, tokens, finish}: Word): void {
+  take({attemptId, position, tokens, finish}: AttemptMessage): void {
     if (this.finishes > 0 || this.dropped) return;
     if (attemptId !== this.current) return;
     if (position > this.ids.length) {
@@ -117,12 +118,12 @@
     });
     if (finish === undefined) return;
     const whole = position === this.ids.length;
-    if (whole && this.believes(finish)) this.finishes++;
+    if (whole && this.acceptsEnd(finish)) this.finishes++;
     else this.dropped = true;
   }
 
-  /** An answer of fewer tokens than the window is all "shortly after". */
-  private believes(finish: FinishReason): boolean {
+  /** Outputs are shorter than EARLY_END_WINDOW, so any end is early. */
+  private acceptsEnd(finish: FinishReason): boolean {
     if (finish === FinishReason.LENGTH) {
       return this.ids.length === this.maxTokens;
     }
@@ -130,36 +131,36 @@
   }
 }
 
-/** Plays a schedule against both and returns how often it finished. */
+/** Runs a schedule on both models and returns how often it finished. */
 function play(schedule: Schedule): number {
   const {maxTokens, events} = schedule;
   const log = new TokenLog();
   const assembly = new Assembly({log, spec: {maxTokens, stop: []}});
-  const naive = new NaiveAnswer(maxTokens);
+  const reference = new ReferenceOutput(maxTokens);
   let finishes = 0;
   for (const event of events) {
     if ('begin' in event) {
       if (log.state !== LogState.RUNNING) continue;
       assembly.begin(event.begin);
-      naive.begin(event.begin);
+      reference.begin(event.begin);
       continue;
     }
-    const {word} = event;
-    const {attemptId, position: length, finish: finishReason} = word;
+    const {message} = event;
+    const {attemptId, position: length, finish: finishReason} = message;
     const step =
       finishReason === undefined
-        ? assembly.receiveTokens(word)
+        ? assembly.receiveTokens(message)
         : assembly.receiveEnd({attemptId, length, finishReason});
     if (step.kind === StepKind.BROKEN) assembly.clearAttempt();
     if (step.kind === StepKind.UNCONFIRMED) assembly.clearAttempt();
     if (step.kind === StepKind.FINISHED) finishes++;
-    naive.take(word);
+    reference.take(message);
   }
   const ids = log.slice({from: 0}).map((token) => token.id);
-  if (ids.join() !== naive.ids.join() || finishes !== naive.finishes) {
-    throw new Error(`got ${ids.join()}, expected ${naive.ids.join()}`);
+  if (ids.join() !== reference.ids.join() || finishes !== reference.finishes) {
+    throw new Error(`got ${ids.join()}, expected ${reference.ids.join()}`);
   }
-  // Every token stands at its own position.
+  // Every token is at its own position.
   ids.forEach((id, position) => {
     if (id % 1_000 !== position) throw new Error(`${id} at ${position}`);
   });
@@ -167,7 +168,7 @@
 }
 
 describe('Assembly', () => {
-  it(`is its naive twin (seed ${SEED})`, () => {
+  it(`agrees with the reference model (seed ${SEED})`, () => {
     let finished = 0;
     let played = 0;
     fc.assert(
--- a/test/core/generation/validate-end.test.ts
+++ b/test/core/generation/validate-end.test.ts
@@ -15,7 +15,7 @@
 
 const MANY = tokensOf(...Array.from({length: 40}, () => 'x'));
 
-const KNOWN = [
+const FINISHES = [
   {name: 'nothing', texts: [], maxTokens: 4, stop: [], finish: undefined},
   {name: 'fewer', texts: ['a'], maxTokens: 2, stop: ['b'], finish: undefined},
   {
@@ -48,8 +48,8 @@
   },
 ];
 
-describe('resolveKnownFinish', () => {
-  it.each(KNOWN)('knows $name', ({texts, maxTokens, stop, finish}) => {
+describe('detectFinish', () => {
+  it.each(FINISHES)('handles $name', ({texts, maxTokens, stop, finish}) => {
     const tokens = tokensOf(...texts);
     const found = detectFinish({spec: {maxTokens, stop}, tokens});
     expect(found).toBe(finish);
@@ -107,8 +107,8 @@
   },
 ];
 
-describe('judgeEnd', () => {
-  it.each(ENDS)('judges $name', (row) => {
+describe('validateEnd', () => {
+  it.each(ENDS)('validates $name', (row) => {
     const {reason, maxTokens = 99, length = 40, resumedAt = 0} = row;
     const verdict = validateEnd({
       end: {finishReason: reason, length},
