--- a/src/core/routes/admit-request.ts
+++ b/src/core/routes/admit-request.ts
@@ -1,4 +1,4 @@
-/** Whether a configuration lets a request in. */
+/** Admits requests by the routes and keys of a configuration. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
@@ -7,12 +7,12 @@
 import type {RouteTable} from './route-table.js';
 import type {AccountKeys, Route} from './types.js';
 
-/** When a caller may find another entry that knows more, in milliseconds. */
-const OTHER_ENTRY_MS = 150;
+/** Retry delay in ms; another entry may have a newer configuration. */
+const RETRY_AFTER_MS = 150;
 
-/** What is known of a request when it arrives. */
+/** A request on arrival, and the configuration of the entry. */
 export interface AdmissionInput {
-  /** Undefined before a configuration is known. */
+  /** Undefined until a configuration is loaded. */
   readonly table?: RouteTable;
   /** Whether the configuration is confirmed to be recent. */
   readonly isTrusted: boolean;
@@ -21,7 +21,7 @@
   readonly key?: string;
 }
 
-/** A request that was let in. */
+/** An admitted request. */
 export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
@@ -29,24 +29,24 @@
 }
 
 /**
- * Lets a request in or says why not. An entry that cannot vouch for its
- * configuration refuses with 503 in place of a verdict on routes or keys.
+ * Admits a request or returns the refusal. An entry whose configuration is not
+ * confirmed to be recent refuses with 503 instead of 404 or 401.
  *
  * @example
  * const admitted = admitRequest({table, isTrusted: true, host, path, key});
  */
 export function admitRequest(
-  facts: AdmissionInput,
+  input: AdmissionInput,
 ): Result<AdmittedRequest, OwnAnswer> {
-  const {table, isTrusted, host, path, key} = facts;
-  if (table === undefined) return err(later(RefusalReason.NOT_READY));
+  const {table, isTrusted, host, path, key} = input;
+  if (table === undefined) return err(unavailable(RefusalReason.NOT_READY));
   const route = table.findRoute({host, path});
   if (route === undefined) {
-    if (!isTrusted) return err(later(RefusalReason.STORE_UNAVAILABLE));
+    if (!isTrusted) return err(unavailable(RefusalReason.STORE_UNAVAILABLE));
     return err({status: 404, reason: RefusalReason.UNKNOWN_SERVICE});
   }
   if (!table.requiresKey(route)) return ok({table, route});
-  if (!isTrusted) return err(later(RefusalReason.STORE_UNAVAILABLE));
+  if (!isTrusted) return err(unavailable(RefusalReason.STORE_UNAVAILABLE));
   const account = key === undefined ? undefined : table.findAccount(key);
   if (account === undefined) {
     return err({status: 401, reason: RefusalReason.UNAUTHENTICATED});
@@ -54,6 +54,6 @@
   return ok({table, route, account});
 }
 
-function later(reason: RefusalReason): OwnAnswer {
-  return {status: 503, reason, retryAfterMs: OTHER_ENTRY_MS};
+function unavailable(reason: RefusalReason): OwnAnswer {
+  return {status: 503, reason, retryAfterMs: RETRY_AFTER_MS};
 }
--- a/src/core/routes/check-routing.ts
+++ b/src/core/routes/check-routing.ts
@@ -1,8 +1,8 @@
-/** Finds what cannot work in a configuration that is well-formed. */
+/** Finds errors in a well-formed configuration. */
 import type {Route, RoutingConfig} from './types.js';
 import {OperationKind} from './types.js';
 
-/** Kinds of mistakes in a configuration. */
+/** Kinds of errors in a configuration. */
 export enum RoutingProblemKind {
   UNKNOWN_SERVICE = 'unknown_service',
   NO_SERVICE = 'no_service',
@@ -14,7 +14,7 @@
   NOT_A_STREAM = 'not_a_stream',
 }
 
-/** A mistake, and where it is. */
+/** An error in a configuration. */
 export interface RoutingProblem {
   readonly kind: RoutingProblemKind;
   /** Name of the route or of the client account. */
@@ -23,7 +23,7 @@
 }
 
 /**
- * All mistakes of a configuration, route by route and then key by key.
+ * Returns all errors of a configuration, by route and then by key.
  *
  * @example
  * const problems = findRoutingProblems(config);
@@ -32,7 +32,7 @@
   const services = new Set(config.services.map(({name}) => name));
   return [
     ...config.routes.flatMap((route) => checkRoute(route, services)),
-    ...findSamePlaces(config.routes),
+    ...findDuplicateRoutes(config.routes),
     ...findSharedKeys(config),
   ];
 }
@@ -46,7 +46,7 @@
   const add = (kind: RoutingProblemKind, detail: string) =>
     problems.push({kind, subject, detail});
   if (shares.length === 0) {
-    add(RoutingProblemKind.NO_SERVICE, 'names no service');
+    add(RoutingProblemKind.NO_SERVICE, 'has no service');
   }
   for (const {service, weight} of shares) {
     if (!services.has(service)) {
@@ -57,10 +57,13 @@
     }
   }
   if (!pathPrefix.startsWith('/')) {
-    add(RoutingProblemKind.BAD_PREFIX, `"${pathPrefix}" begins with no slash`);
+    add(
+      RoutingProblemKind.BAD_PREFIX,
+      `"${pathPrefix}" does not begin with a slash`,
+    );
   }
   if (timeoutMs <= 0) {
-    add(RoutingProblemKind.BAD_TIMEOUT, `times out after ${timeoutMs} ms`);
+    add(RoutingProblemKind.BAD_TIMEOUT, `has a timeout of ${timeoutMs} ms`);
   }
   if (route.isResumable && route.operation !== OperationKind.STREAM) {
     add(RoutingProblemKind.NOT_A_STREAM, 'only a stream can be resumed');
@@ -68,14 +71,14 @@
   return problems;
 }
 
-/** Of two routes at one place only the first is ever used. */
-function findSamePlaces(routes: readonly Route[]): RoutingProblem[] {
-  const firstAt = new Map<string, Route>();
+/** Of several routes with the same host and prefix only the first is used. */
+function findDuplicateRoutes(routes: readonly Route[]): RoutingProblem[] {
+  const firstByLocation = new Map<string, Route>();
   return routes.flatMap((route) => {
-    const place = `${route.host.toLowerCase()}${route.pathPrefix}`;
-    const first = firstAt.get(place);
+    const location = `${route.host.toLowerCase()}${route.pathPrefix}`;
+    const first = firstByLocation.get(location);
     if (first === undefined) {
-      firstAt.set(place, route);
+      firstByLocation.set(location, route);
       return [];
     }
     const kind = RoutingProblemKind.DUPLICATE_ROUTE;
@@ -84,16 +87,16 @@
   });
 }
 
-/** A key opens one account only; the key itself is not repeated. */
+/** A key belongs to one account only. The detail does not contain the key. */
 function findSharedKeys({accounts = []}: RoutingConfig): RoutingProblem[] {
-  const holderOf = new Map<string, string>();
+  const ownerOf = new Map<string, string>();
   return accounts.flatMap(({clientAccount, keys}) =>
     keys.flatMap((key) => {
-      const holder = holderOf.get(key);
-      holderOf.set(key, clientAccount);
-      if (holder === undefined || holder === clientAccount) return [];
+      const owner = ownerOf.get(key);
+      ownerOf.set(key, clientAccount);
+      if (owner === undefined || owner === clientAccount) return [];
       const kind = RoutingProblemKind.SHARED_KEY;
-      const detail = `has a key of "${holder}"`;
+      const detail = `shares a key with "${owner}"`;
       return [{kind, subject: clientAccount, detail}];
     }),
   );
--- a/src/core/routes/route-table.ts
+++ b/src/core/routes/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds what a configuration says of a request. */
+/** Looks up routes, services and accounts in a configuration. */
 import type {
   AccountKeys,
   CallerLimits,
@@ -8,7 +8,7 @@
 } from './types.js';
 
 /**
- * A configuration, indexed for look-ups.
+ * A configuration that is indexed for lookups.
  *
  * @example
  * const table = new RouteTable(config);
@@ -17,31 +17,31 @@
 export class RouteTable {
   readonly version: number;
   readonly limits: CallerLimits;
-  private readonly routesOfHost = new Map<string, Route[]>();
+  private readonly routesByHost = new Map<string, Route[]>();
   private readonly services = new Map<string, RoutedService>();
-  private readonly accountOfKey = new Map<string, AccountKeys>();
-  private readonly needsKeys: boolean;
+  private readonly accountByKey = new Map<string, AccountKeys>();
+  private readonly hasAccounts: boolean;
 
   constructor(config: RoutingConfig) {
     this.version = config.version;
     this.limits = config.limits;
-    this.needsKeys = config.accounts !== undefined;
+    this.hasAccounts = config.accounts !== undefined;
     for (const service of config.services) {
       this.services.set(service.name, service);
     }
     for (const account of config.accounts ?? []) {
-      for (const key of account.keys) this.accountOfKey.set(key, account);
+      for (const key of account.keys) this.accountByKey.set(key, account);
     }
     for (const route of config.routes) this.addRoute(route);
-    for (const routes of this.routesOfHost.values()) {
+    for (const routes of this.routesByHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
   }
 
-  /** The route of the longest prefix of a path; a query is ignored. */
+  /** Finds the route with the longest matching prefix; ignores the query. */
   findRoute(options: {host: string; path: string}): Route | undefined {
     const path = withoutQuery(options.path);
-    const routes = this.routesOfHost.get(hostName(options.host));
+    const routes = this.routesByHost.get(hostName(options.host));
     return routes?.find((route) => path.startsWith(route.pathPrefix));
   }
 
@@ -49,26 +49,26 @@
     return this.services.get(name);
   }
 
-  /** The account that holds a key. */
+  /** Finds the account of a key. */
   findAccount(key: string): AccountKeys | undefined {
-    return this.accountOfKey.get(key);
+    return this.accountByKey.get(key);
   }
 
-  /** Whether requests on a route need a key. */
+  /** Returns whether requests on a route need a key. */
   requiresKey(route: Route): boolean {
-    return this.needsKeys && !route.isPublic;
+    return this.hasAccounts && !route.isPublic;
   }
 
   private addRoute(route: Route): void {
     const host = hostName(route.host);
-    const routes = this.routesOfHost.get(host) ?? [];
+    const routes = this.routesByHost.get(host) ?? [];
     routes.push(route);
-    this.routesOfHost.set(host, routes);
+    this.routesByHost.set(host, routes);
   }
 }
 
 /**
- * Picks the service of a request among a route's shares.
+ * Picks the service of a request at random, by the weights of a route.
  *
  * @example
  * const service = pickService({route, draw: random.float()});
@@ -80,10 +80,10 @@
 }): string | undefined {
   const {shares} = options.route;
   const total = shares.reduce((sum, share) => sum + share.weight, 0);
-  let left = options.draw * total;
+  let remaining = options.draw * total;
   for (const share of shares) {
-    left -= share.weight;
-    if (left < 0) return share.service;
+    remaining -= share.weight;
+    if (remaining < 0) return share.service;
   }
   return shares.at(-1)?.service;
 }
--- a/src/core/routes/types.ts
+++ b/src/core/routes/types.ts
@@ -1,23 +1,23 @@
-/** Shapes of a routing configuration: what may be called, by whom, and where. */
+/** Types of a routing configuration: routes, services, limits and accounts. */
 
-/** What may be repeated of an operation. */
+/** Kinds of operations, by whether they can be retried. */
 export enum OperationKind {
   /** Idempotent: may run more than once. */
   SAFE = 'safe',
   /** Runs at most once for each request. */
   UNSAFE = 'unsafe',
-  /** A stream of events with rising ids. */
+  /** A stream of events with increasing ids. */
   STREAM = 'stream',
 }
 
-/** One of the services among which a route divides its requests. */
+/** One of the services to which a route distributes its requests. */
 export interface RouteShare {
   readonly service: string;
-  /** Relative to the other shares of the route. */
+  /** Weight relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** Requests of one host below one path, and how they are treated. */
+/** How requests to one host and path prefix are handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
@@ -25,48 +25,48 @@
   readonly pathPrefix: string;
   readonly operation: OperationKind;
   readonly shares: readonly RouteShare[];
-  /** Longest time in which a request is worked on. */
+  /** Timeout of a request, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer, or its first event, is on time. */
+  /** Latency objective for a response, or for the first event of a stream. */
   readonly latencyObjectiveMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Targets to which one request may be sent. */
+  /** Maximum number of targets to which one request is sent. */
   readonly maxAttempts: number;
   /** Whether callers need no key. */
   readonly isPublic: boolean;
-  /** Whether another target may continue a stream after its last event. */
+  /** Whether another target may resume a stream after its last event. */
   readonly isResumable: boolean;
-  /** Longest pause between two events of a stream that is on time. */
+  /** Objective for the longest pause between two events of a stream. */
   readonly maxPauseMs?: number;
 }
 
-/** What is known of the model engines of a service. */
+/** Properties of the model engines of a service. */
 export interface EngineProfile {
-  /** Requests that an engine works on at once. */
+  /** Number of requests that an engine processes concurrently. */
   readonly slots: number;
-  /** Tokens that an engine's memory holds. */
+  /** Capacity of the KV cache of an engine, in tokens. */
   readonly kvCapacityTokens: number;
-  /** Tokens in one event of a stream. */
+  /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
-  /** Whether an engine copies a run's memory to another while it runs. */
+  /** Whether an engine can copy the KV cache of a running generation. */
   readonly canCopy: boolean;
-  /** Time for which the copy of a lost run is kept. */
+  /** Time for which the KV cache copy of a lost generation is kept. */
   readonly copyLifetimeMs: number;
 }
 
-/** A service that targets offer. */
+/** A service that is provided by targets. */
 export interface RoutedService {
   readonly name: string;
-  /** Path of the targets' own health check. */
+  /** Path of the health check of its targets. */
   readonly healthPath: string;
-  /** Connections that one target takes, from all callers together. */
+  /** Maximum number of connections to one target, from all callers. */
   readonly maxConnections: number;
   /** Present for services of model engines. */
   readonly engine?: EngineProfile;
 }
 
-/** What callers may send and how long they may take. */
+/** Size limits and timeouts for requests of callers. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -78,16 +78,16 @@
 export interface AccountKeys {
   readonly clientAccount: string;
   readonly keys: readonly string[];
-  /** Overrides the priority of routes; 0 is the most urgent. */
+  /** Overrides the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
 }
 
-/** A whole configuration, as it was accepted. */
+/** A complete accepted configuration. */
 export interface RoutingConfig {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
   readonly limits: CallerLimits;
-  /** Undefined where no request needs a key. */
+  /** Undefined if no request needs a key. */
   readonly accounts?: readonly AccountKeys[];
 }
--- a/test/core/routes/check-routing.test.ts
+++ b/test/core/routes/check-routing.test.ts
@@ -93,7 +93,7 @@
 ];
 
 describe('findRoutingProblems', () => {
-  it('finds nothing in a configuration that works', () => {
+  it('finds no problem in a valid configuration', () => {
     expect(findRoutingProblems(CONFIG)).toEqual([]);
   });
 
@@ -101,7 +101,7 @@
     expect(findRoutingProblems(config)).toMatchObject([{kind, subject}]);
   });
 
-  it('shows no key', () => {
+  it('does not disclose keys', () => {
     const [problem] = findRoutingProblems(CASES.at(-1)!.config);
     expect(JSON.stringify(problem)).not.toContain('k1');
   });
--- a/test/core/routes/route-table.test.ts
+++ b/test/core/routes/route-table.test.ts
@@ -44,8 +44,8 @@
   };
 }
 
-/** The naive twin: tries each prefix of the path, longest first. */
-function findNaively(options: {
+/** Reference model: tries each prefix of the path, longest first. */
+function findReference(options: {
   routes: readonly Route[];
   host: string;
   path: string;
@@ -75,7 +75,7 @@
   .map((parts) => `/${parts.join('/')}`);
 
 describe('RouteTable', () => {
-  it('finds the route that the naive twin finds', () => {
+  it('agrees with the reference model', () => {
     fc.assert(
       fc.property(
         fc.uniqueArray(routeArb, {
@@ -88,7 +88,7 @@
           const routes = fields.map((f) => route({...f, name: f.pathPrefix}));
           const table = new RouteTable(config({routes}));
           const found = table.findRoute({host, path});
-          expect(found).toEqual(findNaively({routes, host, path}));
+          expect(found).toEqual(findReference({routes, host, path}));
         },
       ),
       {seed: SEED, numRuns: 2_000},
@@ -109,7 +109,7 @@
     expect(table.findRoute({host, path}) !== undefined).toBe(found);
   });
 
-  it('knows whose key a key is, and which routes need one', () => {
+  it('finds the account of a key, and which routes need a key', () => {
     const accounts = [
       {clientAccount: 'a', keys: ['k1', 'k2']},
       {clientAccount: 'b', keys: []},
@@ -138,7 +138,7 @@
     expect(pickService({route: route({shares}), draw})).toBe(service);
   });
 
-  it('has nowhere to go without shares', () => {
+  it('picks no service without shares', () => {
     expect(pickService({route: route({shares: []}), draw: 0})).toBeUndefined();
   });
 });
