--- a/src/core/poison/loss-ledger.ts
+++ b/src/core/poison/loss-ledger.ts
@@ -11,7 +11,7 @@
 /** Number of losses from which a request is resent only with precautions. */
 export const SUSPECT_LOSSES = 2;
 
-/** Data-centre outages under one request from which it counts as the cause. */
+/** Outages under one request from which they no longer count as chance. */
 export const MAX_OUTAGES = 5;
 
 /** Time for which a loss counts against a request, in milliseconds. */
