--- a/test/core/booking/lib/simulator.ts
+++ b/test/core/booking/lib/simulator.ts
@@ -69,7 +69,7 @@
     world.requests.forEach((request, i) => {
       if (request.reportedRan !== undefined || !world.entriesUp[request.entry])
         return;
-      add(`give up ${i}`, (w) => this.step(w, i, {kind: EventKind.ABORT}));
+      add(`abort ${i}`, (w) => this.step(w, i, {kind: EventKind.ABORT}));
       const declaresNewKey = request.state.firstUse && !request.hungUp;
       if (declaresNewKey)
         add(`hang up ${i}`, (w) => (w.requests[i]!.hungUp = true));
@@ -303,7 +303,7 @@
       remove(w);
       deliver(w, applyWrite(w, effect));
     });
-    add('write, answer lost', (w) => {
+    add('write, response lost', (w) => {
       remove(w);
       applyWrite(w, effect);
       deliver(w, inDoubt);
--- a/test/core/generation/assembly.test.ts
+++ b/test/core/generation/assembly.test.ts
@@ -117,8 +117,8 @@
       if (position + i === this.ids.length) this.ids.push(id);
     });
     if (finish === undefined) return;
-    const whole = position === this.ids.length;
-    if (whole && this.acceptsEnd(finish)) this.finishes++;
+    const isComplete = position === this.ids.length;
+    if (isComplete && this.acceptsEnd(finish)) this.finishes++;
     else this.dropped = true;
   }
 
--- a/test/core/poison/data-centre-outage.test.ts
+++ b/test/core/poison/data-centre-outage.test.ts
@@ -105,12 +105,12 @@
       target.pause();
     }
     const crashed = others.filter((_, i) => neighbours[i]!.wasCrashed === true);
-    const answer = isDataCentreOutage({
+    const result = isDataCentreOutage({
       lost,
       lostAtMs: LOST_MS,
       targets: [lost, ...others],
       crashedBefore: new Set(crashed.map(({record}) => lifeOf(record))),
     });
-    expect(answer).toBe(isOutage);
+    expect(result).toBe(isOutage);
   });
 });
