--- a/src/core/protocol/consts.ts
+++ b/src/core/protocol/consts.ts
@@ -1,21 +1,21 @@
-/** Version of the messages; both sides must speak the same one. */
+/** Version of the protocol; both sides must use the same one. */
 export const PROTOCOL_VERSION = 1;
 
-/** Bytes of the length in front of each frame, big-endian. */
+/** Size of the big-endian length prefix of a frame, in bytes. */
 export const LENGTH_BYTES = 4;
 
-/** Largest frame body in bytes; holds a request body and its answer so far. */
+/** Largest frame body in bytes; fits a request body and its output so far. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-/** A connection must greet within this time, in milliseconds. */
+/** Time within which a connection must send HELLO, in milliseconds. */
 export const HELLO_TIMEOUT_MS = 2_000;
 
-/** A peer that leaves this many bytes unread is cut off. */
+/** Unread bytes beyond which the connection to a peer is closed. */
 export const MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024;
 
 /** Time allowed for a TCP connect, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Bounds of the wait before another connect, in milliseconds. */
+/** Bounds of the delay before a reconnect, in milliseconds. */
 export const RECONNECT_MIN_MS = 50;
 export const RECONNECT_MAX_MS = 2_000;
--- a/src/core/protocol/frame-codec.ts
+++ b/src/core/protocol/frame-codec.ts
@@ -27,12 +27,12 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames and decodes their messages. */
+/** Splits a byte stream into frames and decodes their messages. */
 export class FrameReader {
   private pending: Buffer = Buffer.alloc(0);
 
   /**
-   * Takes a chunk and returns the messages it completes, or the first
+   * Adds a chunk and returns the messages that it completes, or the first
    * error, after which the stream must be closed.
    *
    * @example
--- a/src/core/protocol/index.ts
+++ b/src/core/protocol/index.ts
@@ -1,4 +1,4 @@
-/** Messages, frames and connections between the system's processes. */
+/** Messages, frames and connections between the processes of the system. */
 export * from './consts.js';
 export * from './frame-codec.js';
 export * from './message-router.js';
--- a/src/core/protocol/message-router.ts
+++ b/src/core/protocol/message-router.ts
@@ -1,17 +1,17 @@
 import type {Message, MessageType} from './messages.js';
 import type {PeerConnection} from './peer-connection.js';
 
-/** Handles one type of message; `connection` takes the answers. */
+/** Handles one type of message; responses are sent on `connection`. */
 export type MessageHandler<T extends MessageType> = (
   message: Extract<Message, {type: T}>,
   connection: PeerConnection,
 ) => void;
 
-/** What becomes of a connection, for handlers that keep state of it. */
+/** Handles a closed connection, to release state kept for it. */
 export type CloseHandler = (connection: PeerConnection) => void;
 
 /**
- * Hands messages to the handlers of their types.
+ * Dispatches messages to the handlers of their types.
  *
  * @example
  * router.on(MessageType.CONFIG, (message) => controller.accept(message));
@@ -25,18 +25,18 @@
     this.handlers.set(type, handler as unknown as MessageHandler<never>);
   }
 
-  /** Adds a handler of closed connections. */
+  /** Adds a handler for closed connections. */
   onClose(handler: CloseHandler): void {
     this.closeHandlers.push(handler);
   }
 
-  /** Handles a message; one without a handler is ignored. */
+  /** Dispatches a message; ignores a type without a handler. */
   route(message: Message, connection: PeerConnection): void {
     const handler = this.handlers.get(message.type);
     handler?.(message as never, connection);
   }
 
-  /** Tells that a connection is closed. */
+  /** Calls the handlers for a closed connection. */
   close(connection: PeerConnection): void {
     for (const handler of this.closeHandlers) handler(connection);
   }
--- a/src/core/protocol/messages.ts
+++ b/src/core/protocol/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between the system's processes. Each is decoded by its Codec at
- * the connection; unknown or malformed messages close the connection.
+ * Messages between the processes of the system. The connection decodes each
+ * with its Codec; an unknown or malformed message closes the connection.
  */
 import type {GetType} from 'purify-ts';
 import {
@@ -19,7 +19,7 @@
 import {Executed, RefusalReason, RetryReason} from '../errors/refusals.js';
 import {byteString} from './byte-codec.js';
 
-/** Discriminates the messages. */
+/** Types of messages. */
 export enum MessageType {
   HELLO = 'hello',
   HEARTBEAT = 'heartbeat',
@@ -41,34 +41,36 @@
   CONFIG_REPORT = 'config_report',
 }
 
-/** The roles of a process, as it greets its peers. */
+/** Role that a process sends in HELLO. */
 export enum PeerRole {
   ENTRY = 'entry',
   AGENT = 'agent',
 }
 
-/** First message of each side; another version closes the connection. */
+/**
+ * First message of each side; another protocol version closes the connection.
+ */
 export const HELLO = Codec.interface({
   type: exactly(MessageType.HELLO),
   protocol: number,
   role: enumeration(PeerRole),
   vm: string,
-  /** Identity of this run of the process. */
+  /** Id of this incarnation of the process. */
   incarnation: string,
   dataCentre: string,
 });
 
-/** What an agent's target is doing. */
+/** Health of an agent's target. */
 export enum TargetPhase {
-  /** The target answers its probes. */
+  /** The target responds to probes. */
   HEALTHY = 'healthy',
-  /** The target does not answer its probes. */
+  /** The target does not respond to probes. */
   UNRESPONSIVE = 'unresponsive',
-  /** The target's process is gone. */
+  /** The target's process has exited. */
   DOWN = 'down',
 }
 
-/** Periodic word of a process about itself. */
+/** Periodic status report of a process. */
 export const HEARTBEAT = Codec.interface({
   type: exactly(MessageType.HEARTBEAT),
   sequence: number,
@@ -77,7 +79,7 @@
   running: number,
   waiting: number,
   capacity: number,
-  /** Identity of the target's process; empty where it has none. */
+  /** Id of the target's process; empty if it has none. */
   targetInstance: string,
   cachedPrefixes: array(string),
   configVersion: number,
@@ -86,7 +88,7 @@
 /** A token with its text. */
 export const TOKEN = Codec.interface({id: number, text: string});
 
-/** What to generate. */
+/** Parameters of a generation. */
 export const GENERATION_SPEC = Codec.interface({
   model: string,
   prompt: string,
@@ -96,26 +98,30 @@
   priority: number,
 });
 
-/** Entry to agent: run an attempt, from `resumeFrom` on. */
+/**
+ * Entry to agent: run an attempt, resuming after the tokens in `resumeFrom`.
+ */
 export const START = Codec.interface({
   type: exactly(MessageType.START),
   requestId: string,
   attemptId: string,
   clientAccount: string,
-  /** Fingerprint of client account and content. */
+  /** Fingerprint of the client account and the content. */
   fingerprint: string,
   spec: GENERATION_SPEC,
-  /** The answer so far: ids and texts, position 0 first. */
+  /** The output so far: ids and texts, from position 0. */
   resumeFrom: array(TOKEN),
-  /** Time left for the whole answer, in milliseconds. */
+  /** Time remaining for the complete output, in milliseconds. */
   deadlineMs: number,
-  /** Engine crashes that this request was in. */
+  /** Ids of engine crashes during which this request was running. */
   crashes: optional(array(string)),
-  /** Whether it may run beside another request of the same crash. */
+  /** Whether it may run together with another request of the same crash. */
   mayShare: optional(boolean),
 });
 
-/** Entry to agent or entry: send an attempt's journal from a position on. */
+/**
+ * Entry to agent or entry: send an attempt's journal, starting at a position.
+ */
 export const ATTACH = Codec.interface({
   type: exactly(MessageType.ATTACH),
   requestId: string,
@@ -125,19 +131,23 @@
   position: number,
 });
 
-/** Entry to entry: what the tokens from a position on are from. */
+/**
+ * Entry to entry: the attempt that produced the tokens starting at a position.
+ */
 export const LINEAGE = Codec.interface({
   type: exactly(MessageType.LINEAGE),
-  /** The attempt that ATTACH named. */
+  /** The attempt given in ATTACH. */
   attemptId: string,
-  /** The attempt that wrote, or was to write, from `position` on. */
+  /**
+   * The attempt that produced, or was to produce, the tokens from `position`.
+   */
   writerId: string,
   agentVm: string,
   agentIncarnation: string,
   position: number,
 });
 
-/** Entry to agent: no longer send this attempt's tokens. */
+/** Entry to agent: stop sending this attempt's tokens. */
 export const DETACH = Codec.interface({
   type: exactly(MessageType.DETACH),
   attemptId: string,
@@ -149,7 +159,9 @@
   attemptId: string,
 });
 
-/** Agent to entry: tokens of an attempt, in columns. */
+/**
+ * Agent to entry: tokens of an attempt, as parallel arrays of ids and texts.
+ */
 export const TOKENS = Codec.interface({
   type: exactly(MessageType.TOKENS),
   attemptId: string,
@@ -158,7 +170,7 @@
   texts: array(string),
 });
 
-/** Agent to entry: the attempt's answer is whole and has `length` tokens. */
+/** Agent to entry: the output is complete and has `length` tokens. */
 export const END = Codec.interface({
   type: exactly(MessageType.END),
   attemptId: string,
@@ -166,19 +178,22 @@
   finishReason: enumeration(FinishReason),
 });
 
-/** Agent to entry: the attempt broke off after it was admitted. */
+/** Agent to entry: the attempt failed after it was admitted. */
 export const FAILED = Codec.interface({
   type: exactly(MessageType.FAILED),
   attemptId: string,
   reason: enumeration(RetryReason),
   detail: string,
-  /** Identity of the engine's crash; absent where it did not crash. */
+  /** Id of the engine crash; absent if the engine did not crash. */
   crashId: optional(string),
-  /** This request alone can have caused that crash and an earlier one. */
+  /**
+   * Whether only this request can have caused both this crash and an earlier
+   * one.
+   */
   isCulprit: optional(boolean),
 });
 
-/** Answer to START, ATTACH or CALL that was not admitted. */
+/** Response to a START, ATTACH or CALL that was not admitted. */
 export const REFUSED = Codec.interface({
   type: exactly(MessageType.REFUSED),
   /** The attempt or call that was refused. */
@@ -189,10 +204,10 @@
   retryAfterMs: optional(number),
 });
 
-/** A header line. */
+/** A header field. */
 export const HEADER_FIELD = Codec.interface({name: string, value: string});
 
-/** Entry to agent: call the plain service. */
+/** Entry to agent: a call to the plain service. */
 export const CALL = Codec.interface({
   type: exactly(MessageType.CALL),
   callId: string,
@@ -200,7 +215,7 @@
   /** Idempotency key; empty for an idempotent call. */
   key: string,
   fingerprint: string,
-  /** Incarnation that the claim names; another one refuses. */
+  /** Agent incarnation given in the claim; any other incarnation refuses. */
   incarnation: string,
   method: string,
   path: string,
@@ -211,7 +226,7 @@
   claimedAtMs: number,
 });
 
-/** Agent to entry: the service's answer. */
+/** Agent to entry: the response of the service. */
 export const REPLY = Codec.interface({
   type: exactly(MessageType.REPLY),
   callId: string,
@@ -220,7 +235,7 @@
   body: byteString,
 });
 
-/** Entry to agent: what became of a key; optionally promise to refuse it. */
+/** Entry to agent: query the state of a key, optionally barring it for good. */
 export const ASK_KEY = Codec.interface({
   type: exactly(MessageType.ASK_KEY),
   callId: string,
@@ -233,17 +248,17 @@
   waitMs: number,
 });
 
-/** What an agent knows of a key. */
+/** State of a key at an agent. */
 export enum KeyPhase {
   UNSEEN = 'unseen',
   PROMISED_NEVER = 'promised_never',
   RUNNING = 'running',
   DONE = 'done',
-  /** Sent to the target, which gave no whole answer. */
+  /** Sent to the target, which returned no complete response. */
   UNCERTAIN = 'uncertain',
 }
 
-/** Answer to ASK_KEY; an outcome follows as REPLY when DONE. */
+/** Response to ASK_KEY; when DONE, the outcome follows as REPLY. */
 export const KEY_STATE = Codec.interface({
   type: exactly(MessageType.KEY_STATE),
   callId: string,
@@ -252,9 +267,8 @@
 });
 
 /**
- * Entry to agent: the target leaves, and this entry begins no more work
- * there. Sent when the VM list says so, and as the answer to a heartbeat that
- * says so.
+ * Entry to agent: the target is draining, and this entry starts no more work
+ * there. Sent when the VM list or a heartbeat reports the target as leaving.
  */
 export const LEAVE = Codec.interface({type: exactly(MessageType.LEAVE)});
 
@@ -262,13 +276,13 @@
 export const CONFIG = Codec.interface({
   type: exactly(MessageType.CONFIG),
   version: number,
-  /** The stored value; null where only the version is told. */
+  /** The stored value; null if only the version is sent. */
   value: unknown,
-  /** Time since the platform confirmed it, in milliseconds. */
+  /** Time since the platform confirmed the version, in milliseconds. */
   ageMs: number,
 });
 
-/** Any process to the one that passed it on: what is in force. */
+/** Any process to the sender of its configuration: the active version. */
 export const CONFIG_REPORT = Codec.interface({
   type: exactly(MessageType.CONFIG_REPORT),
   vm: string,
@@ -295,7 +309,7 @@
 export type ConfigMessage = GetType<typeof CONFIG>;
 export type ConfigReportMessage = GetType<typeof CONFIG_REPORT>;
 
-/** Any message after the greeting. */
+/** Any message of the protocol. */
 export type Message =
   | HelloMessage
   | HeartbeatMessage
--- a/src/core/protocol/peer-client.ts
+++ b/src/core/protocol/peer-client.ts
@@ -1,4 +1,4 @@
-/** Keeps a connection to one peer, and connects anew when it breaks. */
+/** Keeps a connection to one peer and reconnects when it breaks. */
 import {connect} from 'node:net';
 
 import type {Clock, RandomSource, TimerHandle} from '../clock/index.js';
@@ -14,13 +14,13 @@
 
 const BACKOFF_FACTOR = 2;
 
-/** Where a peer listens. */
+/** Address on which a peer listens. */
 export interface PeerAddress {
   readonly address: string;
   readonly port: number;
 }
 
-/** A connection that comes back. */
+/** A connection that is reestablished with backoff after it closes. */
 export class PeerClient {
   private connection: PeerConnection | undefined;
   private retryTimer: TimerHandle | undefined;
@@ -42,7 +42,10 @@
     this.dial();
   }
 
-  /** Sends if connected; returns false if not, or if the peer is slow. */
+  /**
+   * Sends a message; returns false if not connected or if the peer reads
+   * slowly.
+   */
   send(message: Message): boolean {
     if (!this.ready || this.connection === undefined) return false;
     return this.connection.send(message);
@@ -52,12 +55,12 @@
     return this.ready;
   }
 
-  /** Bytes of the present connection. */
+  /** Bytes received and sent on the current connection. */
   bytes(): {received: number; sent: number} {
     return this.connection?.bytes() ?? {received: 0, sent: 0};
   }
 
-  /** Drops the present connection; another one follows. */
+  /** Closes the current connection; a reconnect follows. */
   reset(detail: string): void {
     this.connection?.destroy(detail);
   }
--- a/src/core/protocol/peer-connection.ts
+++ b/src/core/protocol/peer-connection.ts
@@ -13,9 +13,9 @@
 import type {TransportError} from './types.js';
 import {TransportErrorKind} from './types.js';
 
-/** Hears what happens on a connection. */
+/** Receives the events of a connection. */
 export interface ConnectionListener {
-  /** The peer has greeted; messages follow. */
+  /** The peer has sent HELLO; other messages follow. */
   onReady(hello: HelloMessage): void;
   onMessage(message: Message): void;
   /** The send buffer has emptied after `send` returned false. */
@@ -25,8 +25,8 @@
 }
 
 /**
- * Sends and receives messages over a socket. Both sides greet first; a
- * malformed frame closes this connection and nothing else.
+ * Sends and receives messages over a socket. Each side sends HELLO first; a
+ * malformed frame closes only this connection.
  */
 export class PeerConnection {
   private readonly reader = new FrameReader();
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Sends a message. Returns false when the peer reads too slowly; what can
-   * wait should then wait for `onDrain`.
+   * Sends a message. Returns false when the peer reads too slowly; messages
+   * that are not urgent should then wait for `onDrain`.
    */
   send(message: Message): boolean {
     if (this.closed) return false;
@@ -69,23 +69,23 @@
     this.bytesOut += frame.length;
     const hasBufferSpace = this.options.socket.write(frame);
     if (this.options.socket.writableLength > MAX_SEND_BUFFER_BYTES) {
-      const detail = 'the peer does not read';
+      const detail = 'the peer reads too slowly';
       this.closeWith(transportError(TransportErrorKind.PEER_TOO_SLOW, detail));
     }
     return hasBufferSpace;
   }
 
-  /** Whether the socket asks for a pause in sending. */
+  /** Whether the socket's send buffer is above its high-water mark. */
   isCongested(): boolean {
     return this.options.socket.writableNeedDrain;
   }
 
-  /** Bytes that wait for the peer to read. */
+  /** Bytes that are buffered but not sent yet. */
   unsentBytes(): number {
     return this.closed ? 0 : this.options.socket.writableLength;
   }
 
-  /** When the last message was sent, on the process's clock. */
+  /** When the last message was sent, on the monotonic clock. */
   get sentAtMs(): number {
     return this.sentMs;
   }
@@ -99,12 +99,12 @@
     return {received: this.bytesIn, sent: this.bytesOut};
   }
 
-  /** Closes after all that was sent has left. */
+  /** Closes the connection after buffered messages have been written. */
   end(): void {
     this.options.socket.end();
   }
 
-  /** Closes at once. */
+  /** Closes the connection immediately; buffered messages are lost. */
   destroy(detail: string): void {
     this.closeWith(transportError(TransportErrorKind.CLOSED, detail));
   }
@@ -129,12 +129,12 @@
 
   private handleHello(message: Message): void {
     if (message.type !== MessageType.HELLO) {
-      const detail = `greeted with ${message.type}`;
+      const detail = `the first message is ${message.type}, not hello`;
       this.closeWith(transportError(TransportErrorKind.BAD_GREETING, detail));
       return;
     }
     if (message.protocol !== PROTOCOL_VERSION) {
-      const detail = `speaks ${message.protocol}, not ${PROTOCOL_VERSION}`;
+      const detail = `protocol version ${message.protocol}, expected ${PROTOCOL_VERSION}`;
       this.closeWith(transportError(TransportErrorKind.WRONG_PROTOCOL, detail));
       return;
     }
@@ -158,6 +158,6 @@
 }
 
 function helloTimeoutError(): TransportError {
-  const detail = `no greeting within ${HELLO_TIMEOUT_MS} ms`;
+  const detail = `no hello within ${HELLO_TIMEOUT_MS} ms`;
   return transportError(TransportErrorKind.GREETING_TIMEOUT, detail);
 }
--- a/src/core/protocol/peer-server.ts
+++ b/src/core/protocol/peer-server.ts
@@ -1,4 +1,4 @@
-/** Takes connections of peers. */
+/** Accepts connections from peers. */
 import type {AddressInfo, Server, Socket} from 'node:net';
 import {createServer} from 'node:net';
 
@@ -12,12 +12,12 @@
 import type {TransportError} from './types.js';
 import {TransportErrorKind} from './types.js';
 
-/** Makes the listener of a new connection. */
+/** Creates the listener of a new connection. */
 export type ListenerFactory = (
   connection: () => PeerConnection,
 ) => ConnectionListener;
 
-/** Listens for peers and makes a PeerConnection of each. */
+/** Listens for peers and creates a PeerConnection for each. */
 export class PeerServer {
   private readonly server: Server;
   private readonly connections = new Set<PeerConnection>();
@@ -32,7 +32,7 @@
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Starts to listen and returns the port. */
+  /** Starts listening and returns the port. */
   listen(options: {
     address: string;
     port: number;
@@ -49,7 +49,7 @@
     );
   }
 
-  /** Bytes that wait for peers to read. */
+  /** Bytes that are buffered but not sent yet, over all connections. */
   countUnsentBytes(): number {
     let bytes = 0;
     for (const connection of this.connections)
--- a/src/core/protocol/refused-message.ts
+++ b/src/core/protocol/refused-message.ts
@@ -3,10 +3,10 @@
 import {MessageType} from './messages.js';
 
 /**
- * Turns a refusal into the answer to the attempt or call `id`.
+ * Converts a refusal into the response to the attempt or call `id`.
  *
  * @example
- * connection.send(createRefused({id: callId, refusal}));
+ * connection.send(createRefusedMessage({id: callId, refusal}));
  */
 export function createRefusedMessage(options: {
   id: string;
--- a/src/core/protocol/types.ts
+++ b/src/core/protocol/types.ts
@@ -1,6 +1,6 @@
 import type {Layer, LayerError} from '../errors/types.js';
 
-/** Why a connection was closed by this side; each has a counter. */
+/** Why a connection was closed or could not be opened; each has a counter. */
 export enum TransportErrorKind {
   FRAME_TOO_LARGE = 'frame_too_large',
   BAD_CBOR = 'bad_cbor',
--- a/test/core/protocol/frame-codec.test.ts
+++ b/test/core/protocol/frame-codec.test.ts
@@ -31,12 +31,12 @@
     kind: TransportErrorKind.FRAME_TOO_LARGE,
   },
   {
-    name: 'broken CBOR',
+    name: 'malformed CBOR',
     bytes: Buffer.from([0, 0, 0, 2, 0x5a, 0xff]),
     kind: TransportErrorKind.BAD_CBOR,
   },
   {
-    name: 'a value that is no message',
+    name: 'a value that is not a message',
     bytes: frameOf(7),
     kind: TransportErrorKind.BAD_MESSAGE,
   },
@@ -58,7 +58,7 @@
     expect(read._unsafeUnwrapErr().kind).toBe(kind);
   });
 
-  it('returns the same messages however the bytes are cut', () => {
+  it('returns the same messages however the bytes are split', () => {
     const messageArb = fc.record({
       type: fc.constant(MessageType.TOKENS as const),
       attemptId: fc.string(),
