--- a/src/core/sync/follower.ts
+++ b/src/core/sync/follower.ts
@@ -1,4 +1,4 @@
-/** Follows one kind of objects in the platform's store. */
+/** Lists and watches one kind of objects in the platform's store. */
 import type {Clock, RandomSource} from '../clock/index.js';
 import {sleep} from '../clock/index.js';
 import type {
@@ -16,20 +16,20 @@
   REFRESH_DELAY_MS,
 } from './consts.js';
 
-/** Hears what a follower learns. */
+/** Receives the objects and changes that a follower reads. */
 export interface FollowerListener<T> {
-  /** All objects there are. */
+  /** All objects; `afterOutage`: the store failed since the last snapshot. */
   onSnapshot(items: ReadonlyArray<SourceItem<T>>, afterOutage: boolean): void;
   onChanges(changes: ReadonlyArray<SourceChange<T>>): void;
-  /** What is known was complete at a time. */
+  /** The objects received so far were complete at the time confirmed. */
   onConfirmed(confirmation: Confirmation): void;
   onError(err: SourceError): void;
 }
 
 /**
- * Lists a kind once and then waits for its changes; lists anew where changes
+ * Lists a kind once and then waits for its changes; lists again if changes
  * may have been missed. Every call has a time limit, so that a connection
- * which went silent is noticed.
+ * without traffic is detected.
  *
  * @example
  * const follower = new Follower({source, listener, clock, random, waitMs});
@@ -46,9 +46,11 @@
       listener: FollowerListener<T>;
       clock: Clock;
       random: RandomSource;
-      /** Longest wait for a change, in milliseconds. */
+      /** Maximum wait for a change, in milliseconds. */
       waitMs: number;
-      /** Least time between two calls that bring changes, in milliseconds. */
+      /**
+       * Minimum time between two calls that return changes, in milliseconds.
+       */
       minIntervalMs?: number;
     },
   ) {}
@@ -61,7 +63,7 @@
     this.stopped = true;
   }
 
-  /** Reads everything anew soon, beside the wait that is under way. */
+  /** Lists everything again soon, without ending the wait in progress. */
   refresh(): void {
     const {clock} = this.options;
     clock.schedule({delayMs: REFRESH_DELAY_MS, run: () => void this.list()});
@@ -126,7 +128,7 @@
     await this.backOff();
   }
 
-  /** Lets changes gather where one follows the other. */
+  /** Waits until `minIntervalMs` has passed, so that changes are batched. */
   private async throttle(startedMs: number): Promise<void> {
     const {clock, minIntervalMs = 0} = this.options;
     const leftMs = startedMs + minIntervalMs - clock.now();
--- a/src/core/sync/index.ts
+++ b/src/core/sync/index.ts
@@ -1,4 +1,4 @@
-/** Keeping a copy of the platform's state. */
+/** Keeps a local copy of the platform's state and tracks its age. */
 export type {FollowerListener} from './follower.js';
 export {Follower} from './follower.js';
 export type {Confirmation} from './key-trust.js';
--- a/src/core/sync/key-trust.ts
+++ b/src/core/sync/key-trust.ts
@@ -1,38 +1,43 @@
-/** Whether the known keys may still be relied on. */
+/** Decides whether the cached keys of client accounts may still be accepted. */
 import type {Clock} from '../clock/index.js';
 
-/** Part of the time to a revocation's bound for which keys are relied on. */
+/** Share of the revocation bound for which cached keys are accepted. */
 const TRUSTED_SHARE = 0.96;
 
-/** Difference between two clocks' progress that shows a stop or a step. */
+/**
+ * Difference between the progress of the monotonic clock and of the time of
+ * day beyond which the machine was suspended or its clock was stepped.
+ */
 const CLOCK_TOLERANCE_MS = 150;
 
-/** A call that starts in the same tick as a suspension ends is not trusted. */
+/**
+ * A call that starts in the same tick in which a suspension ends is not
+ * trusted.
+ */
 const CLOCK_RESOLUTION_MS = 1;
 
-/** Proof that the configuration was current. */
+/** Confirmation by the store that the configuration was current. */
 export interface Confirmation {
   /** When it was current, on the monotonic clock. */
   readonly atMs: number;
-  /** When the call that tells of it started. */
+  /** When the call that confirmed it started, on the monotonic clock. */
   readonly startedMs: number;
 }
 
 /**
- * Keys may be taken away at any time. They are relied on for a bounded time
- * after the store last confirmed the configuration. A machine that was
- * suspended does not count that time on its monotonic clock, so progress of
- * the time of day is compared too: where they differ, a new confirmation is
- * needed.
+ * Keys may be revoked at any time, so cached keys are accepted only for a
+ * bounded time after the store last confirmed the configuration. The monotonic
+ * clock does not advance while the machine is suspended, so its progress is
+ * compared with the time of day: if they differ, a new confirmation is needed.
  *
  * @example
  * const trust = new KeyTrust({clock, boundMs: 5_000});
  * trust.confirm({atMs, startedMs});
- * trust.isSound();
+ * trust.isTrusted();
  */
 export class KeyTrust {
   private confirmedMs = Number.NEGATIVE_INFINITY;
-  /** Calls that started earlier prove nothing. */
+  /** Calls that started before this time confirm nothing. */
   private rejectBeforeMs = Number.NEGATIVE_INFINITY;
   private wallOffsetMs: number;
   private boundMs?: number;
@@ -40,9 +45,9 @@
   constructor(
     private readonly options: {
       clock: Clock;
-      /** Undefined where keys are never taken away at once. */
+      /** Bound on the time to a revocation; undefined if there is none. */
       boundMs?: number;
-      /** A new confirmation is needed. */
+      /** Called when a new confirmation is needed. */
       onDistrusted?: () => void;
     },
   ) {
@@ -55,9 +60,9 @@
   }
 
   /**
-   * The configuration was current at a time on the monotonic clock, as the
-   * answer to a call that started earlier says. A call from before a
-   * suspension proves nothing: how long ago it was is not known.
+   * Records that the configuration was current at `atMs`, as confirmed by a
+   * call that started at `startedMs`. A call that started before a suspension
+   * is ignored, since the time that has passed since then is unknown.
    */
   confirm({atMs, startedMs}: Confirmation): void {
     if (this.hasClockJumped()) this.distrust();
--- a/test/core/sync/follower.test.ts
+++ b/test/core/sync/follower.test.ts
@@ -18,7 +18,7 @@
   | {readonly waitMs: number; readonly changes: readonly string[]}
   | {readonly fails: SourceErrorKind};
 
-/** Plays answers in turn, and notes the calls. */
+/** Returns scripted responses in order and records the calls. */
 class ScriptedSource implements StateSource<string> {
   readonly calls: Array<{call: string; atMs: number}> = [];
   private revision = 10;
@@ -40,7 +40,8 @@
     this.calls.push({call: `wait ${options.since}`, atMs: this.clock.now()});
     const step = this.steps.shift();
     if (step === undefined) return neverAsync();
-    if ('fails' in step) return errAsync({kind: step.fails, detail: 'told to'});
+    if ('fails' in step)
+      return errAsync({kind: step.fails, detail: 'scripted'});
     this.clock.advance(step.waitMs);
     const changes = step.changes.map((value) => ({
       name: 'x',
@@ -96,7 +97,7 @@
     expect(values).toEqual(['as of 10', 'new']);
   });
 
-  it('lets changes gather where one follows the other', async () => {
+  it('waits the minimum interval between calls that return changes', async () => {
     const {calls} = await runFollower([
       {waitMs: 5, changes: ['a']},
       {waitMs: 5, changes: ['b']},
@@ -105,12 +106,12 @@
     expect(waits[1]!.atMs - waits[0]!.atMs).toBeGreaterThanOrEqual(PACE_MS);
   });
 
-  it('trusts a quiet wait less than its end, as changes may be held back', async () => {
+  it('confirms less than the end of an idle wait, as changes may be delayed', async () => {
     const {confirmed} = await runFollower([{waitMs: WAIT_MS, changes: []}]);
     expect(confirmed[1]).toBe(WAIT_MS - 1_000);
   });
 
-  it('trusts a wait that was cut short only from its begin', async () => {
+  it('confirms only the start of a wait that ended early', async () => {
     const {confirmed} = await runFollower([{waitMs: 100, changes: []}]);
     expect(confirmed[1]).toBe(0);
   });
@@ -119,7 +120,7 @@
     {fails: SourceErrorKind.HISTORY_LOST, afterOutage: false},
     {fails: SourceErrorKind.UNAVAILABLE, afterOutage: true},
     {fails: SourceErrorKind.MALFORMED, afterOutage: true},
-  ])('lists anew after $fails', async ({fails, afterOutage}) => {
+  ])('lists again after $fails', async ({fails, afterOutage}) => {
     const {calls, outages} = await runFollower([{fails}]);
     const lists = calls.filter(({call}) => call === 'list');
     expect(lists).toHaveLength(2);
--- a/test/core/sync/key-trust.test.ts
+++ b/test/core/sync/key-trust.test.ts
@@ -7,7 +7,7 @@
 const SEED = 20261204;
 const BOUND_MS = 5_000;
 
-/** A machine whose monotonic clock stands still while it is suspended. */
+/** A clock whose monotonic time does not advance during a suspension. */
 class SuspendableClock extends ManualClock {
   private wallMs = 0;
 
@@ -20,14 +20,14 @@
   }
 }
 
-/** Something that happens to the machine. */
+/** A step of the simulated machine. */
 type Step =
   | {readonly kind: 'run'; readonly ms: number}
   | {readonly kind: 'suspend'; readonly ms: number}
-  /** Asks the store; the answer may come over a suspension. */
+  /** Calls the store; a suspension may happen before the response. */
   | {readonly kind: 'ask'}
   | {readonly kind: 'answer'}
-  /** A request asks whether keys are sound. */
+  /** Checks whether cached keys are trusted. */
   | {readonly kind: 'look'};
 
 const stepArb: fc.Arbitrary<Step> = fc.oneof(
@@ -43,7 +43,7 @@
 );
 
 describe('KeyTrust', () => {
-  it('never relies on a configuration that is older than the bound', () => {
+  it('never trusts a configuration that is older than the bound', () => {
     fc.assert(
       fc.property(fc.array(stepArb, {maxLength: 40}), (steps) => {
         const clock = new SuspendableClock();
@@ -73,7 +73,7 @@
     );
   });
 
-  it('takes no answer to a question from before a suspension', () => {
+  it('ignores the response to a call from before a suspension', () => {
     const clock = new SuspendableClock();
     let distrustedCount = 0;
     const onDistrusted = () => distrustedCount++;
@@ -104,7 +104,7 @@
     expect(trust.isTrusted()).toBe(is);
   });
 
-  it('always relies on keys that are never taken away at once', () => {
+  it('always trusts keys if there is no bound on revocation', () => {
     expect(new KeyTrust({clock: new ManualClock()}).isTrusted()).toBe(true);
   });
 });
