--- a/src/core/errors/catalogue.ts
+++ b/src/core/errors/catalogue.ts
@@ -1,4 +1,4 @@
-/** Every error that people are told of, in one place. */
+/** Catalogue of the errors that are shown to callers and operators. */
 import {RefusalReason} from './refusals.js';
 import type {ErrorData} from './types.js';
 
@@ -327,14 +327,14 @@
   hint: 'Look at its status and wait longer.',
 } as const satisfies ErrorData;
 
-/** How a refusal is shown to callers. */
+/** Catalogue entry and HTTP status of a refusal. */
 export interface RefusalData {
   readonly data: ErrorData;
   /** HTTP status. */
   readonly status: number;
 }
 
-/** Text and HTTP status of each refusal reason. */
+/** Catalogue entry and HTTP status for each refusal reason. */
 export const REFUSALS: Readonly<Record<RefusalReason, RefusalData>> = {
   [RefusalReason.BAD_REQUEST]: {data: BAD_REQUEST, status: 400},
   [RefusalReason.HEADERS_TOO_LARGE]: {data: HEADERS_TOO_LARGE, status: 431},
--- a/src/core/errors/index.ts
+++ b/src/core/errors/index.ts
@@ -1,4 +1,4 @@
-/** Error shapes and the catalogue of what people are told. */
+/** Error types and the catalogue of errors shown to users. */
 export * from './catalogue.js';
 export * from './refusals.js';
 export * from './types.js';
--- a/src/core/errors/refusals.ts
+++ b/src/core/errors/refusals.ts
@@ -1,13 +1,13 @@
-/** Refusals: what a caller is told when a request is not served. */
+/** Refusals: responses to requests that are not served, and their reasons. */
 
-/** Whether the refused request had any effect at its target. */
+/** Whether the refused request ran at its target. */
 export enum Executed {
   NO = 'no',
   YES = 'yes',
   UNKNOWN = 'unknown',
 }
 
-/** Every reason for a refusal; each has its own counter. */
+/** Reasons for a refusal; each has its own counter. */
 export enum RefusalReason {
   BAD_REQUEST = 'bad_request',
   HEADERS_TOO_LARGE = 'headers_too_large',
@@ -39,21 +39,23 @@
   CALLER_GONE = 'caller_gone',
 }
 
-/** Why a piece of work was sent again; each has its own counter. */
+/** Why a request was retried; each reason has its own counter. */
 export enum RetryReason {
   ENGINE_DIED = 'engine_died',
   ENGINE_STALLED = 'engine_stalled',
   AGENT_SILENT = 'agent_silent',
   AGENT_GONE = 'agent_gone',
-  /** An engine ended an answer against the request. */
+  /** The end of output reported by an engine contradicts the request. */
   END_EARLY = 'end_early',
-  /** An end shortly after a resume is confirmed by another engine. */
+  /**
+   * An end of output shortly after a resume is verified with another engine.
+   */
   END_UNCONFIRMED = 'end_unconfirmed',
-  /** A second attempt beside one whose agent is quiet. */
+  /** A second attempt, concurrent with one whose agent sends nothing. */
   HEDGED = 'hedged',
   TARGET_LEAVING = 'target_leaving',
   TARGET_REFUSED = 'target_refused',
-  /** Another target has started at the address; nothing ran. */
+  /** Another target runs at the address now; the request did not run. */
   TARGET_REPLACED = 'target_replaced',
   NOT_SENT = 'not_sent',
   CALL_SLOW = 'call_slow',
@@ -62,11 +64,13 @@
   STORE_ANSWER_LOST = 'store_answer_lost',
 }
 
-/** A refusal on its way to the caller. */
+/** A refusal of a request. */
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly ran: Executed;
   readonly detail: string;
-  /** When to come back, in milliseconds; absent where coming back is vain. */
+  /**
+   * Time after which to retry, in milliseconds; absent if a retry cannot help.
+   */
   readonly retryAfterMs?: number;
 }
--- a/src/core/errors/types.ts
+++ b/src/core/errors/types.ts
@@ -1,18 +1,18 @@
-/** Shapes shared by every layer's errors. */
+/** Types shared by the errors of all layers. */
 
-/** One entry of the catalogue, as a person reads it. */
+/** One entry of the error catalogue. */
 export interface ErrorData {
   /** Stable identifier, used in logs, counters and documentation. */
   readonly name: string;
-  /** A short headline. */
+  /** Short summary. */
   readonly title: string;
   /** What happened. */
   readonly message: string;
-  /** What the reader can do about it. */
+  /** How to correct it. */
   readonly hint: string;
 }
 
-/** The layers, from the edges inwards. */
+/** The layers that report errors, from external systems inwards. */
 export enum Layer {
   STORE = 'store',
   VM_LIST = 'vmList',
@@ -26,8 +26,8 @@
 }
 
 /**
- * An error value of one layer. A layer that meets an error from below wraps
- * it in its own kind and keeps the lower one as `cause`.
+ * An error value of one layer. A layer that receives an error of a lower layer
+ * wraps it in an error of its own kind and keeps the lower one as `cause`.
  */
 export interface LayerError<L extends Layer, K extends string> {
   readonly layer: L;
