--- a/src/core/timeline/build-timeline.ts
+++ b/src/core/timeline/build-timeline.ts
@@ -1,4 +1,4 @@
-/** Puts together what a site's log lines tell of one request. */
+/** Selects the log lines of a site that explain one request. */
 
 /** One line of a structured log. */
 export interface LogLine {
@@ -11,34 +11,34 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Why a line belongs to a story. */
+/** How a line is related to the request. */
 export enum Relation {
-  /** It names the request. */
+  /** The line has the id of the request. */
   REQUEST = 'request',
-  /** It tells of a target that the request was at. */
+  /** The line concerns a target to which the request was sent. */
   TARGET = 'target',
-  /** It tells what the entry believed at the time. */
+  /** The line concerns the state of the entry itself at that time. */
   ENTRY_STATE = 'belief',
 }
 
-/** A line with its part in the story. */
+/** A line with its relation to the request. */
 export interface RelatedLine {
   readonly relation: Relation;
   readonly line: LogLine;
 }
 
-/** Time around a request's own lines in which others belong to its story. */
+/** Time before and after the request's own lines in which other lines count. */
 const CONTEXT_MS = 3_000;
 
-/** Fields that name targets. */
+/** Fields that contain the id of a target. */
 const TARGET_FIELDS = ['target', 'from', 'copy', 'holder'] as const;
 
 /**
- * The story of a request, in order: its own lines, and what its entry found
- * out about its targets and itself around them.
+ * Returns the lines related to a request, sorted by time: its own lines, and
+ * lines of its entry around them that concern its targets or the entry itself.
  *
  * @example
- * const story = tellStory({lines, id: '9c41d07be2a35f68'});
+ * const timeline = buildTimeline({lines, id: '9c41d07be2a35f68'});
  */
 export function buildTimeline(options: {
   lines: readonly LogLine[];
@@ -66,7 +66,7 @@
   line: LogLine,
   targets: ReadonlySet<string>,
 ): Relation | undefined {
-  // Lines of other requests are their own stories.
+  // Lines of other requests are not related.
   if (line.fields['id'] !== undefined) return undefined;
   const named = targetsOf(line);
   if (named.length === 0) return Relation.ENTRY_STATE;
@@ -85,8 +85,8 @@
 }
 
 /**
- * Reads one line of a log; undefined where it is none. Text before the JSON
- * is skipped.
+ * Parses one line of a log; returns undefined if it is not a log line. Text
+ * before the JSON is skipped.
  *
  * @example
  * const line = parseLogLine('{"message":"started","vm":"entry-1", ...}');
@@ -98,7 +98,7 @@
   try {
     value = JSON.parse(text.slice(at));
   } catch {
-    // Logs hold lines of other programs too.
+    // The log may contain lines of other programs.
     return undefined;
   }
   if (typeof value !== 'object' || value === null) return undefined;
--- a/test/core/timeline/build-timeline.test.ts
+++ b/test/core/timeline/build-timeline.test.ts
@@ -29,8 +29,8 @@
   line({atS: 19, message: 'refused', fields: {id: 'b'}}),
 ];
 
-describe('tellStory', () => {
-  it('tells of the request, its targets and its entry, in order', () => {
+describe('buildTimeline', () => {
+  it('returns lines of the request, its targets and its entry, in order', () => {
     const timeline = buildTimeline({lines: LINES, id: 'a'});
     expect(
       timeline.map(({relation, line: l}) => [relation, l.message]),
@@ -42,7 +42,7 @@
     ]);
   });
 
-  it('has nothing to tell of an unknown request', () => {
+  it('returns nothing for an unknown request', () => {
     expect(buildTimeline({lines: LINES, id: 'c'})).toEqual([]);
   });
 });
@@ -53,9 +53,9 @@
 
   it.each([
     {name: 'a line', text: json, id: 'a'},
-    {name: 'a line behind a prefix', text: `12.5 edge ${json}`, id: 'a'},
+    {name: 'a line after a prefix', text: `12.5 edge ${json}`, id: 'a'},
     {name: 'other text', text: 'Node.js v20', id: undefined},
-    {name: 'broken JSON', text: '{"timestamp":', id: undefined},
+    {name: 'malformed JSON', text: '{"timestamp":', id: undefined},
     {name: 'other JSON', text: '{"level":"info"}', id: undefined},
   ])('reads $name', ({text, id}) => {
     expect(parseLogLine(text)?.fields['id']).toBe(id);
