--- a/src/core/edges/callers.ts
+++ b/src/core/edges/callers.ts
@@ -20,7 +20,9 @@
   /** Bearer key; empty when absent. */
   readonly bearer: string;
   readonly spec: GenerationSpec;
-  /** Time allowed for the complete output; undefined for the service's default. */
+  /**
+   * Time allowed for the complete output; undefined for the service's default.
+   */
   readonly deadlineMs?: number;
   /** Value of `Last-Event-ID`; empty for a new request. */
   readonly lastEventId: string;
--- a/src/core/edges/direct-target.ts
+++ b/src/core/edges/direct-target.ts
@@ -8,13 +8,18 @@
 export enum ExchangeFailure {
   /** No byte of the request was written. */
   NOT_SENT = 'not_sent',
-  /** The target has no free capacity and reports that it did not run the request. */
+  /**
+   * The target has no free capacity and reports that it did not run the
+   * request.
+   */
   REJECTED = 'rejected',
   /** Another target has the address now; the request did not run. */
   WRONG_TARGET = 'wrong_target',
   /** The connection broke, or the response is malformed. */
   BROKEN = 'broken',
-  /** The response belongs to another request, or does not identify the target. */
+  /**
+   * The response belongs to another request, or does not identify the target.
+   */
   MISMATCHED_RESPONSE = 'foreign_answer',
 }
 
@@ -54,7 +59,9 @@
   readonly clientAccount?: string;
   /** 0 to 9; 0 is the most urgent. */
   readonly priority?: number;
-  /** Id of the last event that the caller received; the stream resumes after it. */
+  /**
+   * Id of the last event that the caller received; the stream resumes after it.
+   */
   readonly lastEventId?: string;
   /** Address of the target that stores a copy of the generation's KV cache. */
   readonly copyTo?: string;
@@ -90,7 +97,10 @@
     target: TargetRecord,
     timeoutMs: number,
   ): ResultAsync<ReportedLoad, string>;
-  /** Probes the health check of a target; returns the id of the target that responds. */
+  /**
+   * Probes the health check of a target; returns the id of the target that
+   * responds.
+   */
   probeHealth(options: {
     target: TargetRecord;
     path: string;
@@ -111,6 +121,8 @@
     source: TargetRecord;
     id: string;
   }): ResultAsync<void, string>;
-  /** Closes idle connections to a target, and busy ones when they become idle. */
+  /**
+   * Closes idle connections to a target, and busy ones when they become idle.
+   */
   releaseConnections(target: TargetRecord): void;
 }
--- a/src/core/edges/engine-driver.ts
+++ b/src/core/edges/engine-driver.ts
@@ -11,7 +11,9 @@
   REFUSED = 'refused',
   /** Sent, but no complete response was received: it may have run. */
   LOST = 'lost',
-  /** No response within the time allowed: it may have run or still be running. */
+  /**
+   * No response within the time allowed: it may have run or still be running.
+   */
   TIMEOUT = 'timeout',
   /** The response of the target is malformed. */
   MALFORMED = 'malformed',
--- a/src/core/edges/object-store.ts
+++ b/src/core/edges/object-store.ts
@@ -85,7 +85,9 @@
     kind: ObjectKind;
     since: number;
     onEvent: (event: WatchEvent) => void;
-    /** Called whenever the platform sends data, including when nothing changed. */
+    /**
+     * Called whenever the platform sends data, including when nothing changed.
+     */
     onAlive?: () => void;
     onClosed: (err: StoreError) => void;
   }): WatchHandle;
