--- a/src/core/config/check-deployment.ts
+++ b/src/core/config/check-deployment.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Checks the base, and the base merged with each overlay, and reports all
- * problems at once, each where its value stands.
+ * Checks the base and the base merged with each overlay. Reports all problems
+ * at once, each at the position of its value.
  *
  * @example
  * checkDeployment({baseFile, overlayFiles}).map(({document}) => document);
--- a/src/core/config/check-site-consistency.ts
+++ b/src/core/config/check-site-consistency.ts
@@ -1,13 +1,14 @@
 import type {PathSegment, Problem, SourceNode} from '../yaml-check/index.js';
 import {createProblem, describeNode, NodeKind} from '../yaml-check/index.js';
 
-/** Fields of a service that have to be the same at every site. */
+/** Fields of a service that must be the same at every site. */
 const SERVICE_FIELDS = ['kind', 'idempotent'] as const;
 
 /**
- * Checks that an overlay leaves alone what all sites have to agree on: the
- * deployment's name, and which services exist as idempotent or not. A call
- * may be retried at another site, which must not take it for a repeatable one.
+ * Checks that an overlay does not change values that must be the same at all
+ * sites: the name of the deployment, and the kind and idempotence of services.
+ * A call may be retried at another site, which must not treat a call that is
+ * not idempotent as one that can be retried freely.
  */
 export function checkSiteConsistency(options: {
   base: SourceNode;
--- a/src/core/config/config-error.ts
+++ b/src/core/config/config-error.ts
@@ -4,7 +4,7 @@
 import type {ConfigError} from './types.js';
 import {ConfigErrorKind} from './types.js';
 
-/** Builds the error of a configuration with problems. */
+/** Creates the error for a configuration with problems. */
 export function createInvalidConfigError(
   problems: readonly Problem[],
 ): ConfigError {
@@ -17,7 +17,7 @@
   };
 }
 
-/** Builds the error of a site that has no overlay. */
+/** Creates the error for a site without an overlay. */
 export function createUnknownSiteError(
   site: string,
   known: readonly string[],
@@ -25,7 +25,7 @@
   return {
     layer: Layer.CONFIG,
     kind: ConfigErrorKind.UNKNOWN_SITE,
-    detail: `no overlay for site "${site}"; there is ${known.join(', ')}`,
+    detail: `no overlay for site "${site}"; known sites: ${known.join(', ')}`,
     problems: [],
   };
 }
--- a/src/core/config/distribution/config-holder.ts
+++ b/src/core/config/distribution/config-holder.ts
@@ -2,8 +2,8 @@
 import {ExchangeStep} from './types.js';
 
 /**
- * The highest version that a process has met. It never goes back, whatever
- * order versions come in.
+ * Holds the highest version that a process has received. It never returns to
+ * an older version, whatever the order in which versions arrive.
  *
  * @example
  * const holder = new ConfigHolder();
@@ -21,7 +21,7 @@
     return this.current;
   }
 
-  /** Holds what is newer and whole; returns whether it was. */
+  /** Stores an update that is newer and has a value; returns whether it did. */
   offer(update: ConfigUpdate): boolean {
     if (this.resolveStep(update) !== ExchangeStep.TAKE) return false;
     this.current = update;
@@ -29,8 +29,9 @@
   }
 
   /**
-   * What to do about a peer's word. Two processes that follow it hold the
-   * same version after at most three messages, and no step makes a loop.
+   * Returns the next step after an update from a peer. Two processes that
+   * follow these steps hold the same version after at most three messages;
+   * no sequence of steps repeats without end.
    */
   resolveStep({version, value}: ConfigUpdate): ExchangeStep {
     if (version < this.version) return ExchangeStep.SEND;
--- a/src/core/config/distribution/consts.ts
+++ b/src/core/config/distribution/consts.ts
@@ -1,5 +1,7 @@
-/** Entries of a data centre that watch the platform. */
+/** Number of entries per data centre that watch the platform. */
 export const WATCHERS_PER_DATA_CENTRE = 2;
 
-/** Entries of other data centres whom an entry hears as well. */
+/**
+ * Number of entries in other data centres from which an entry receives updates.
+ */
 export const REMOTE_PEERS = 1;
--- a/src/core/config/distribution/elect-watchers.ts
+++ b/src/core/config/distribution/elect-watchers.ts
@@ -3,9 +3,10 @@
 import type {ConfigMember} from './types.js';
 
 /**
- * The entries of a data centre that watch the platform, by what one process
- * knows of its members. Processes that know different members may elect
- * different watchers: that costs calls to the platform, never a version.
+ * Elects the entries of a data centre that watch the platform, from the members
+ * known to one process. Processes with different member lists may elect
+ * different watchers: this costs extra calls to the platform, but no version
+ * is lost.
  *
  * @example
  * electWatchers({dataCentre: 'waw', members});
@@ -26,9 +27,9 @@
 }
 
 /**
- * The peers that an entry hears the configuration from: the watchers of its
- * data centre, and an entry of another one, which each entry draws for
- * itself, so that those are spread.
+ * Selects the peers from which an entry receives the configuration: the
+ * watchers of its data centre and an entry of another data centre. Each entry
+ * ranks the remote entries by its own key, which spreads the load over them.
  *
  * @example
  * selectConfigPeers({self: {vm: 'entry-1', dataCentre: 'waw'}, members});
--- a/src/core/config/distribution/index.ts
+++ b/src/core/config/distribution/index.ts
@@ -1,4 +1,4 @@
-/** How an accepted configuration reaches every process. */
+/** Distributes the accepted configuration to all processes. */
 export * from './config-holder.js';
 export * from './consts.js';
 export * from './elect-watchers.js';
--- a/src/core/config/distribution/types.ts
+++ b/src/core/config/distribution/types.ts
@@ -1,23 +1,23 @@
-/** A version of the configuration as one process hears it of another. */
+/** A version of the configuration that one process sends to another. */
 export interface ConfigUpdate {
   readonly version: number;
-  /** The stored value; null where only the version is told. */
+  /** The stored value; null if only the version is sent. */
   readonly value: unknown;
 }
 
-/** What to do about a version that a peer tells. */
+/** Next step after receiving a version from a peer. */
 export enum ExchangeStep {
-  /** It is newer and whole: hold it. */
+  /** It is newer and has a value: store it. */
   TAKE = 'take',
-  /** It is newer and was only named: tell the peer one's own version. */
+  /** It is newer but has no value: report the own version to request it. */
   ASK = 'ask',
-  /** It is older: send the peer the whole of one's own. */
+  /** It is older: send the own version with its value. */
   SEND = 'send',
-  /** Both hold the same. */
+  /** Both have the same version. */
   AGREE = 'agree',
 }
 
-/** An entry as the election sees it. */
+/** An entry that takes part in the election of watchers. */
 export interface ConfigMember {
   readonly vm: string;
   readonly dataCentre: string;
--- a/src/core/config/index.ts
+++ b/src/core/config/index.ts
@@ -1,4 +1,4 @@
-/** The configuration of a deployment: merged, checked and resolved. */
+/** Merges, checks and resolves the configuration of a deployment. */
 export * from './check-deployment.js';
 export * from './consts.js';
 export * from './merge-overlay.js';
--- a/src/core/config/load-overlay.ts
+++ b/src/core/config/load-overlay.ts
@@ -19,16 +19,16 @@
 } from '../yaml-check/index.js';
 import {OVERLAY_EXTENSION, SITE_KEY} from './consts.js';
 
-/** An overlay file as nodes. */
+/** A parsed overlay file. */
 export interface LoadedOverlay {
   readonly site: string;
-  /** The content without the key that names the site. */
+  /** The content without the `site` key. */
   readonly node: SourceNode;
 }
 
 /**
- * Parses the overlay of one site. The file's name names the site; a `site`
- * key inside has to agree.
+ * Parses the overlay of one site. The name of the file is the name of the
+ * site; a `site` key in the file must match it.
  */
 export function loadOverlay(
   source: SourceText,
--- a/src/core/config/merge-overlay.ts
+++ b/src/core/config/merge-overlay.ts
@@ -1,11 +1,11 @@
 import {createNode, mergeNodes, toPlainValue} from '../yaml-check/index.js';
 
-/** Plain values have no position. */
+/** Position of plain values, which do not come from a file. */
 const NO_POSITION = {file: '', line: 0, column: 0};
 
 /**
- * Lays an overlay over a base: maps merge deep, scalars and lists replace, and
- * null removes a key. An empty overlay changes nothing.
+ * Merges an overlay into a base: maps are merged recursively, scalars and lists
+ * are replaced, and null removes a key. An empty overlay changes nothing.
  *
  * @example
  * mergeOverlay({base: {a: 1, b: {c: 2}}, overlay: {a: null, b: {d: 3}}});
--- a/src/core/config/resolve-site-config.ts
+++ b/src/core/config/resolve-site-config.ts
@@ -10,7 +10,7 @@
 import type {ConfigDocument, ConfigError, SiteConfig} from './types.js';
 
 /**
- * Merges a document for one site and checks the result.
+ * Merges the base with the overlay of one site and checks the result.
  *
  * @example
  * resolveSiteConfig({document, site: 'waw'}).map((cfg) => cfg.services);
--- a/src/core/config/rules.ts
+++ b/src/core/config/rules.ts
@@ -1,4 +1,4 @@
-/** Contradictions between values that are each valid alone. */
+/** Rules that check values against each other. */
 import type {Named, ObjectRule, RuleContext} from '../yaml-check/index.js';
 import type {ClientAccountConfig, ServiceConfig} from './types.js';
 import {ServiceKind} from './types.js';
@@ -9,7 +9,9 @@
 /** A client account without the name that is its key. */
 export type ClientAccountBody = Omit<ClientAccountConfig, 'name'>;
 
-/** A service's models and its right to repeat calls follow from its kind. */
+/**
+ * Checks that models and idempotence are consistent with the kind of service.
+ */
 export const checkServiceKind: ObjectRule<ServiceBody> = (service, ctx) => {
   if (service.kind === ServiceKind.GENERATION) {
     checkGeneration(service, ctx);
@@ -49,7 +51,7 @@
   }
 }
 
-/** Each model belongs to one service, once. */
+/** Checks that each model is listed once, by one service. */
 export function checkModelsUnique(
   services: readonly Named<ServiceBody>[],
   ctx: RuleContext,
@@ -70,7 +72,7 @@
   }
 }
 
-/** A key identifies one client account. */
+/** Checks that each key belongs to one client account. */
 export function checkKeysUnique(
   accounts: readonly Named<ClientAccountBody>[],
   ctx: RuleContext,
@@ -89,7 +91,7 @@
   }
 }
 
-/** A deployment without services can serve nothing. */
+/** Checks that there is at least one item. */
 export function checkNotEmpty(
   items: readonly object[],
   ctx: RuleContext,
--- a/src/core/config/schema.ts
+++ b/src/core/config/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a deployment's configuration at one site. */
+/** Schema of a deployment's configuration at one site. */
 import {
   BooleanSchema,
   defaultField,
@@ -60,7 +60,7 @@
       DEFAULT_DEADLINE_MS,
     ),
     retryRatio: defaultField(
-      new NumberSchema({min: 0, max: 1, unit: 'retries per first try'}),
+      new NumberSchema({min: 0, max: 1, unit: 'retries per first attempt'}),
       DEFAULT_RETRY_RATIO,
     ),
   },
@@ -106,7 +106,7 @@
   },
 });
 
-/** Checks a merged configuration. */
+/** Schema of a merged configuration. */
 export const SITE_CONFIG_SCHEMA = new ObjectSchema<SiteConfig>({
   fields: {
     deployment: requiredField(
--- a/src/core/config/stored-config.ts
+++ b/src/core/config/stored-config.ts
@@ -4,11 +4,11 @@
 import type {ConfigDocument, SiteOverlay, StoredConfig} from './types.js';
 
 /**
- * Reads the value of the configuration object; Nothing where it has another
- * shape.
+ * Parses the value of the configuration object; returns Nothing if it is
+ * malformed.
  *
  * @example
- * resolveStoredConfig(stored.value).map(({document}) => document);
+ * parseStoredConfig(stored.value).map(({document}) => document);
  */
 export function parseStoredConfig(value: unknown): Maybe<StoredConfig> {
   if (!isRecord(value)) {
--- a/src/core/config/types.ts
+++ b/src/core/config/types.ts
@@ -2,68 +2,71 @@
 import type {Layer, LayerError} from '../errors/index.js';
 import type {Problem} from '../yaml-check/index.js';
 
-/** What a deployment weighs when it recovers from a loss. */
+/**
+ * What a deployment optimizes for when it recovers from the loss of a target.
+ */
 export enum RecoveryGoal {
   LATENCY = 'latency',
   RESOURCES = 'resources',
 }
 
-/** What a service is. */
+/** Kinds of services. */
 export enum ServiceKind {
   GENERATION = 'generation',
   PLAIN = 'plain',
 }
 
-/** Which work goes first; a deployment says which of its services is what. */
+/** Scheduling priority of a service. */
 export enum PriorityClass {
   HIGH = 'high',
   NORMAL = 'normal',
   LOW = 'low',
 }
 
-/** One service as operators declare it. */
+/** Configuration of one service. */
 export interface ServiceConfig {
   readonly name: string;
   readonly kind: ServiceKind;
-  /** Models that a generation service serves; empty for a plain one. */
+  /** Models that a generation service serves; empty for a plain service. */
   readonly models: readonly string[];
-  /** Whether calls may be repeated freely. */
+  /** Whether calls may be retried without an idempotency key. */
   readonly idempotent: boolean;
   readonly priorityClass: PriorityClass;
-  /** Time allowed where the caller states none, in milliseconds. */
+  /** Default time allowed for a request, in milliseconds. */
   readonly deadlineMs: number;
-  /** Retries per first try that all retry reasons share. */
+  /** Ratio of retries, for any reason, to first attempts. */
   readonly retryRatio: number;
 }
 
-/** One client account. */
+/** Configuration of one client account. */
 export interface ClientAccountConfig {
   readonly name: string;
   /** SHA-256 of the account's bearer key, in hexadecimal. */
   readonly keySha256: string;
   /** Share under contention, relative to the other accounts. */
   readonly weight: number;
-  /** Requests at once over all entries. */
+  /** Maximum number of concurrent requests over all entries. */
   readonly maxConcurrent: number;
 }
 
-/** Bounds of what callers may ask. */
+/** Limits on the requests of callers. */
 export interface LimitsConfig {
+  /** Largest request body, in bytes. */
   readonly bodyBytes: number;
   /** Time for a caller to send its body, in milliseconds. */
   readonly bodyTimeoutMs: number;
   /** Largest `max_tokens`. */
   readonly maxTokens: number;
-  /** Requests that wait at one entry. */
+  /** Maximum number of requests queued at one entry. */
   readonly queueLength: number;
 }
 
-/** How losses are recovered from. */
+/** How the loss of targets is recovered from. */
 export interface RecoveryConfig {
   readonly weigh: RecoveryGoal;
 }
 
-/** A deployment's configuration as it holds at one site. */
+/** Configuration of a deployment at one site. */
 export interface SiteConfig {
   readonly deployment: string;
   readonly recovery: RecoveryConfig;
@@ -72,11 +75,10 @@
   readonly limits: LimitsConfig;
 }
 
-/** What operators accept: one base and an overlay for each site. */
+/** Source of a configuration: a base and an overlay for each site. */
 export interface ConfigDocument {
-  /** The base file's content. */
+  /** Content of the base file. */
   readonly base: unknown;
-  /** Overlays by site. */
   readonly overlays: readonly SiteOverlay[];
 }
 
@@ -86,11 +88,14 @@
   readonly content: unknown;
 }
 
-/** What the platform holds as the accepted configuration. */
+/** The accepted configuration as it is stored in the platform. */
 export interface StoredConfig {
-  /** Identifies one write, so that a lost answer is settled by reading. */
+  /**
+   * Id of one write: after a lost response, a read shows whether it took
+   * effect.
+   */
   readonly nonce: string;
-  /** Who accepted the document. */
+  /** Name of the operator who applied the document. */
   readonly operator: string;
   readonly document: ConfigDocument;
 }
--- a/test/core/config/check-deployment.test.ts
+++ b/test/core/config/check-deployment.test.ts
@@ -34,7 +34,7 @@
   );
 }
 
-/** Replaces one part of the base, which has to be there. */
+/** Replaces one part of the base, which must contain it. */
 function changeBase(from: string, to: string): string {
   expect(BASE).toContain(from);
   return BASE.replace(from, to);
@@ -77,7 +77,7 @@
       'base.yaml:1:1 deployment: expected the name of the deployment, found nothing',
   },
   {
-    name: 'a model of two services',
+    name: 'a model listed by two services',
     from: '  stock:',
     to: '  notes: {kind: generation, models: [writer], idempotent: true}\n  stock:',
     problem:
@@ -128,14 +128,14 @@
     problems: [],
   },
   {
-    name: 'another site than that of the file',
+    name: 'a site that differs from the file name',
     overlay: 'site: poz\n',
     problems: [
       'overlays/waw.yaml:1:7 site: expected "waw", the name of the file, found "poz"',
     ],
   },
   {
-    name: 'a model that is valid alone and served twice when merged',
+    name: 'a model that is served by two services only after merging',
     overlay:
       'services:\n  notes:\n    kind: generation\n    idempotent: true\n    models:\n      - writer\n',
     problems: [
@@ -143,21 +143,21 @@
     ],
   },
   {
-    name: 'a removed key that has to be there',
+    name: 'a required key that is removed',
     overlay: 'site: waw\nrecovery:\n  weigh: null\n',
     problems: [
       'overlays/waw.yaml:3:3 recovery.weigh: expected one of latency, resources, found nothing',
     ],
   },
   {
-    name: 'a service that is idempotent at other sites only',
+    name: 'a service that is idempotent only at other sites',
     overlay: 'services:\n  stock:\n    idempotent: false\n',
     problems: [
       'overlays/waw.yaml:3:17 services.stock.idempotent: expected true, as at every other site, found false',
     ],
   },
   {
-    name: 'two faults at once',
+    name: 'two problems at once',
     overlay: 'limits:\n  queueLength: -1\n  maxToken: 3\n',
     problems: [
       'overlays/waw.yaml:3:3 limits.maxToken: expected a known key (did you mean "maxTokens"?), found unknown key "maxToken"',
@@ -175,7 +175,7 @@
     expect(listProblems(BASE, overlay)).toEqual(problems);
   });
 
-  it('reports broken YAML at its line', () => {
+  it('reports malformed YAML at its line', () => {
     const [problem] = listProblems('a: 1\na: 2\n');
     expect(problem).toMatch(/^base\.yaml:2:1: expected valid YAML/);
   });
@@ -197,12 +197,12 @@
 
   it.each([
     {name: 'null', value: null},
-    {name: 'no nonce', value: {operator: 'a', document}},
+    {name: 'a value without nonce', value: {operator: 'a', document}},
     {
-      name: 'a bad overlay',
+      name: 'a malformed overlay',
       value: {nonce: 'n', operator: 'a', document: {base: {}, overlays: [1]}},
     },
-  ])('reads no stored configuration from $name', ({value}) => {
+  ])('parses no stored configuration from $name', ({value}) => {
     expect(parseStoredConfig(value).isNothing()).toBe(true);
   });
 });
--- a/test/core/config/distribution.test.ts
+++ b/test/core/config/distribution.test.ts
@@ -14,19 +14,22 @@
 const PROCESSES = 4;
 const PLATFORM = -1;
 
-/** One delivery: of the platform's present version or of a peer's word. */
+/** Delivery of one update, from the platform or from a peer. */
 const DELIVERY = fc.record({
   from: fc.integer({min: PLATFORM, max: PROCESSES - 1}),
   to: fc.integer({min: 0, max: PROCESSES - 1}),
+  /** Deliver only the version, without the value. */
   named: fc.boolean(),
-  /** Deliver an old word of that sender instead of its present one. */
+  /** Deliver the update sent this many updates before the newest. */
   stale: fc.nat({max: 20}),
+  /** The platform accepts a new version first. */
   accepts: fc.boolean(),
+  /** The receiver restarts first, without a configuration. */
   restarts: fc.boolean(),
 });
 
 describe('ConfigHolder', () => {
-  it(`never goes back and agrees with the highest heard (seed ${SEED})`, () => {
+  it(`holds the highest version received, never an older one (seed ${SEED})`, () => {
     fc.assert(
       fc.property(fc.array(DELIVERY, {maxLength: 120}), (deliveries) => {
         const holders = Array.from(
@@ -64,7 +67,7 @@
     );
   });
 
-  it('brings two processes to one version in three messages', () => {
+  it('brings two processes to the same version within three messages', () => {
     fc.assert(
       fc.property(fc.nat({max: 9}), fc.nat({max: 9}), (a, b) => {
         const [first, second] = [new ConfigHolder(), new ConfigHolder()];
@@ -98,7 +101,7 @@
 );
 
 describe('electWatchers', () => {
-  it(`is the same in any order and moves for the lost alone`, () => {
+  it(`ignores the order of members and replaces only lost watchers`, () => {
     fc.assert(
       fc.property(MEMBERS, (members) => {
         const {dataCentre} = members[0]!;
@@ -119,7 +122,7 @@
     );
   });
 
-  it('leaves no entry without a path to a watcher of its data centre', () => {
+  it('gives each entry the watchers of its data centre and a remote peer', () => {
     fc.assert(
       fc.property(MEMBERS, (members) => {
         for (const self of members) {
--- a/test/core/config/examples.test.ts
+++ b/test/core/config/examples.test.ts
@@ -22,19 +22,22 @@
 }
 
 describe('examples', () => {
-  it.each(EXAMPLES)('$name checks clean', ({name, sites, accounts, weigh}) => {
-    const dir = join('examples', name);
-    const overlays = readdirSync(join(dir, 'overlays'));
-    const checked = checkDeployment({
-      baseFile: readSource(join(dir, 'base.yaml')),
-      overlayFiles: overlays.map((f) => readSource(join(dir, 'overlays', f))),
-    })._unsafeUnwrap();
-    expect(checked.sites).toHaveLength(sites);
-    for (const {config} of checked.sites) {
-      expect(config.clientAccounts).toHaveLength(accounts);
-      expect(config.recovery.weigh).toBe(weigh);
-    }
-  });
+  it.each(EXAMPLES)(
+    '$name has no problems',
+    ({name, sites, accounts, weigh}) => {
+      const dir = join('examples', name);
+      const overlays = readdirSync(join(dir, 'overlays'));
+      const checked = checkDeployment({
+        baseFile: readSource(join(dir, 'base.yaml')),
+        overlayFiles: overlays.map((f) => readSource(join(dir, 'overlays', f))),
+      })._unsafeUnwrap();
+      expect(checked.sites).toHaveLength(sites);
+      for (const {config} of checked.sites) {
+        expect(config.clientAccounts).toHaveLength(accounts);
+        expect(config.recovery.weigh).toBe(weigh);
+      }
+    },
+  );
 
   it.each(
     EXAMPLES.flatMap(({name}) => [
--- a/test/core/config/merge-overlay.test.ts
+++ b/test/core/config/merge-overlay.test.ts
@@ -12,7 +12,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** The naive twin: it works on plain values, by the words of the rule. */
+/** Reference implementation: applies the merge rules to plain values. */
 function mergeNaively(base: Json | undefined, overlay: Json): Json {
   if (!isMap(overlay)) {
     return overlay;
@@ -45,7 +45,7 @@
 }));
 
 describe('mergeOverlay', () => {
-  it('does as its naive twin', () => {
+  it('returns the same result as the reference implementation', () => {
     fc.assert(
       fc.property(jsonArb, jsonArb, (base, overlay) => {
         const expected = overlay === null ? base : mergeNaively(base, overlay);
