--- a/src/core/settings/consts.ts
+++ b/src/core/settings/consts.ts
@@ -1,4 +1,4 @@
-/** File name that problems show for overrides of the command line. */
+/** File name shown in problems of command-line overrides. */
 export const OVERRIDE_FILE = '--set';
 
 /** Largest TCP port. */
--- a/src/core/settings/direct-settings.ts
+++ b/src/core/settings/direct-settings.ts
@@ -6,30 +6,32 @@
   readonly port: number;
 }
 
-/** Bounds the repeats of all entries together. */
+/** Limits the retries of all entries together. */
 export interface RetryBudgetSettings {
-  /** Repeats allowed for each request. */
+  /** Number of retries allowed per request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats in a window that are allowed beyond the ratio. */
+  /** Number of retries per window that are allowed in addition to the ratio. */
   readonly slack: number;
 }
 
-/** What a direct entry is told when it starts. */
+/** All settings of an entry that calls its targets directly. */
 export interface DirectSettings {
   /** Name of this VM. */
   readonly vm: string;
-  /** IP number of this VM. */
+  /** IP address of this VM. */
   readonly address: string;
   readonly dataCentre: string;
   readonly callers: ListenAddress;
   readonly readiness: ListenAddress;
   readonly storeUrl: string;
-  /** Time between the signal to stop and the forced end. */
+  /** Grace period between the signal to stop and the forced exit. */
   readonly shutdownGraceMs: number;
-  /** Time after which a target that leaves must get no new work. */
+  /** Time within which a draining target must stop receiving new work. */
   readonly targetDrainMs: number;
-  /** Time after which a key that was taken away must not serve any more. */
+  /**
+   * Time within which a revoked key must be refused; undefined for no bound.
+   */
   readonly keyRevocationMs?: number;
   readonly retryBudget: RetryBudgetSettings;
 }
--- a/src/core/settings/index.ts
+++ b/src/core/settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings of one process: loaded, merged and checked. */
+/** Loads, merges and checks the settings of one process. */
 export * from './consts.js';
 export * from './load-daemon-settings.js';
 export * from './types.js';
--- a/src/core/settings/load-daemon-settings.ts
+++ b/src/core/settings/load-daemon-settings.ts
@@ -16,8 +16,8 @@
 import {SettingsErrorKind} from './types.js';
 
 /**
- * Reads a process's settings: the base file, the overlay over it, and the
- * overrides of the command line over both.
+ * Loads the settings of a process: the base file, merged with the overlay and
+ * then with the command-line overrides.
  *
  * @example
  * loadDaemonSettings({
--- a/src/core/settings/load-override.ts
+++ b/src/core/settings/load-override.ts
@@ -5,18 +5,18 @@
 import {createMapNode, createProblem, loadYaml} from '../yaml-check/index.js';
 import {OVERRIDE_FILE} from './consts.js';
 
-/** Form of an override: keys joined by dots, and a YAML value. */
+/** Format of an override: keys joined by dots, `=` and a YAML value. */
 const OVERRIDE = /^(?<path>[^=.]+(?:\.[^=.]+)*)=(?<value>.*)$/s;
 
 /**
- * Turns one `path=value` override into nodes that can be merged.
+ * Parses one `path=value` override into nodes that can be merged.
  *
  * @example
  * loadOverride({text: 'peers.port=7001', index: 0});
  */
 export function loadOverride(options: {
   text: string;
-  /** Place among the overrides, from 0. */
+  /** Index of the override, from 0. */
   index: number;
 }): Result<SourceNode, Problem[]> {
   const position = {file: OVERRIDE_FILE, line: options.index + 1, column: 1};
--- a/src/core/settings/schema.ts
+++ b/src/core/settings/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a process's settings. */
+/** Schema of the settings of a process. */
 import {isIP} from 'node:net';
 
 import type {ObjectRule, RuleContext} from '../yaml-check/index.js';
@@ -28,7 +28,7 @@
   fields: {
     address: requiredField(
       new StringSchema({
-        description: 'an IP number',
+        description: 'an IP address',
         accepts: (value) => isIP(value) !== 0,
       }),
     ),
@@ -40,7 +40,7 @@
   if (target.kind === TargetKind.SERVICE && target.checksFencing === true) {
     ctx.report({
       path: ['checksFencing'],
-      expected: 'false beside a plain service, which takes no orders',
+      expected: 'false for a plain service, which accepts no commands',
       found: 'true',
     });
   }
@@ -60,11 +60,11 @@
 
 const checkRole: ObjectRule<DaemonSettings> = ({role}, ctx) => {
   if (role === ProcessRole.ENTRY) {
-    checkPresent('callers', 'where callers connect to an entry', ctx);
-    checkAbsent('target', 'no target of an entry', ctx);
+    checkPresent('callers', 'the address for callers of an entry', ctx);
+    checkAbsent('target', 'no target for an entry', ctx);
   } else if (role === ProcessRole.AGENT) {
-    checkPresent('target', 'the target beside an agent', ctx);
-    checkAbsent('callers', 'no callers of an agent', ctx);
+    checkPresent('target', 'the target of an agent', ctx);
+    checkAbsent('callers', 'no callers for an agent', ctx);
   }
 };
 
@@ -92,7 +92,7 @@
     if (owner !== undefined) {
       ctx.report({
         path: [name, 'port'],
-        expected: `another address than that of ${owner}`,
+        expected: `an address other than that of ${owner}`,
         found: address,
       });
     }
@@ -100,7 +100,7 @@
   }
 };
 
-/** Checks merged settings. */
+/** Schema of merged settings. */
 export const DAEMON_SETTINGS_SCHEMA = new ObjectSchema<DaemonSettings>({
   fields: {
     role: requiredField(new EnumSchema(ProcessRole)),
--- a/src/core/settings/types.ts
+++ b/src/core/settings/types.ts
@@ -1,14 +1,14 @@
-/** Settings of one process, read at its start. */
+/** Settings of one process, read when it starts. */
 import type {Layer, LayerError} from '../errors/index.js';
 import type {Problem} from '../yaml-check/index.js';
 
-/** Which part a process plays. */
+/** Role of a process. */
 export enum ProcessRole {
   ENTRY = 'entry',
   AGENT = 'agent',
 }
 
-/** What runs beside an agent. */
+/** Kinds of targets that an agent can serve. */
 export enum TargetKind {
   ENGINE = 'engine',
   SERVICE = 'service',
@@ -16,47 +16,47 @@
 
 /** An address to listen on. */
 export interface ListenSettings {
-  /** IP number. */
+  /** IP address. */
   readonly address: string;
-  /** Port; 0 lets the machine choose. */
+  /** Port; 0 selects a free port. */
   readonly port: number;
 }
 
-/** The target beside an agent. */
+/** The target of an agent. */
 export interface TargetSettings {
   readonly kind: TargetKind;
   /** Base URL of the target. */
   readonly url: string;
-  /** Name of the service that the target runs. */
+  /** Name of the service that the target serves. */
   readonly service: string;
-  /** Whether the target itself refuses an old fencing number. */
+  /** Whether the target itself refuses an outdated fencing number. */
   readonly checksFencing: boolean;
 }
 
-/** Everything a process learns from its settings. */
+/** All settings of a process. */
 export interface DaemonSettings {
   readonly role: ProcessRole;
   readonly vm: string;
   readonly dataCentre: string;
-  /** Names the overlay that holds here. */
+  /** Name of the site, which selects the configuration overlay. */
   readonly site: string;
   /** Base URL of the platform's API. */
   readonly platformUrl: string;
-  /** Where peers connect. */
+  /** Address on which peers connect. */
   readonly peers: ListenSettings;
-  /** Where operators and probes connect. */
+  /** Address on which operators and probes connect. */
   readonly operators: ListenSettings;
-  /** Where callers connect; an entry only. */
+  /** Address on which callers connect; only for an entry. */
   readonly callers?: ListenSettings;
-  /** The target; an agent only. */
+  /** The target; only for an agent. */
   readonly target?: TargetSettings;
 }
 
-/** Why settings cannot be used. */
+/** Why settings were rejected. */
 export enum SettingsErrorKind {
   /** A file cannot be read. */
   UNREADABLE = 'unreadable',
-  /** They have problems. */
+  /** The settings have problems. */
   INVALID = 'invalid',
 }
 
--- a/test/core/settings/load-daemon-settings.test.ts
+++ b/test/core/settings/load-daemon-settings.test.ts
@@ -31,47 +31,48 @@
 
 const FAULTS = [
   {
-    name: 'an agent without target',
+    name: 'an agent without a target',
     overrides: ['target=null'],
-    detail:
-      '--set:1:1 target: expected the target beside an agent, found nothing',
+    detail: '--set:1:1 target: expected the target of an agent, found nothing',
   },
   {
     name: 'an agent with callers',
     overrides: ['callers={address: 127.0.0.1, port: 1}'],
-    detail: '--set:1:1 callers: expected no callers of an agent, found callers',
+    detail:
+      '--set:1:1 callers: expected no callers for an agent, found callers',
   },
   {
-    name: 'an entry with target and without callers',
+    name: 'an entry with a target and without callers',
     overrides: ['vm=x', 'role=entry'],
-    detail: `${basePath}:8:1 target: expected no target of an entry, found target`,
+    detail: `${basePath}:8:1 target: expected no target for an entry, found target`,
   },
   {
-    name: 'two listeners at one address',
+    name: 'two listeners on one address',
     overrides: ['peers.port=7', 'operators.port=7'],
     detail:
-      '--set:2:1 operators.port: expected another address than that of peers, found 127.0.0.1:7',
+      '--set:2:1 operators.port: expected an address other than that of peers, found 127.0.0.1:7',
   },
   {
-    name: 'a host name as address',
+    name: 'a host name as an address',
     overrides: ['peers.address=localhost'],
-    detail: '--set:1:1 peers.address: expected an IP number, found "localhost"',
+    detail:
+      '--set:1:1 peers.address: expected an IP address, found "localhost"',
   },
   {
-    name: 'fencing beside a plain service',
+    name: 'fencing for a plain service',
     overrides: ['target.kind=service', 'target.checksFencing=true'],
     detail:
-      '--set:2:1 target.checksFencing: expected false beside a plain service, which takes no orders, found true',
+      '--set:2:1 target.checksFencing: expected false for a plain service, which accepts no commands, found true',
   },
   {
-    name: 'an override without value',
+    name: 'an override without a value',
     overrides: ['peers.port'],
     detail: '--set:1:1: expected path=value, found "peers.port"',
   },
 ];
 
 describe('loadDaemonSettings', () => {
-  it('lays the overlay and the overrides over the base', () => {
+  it('merges the base with the overlay and the overrides', () => {
     const settings = loadDaemonSettings({
       basePath,
       overlayPath,
@@ -89,7 +90,7 @@
     expect(loaded._unsafeUnwrapErr().detail.split('\n')).toContain(detail);
   });
 
-  it('reports a file that is not there', () => {
+  it('reports a missing file', () => {
     const path = join(dir, 'absent.yaml');
     const loaded = loadDaemonSettings({basePath: path, overrides: []});
     const {kind} = loaded._unsafeUnwrapErr();
