--- a/src/core/logs/bounded-sink.ts
+++ b/src/core/logs/bounded-sink.ts
@@ -1,24 +1,24 @@
-/** A sink for log lines that never holds up the process. */
+/** A sink for log lines that never blocks the process. */
 import {write} from 'node:fs';
 import {Writable} from 'node:stream';
 
 import type {Clock} from '../clock/index.js';
 
-/** Bytes that wait to be written; lines beyond are dropped. */
+/** Maximum number of buffered bytes; lines beyond it are dropped. */
 const MAX_PENDING_BYTES = 256 * 1024;
 
-/** Lines that may be written in one second. */
+/** Rate limit, in lines per second. */
 const LINES_PER_S = 200;
 
-/** Lines that may be written at once after a quiet time. */
+/** Maximum burst, in lines. */
 const BURST_LINES = 600;
 
 const MS_PER_S = 1_000;
 
-/** Time until a write is tried again that the reader did not take. */
+/** Delay before a write that would have blocked is retried. */
 const RETRY_MS = 50;
 
-/** Writes bytes to a file descriptor; as `fs.write`. */
+/** Writes bytes to a file descriptor, like `fs.write`. */
 export type WriteBytes = (
   fd: number,
   bytes: Uint8Array,
@@ -26,9 +26,9 @@
 ) => void;
 
 /**
- * Collects lines and writes them in the background, one batch at a time. If
- * the reader stops, or lines come faster than they may, lines are dropped
- * and counted.
+ * Buffers lines and writes them in the background, one batch at a time. If the
+ * reader stops reading, or lines exceed the rate limit, they are dropped and
+ * counted.
  *
  * @example
  * const sink = new BoundedSink({fd: 1, clock, onDropped: () => count++});
@@ -45,7 +45,7 @@
     private readonly options: {
       fd: number;
       clock: Clock;
-      /** Told of each line that is not written. */
+      /** Called for each line or batch that is not written. */
       onDropped: () => void;
       writeBytes?: WriteBytes;
     },
@@ -59,7 +59,7 @@
     _encoding: BufferEncoding,
     callback: () => void,
   ): void {
-    // The line is taken or dropped at once: whoever logs never waits.
+    // The line is buffered or dropped immediately, so logging never blocks.
     callback();
     const hasCapacity = this.pendingBytes + chunk.length <= MAX_PENDING_BYTES;
     if (!hasCapacity || !this.consumeAllowance()) {
@@ -96,7 +96,7 @@
         this.retryLater(rest);
         return;
       }
-      // A closed reader cannot be told of its own loss: the batch is dropped.
+      // The batch cannot be delivered, for example to a closed pipe: drop it.
       const done = err === null ? written : rest.length;
       if (err !== null) this.options.onDropped();
       this.pendingBytes -= done;
--- a/src/core/logs/create-logger.ts
+++ b/src/core/logs/create-logger.ts
@@ -5,16 +5,16 @@
 import type {Logger} from './types.js';
 
 /**
- * Creates the logger of a process; every line names the process.
+ * Creates the logger of a process; every line contains its VM and role.
  *
  * @example
  * const logger = createLogger({vm: 'entry-1', role: 'entry'});
- * logger.info('in force', {version: 12});
+ * logger.info('configuration applied', {version: 12});
  */
 export function createLogger(options: {
   vm: string;
   role: string;
-  /** Where the lines go; standard error where it is left out. */
+  /** Destination of the lines; standard error by default. */
   sink?: Writable;
 }): Logger {
   const {vm, role, sink} = options;
--- a/src/core/logs/index.ts
+++ b/src/core/logs/index.ts
@@ -1,4 +1,4 @@
-/** Logs in JSON lines, written only for changes of state. */
+/** Logs as JSON lines, written only when the state of a process changes. */
 export {createLogger} from './create-logger.js';
 export type {LogFields, Logger} from './types.js';
 export {SILENT_LOGGER} from './silent-logger.js';
--- a/src/core/logs/silent-logger.ts
+++ b/src/core/logs/silent-logger.ts
@@ -1,6 +1,6 @@
 import type {Logger} from './types.js';
 
-/** Drops every line; for tests and tools. */
+/** Discards every line; for tests and tools. */
 export const SILENT_LOGGER: Logger = {
   info: () => undefined,
   warn: () => undefined,
--- a/test/core/logs.test.ts
+++ b/test/core/logs.test.ts
@@ -4,7 +4,7 @@
 import type {WriteBytes} from '../../src/core/logs/index.js';
 import {BoundedSink, createLogger} from '../../src/core/logs/index.js';
 
-/** A reader that takes nothing until it is told to. */
+/** A reader that accepts nothing until it is started. */
 class StoppedReader {
   text = '';
   private resume?: () => void;
@@ -53,7 +53,7 @@
     ]);
   });
 
-  it('holds nobody up when the reader stops, and counts what is lost', () => {
+  it('does not block when the reader stops, and counts dropped lines', () => {
     const {clock, reader, logger, dropped} = start();
     const detail = 'x'.repeat(1_000);
     for (let i = 0; i < 2_000; i++) {
@@ -66,7 +66,7 @@
     expect(written + dropped()).toBe(2_000);
   });
 
-  it('bounds the lines of a second', () => {
+  it('limits the rate of lines', () => {
     const {reader, logger, dropped} = start();
     reader.start();
     for (let i = 0; i < 1_000; i++) logger.info('burst');
