--- a/src/core/blackboard/cell.ts
+++ b/src/core/blackboard/cell.ts
@@ -2,8 +2,8 @@
 export type CellListener<T> = (value: T) => void;
 
 /**
- * One shared value of a process. Controllers write it; the request path
- * reads it; listeners hear of each change.
+ * One shared value of a process. Controllers write it, the request path reads
+ * it, and listeners are called on each change.
  *
  * @example
  * const leaving = new Cell(false);
@@ -19,7 +19,7 @@
     return this.value;
   }
 
-  /** Replaces the value and tells the listeners if it differs. */
+  /** Replaces the value and calls the listeners if it differs. */
   set(value: T): void {
     if (Object.is(value, this.value)) return;
     this.value = value;
--- a/src/core/blackboard/index.ts
+++ b/src/core/blackboard/index.ts
@@ -1,3 +1,3 @@
-/** Shared state of a process, which controllers read and write. */
+/** State shared by the controllers and the request path of a process. */
 export {Cell} from './cell.js';
 export type {CellListener} from './cell.js';
--- a/src/core/clock/index.ts
+++ b/src/core/clock/index.ts
@@ -1,4 +1,4 @@
-/** Injected time and randomness, so that decisions can be replayed. */
+/** Injectable time and randomness, so that tests can replay decisions. */
 export {ManualClock} from './manual-clock.js';
 export {SeededRandom, SystemRandom} from './random.js';
 export {sleep} from './sleep.js';
--- a/src/core/clock/manual-clock.ts
+++ b/src/core/clock/manual-clock.ts
@@ -8,7 +8,7 @@
 }
 
 /**
- * A clock that moves only when told to.
+ * A clock that advances only when `advance` is called.
  *
  * @example
  * const clock = new ManualClock();
@@ -37,7 +37,7 @@
     return this.add({delayMs: periodMs, periodMs, run});
   }
 
-  /** Moves time forward and fires each timer that falls due, in order. */
+  /** Advances the time and runs each timer that becomes due, in order. */
   advance(byMs: number): void {
     const endMs = this.timeMs + byMs;
     for (;;) {
--- a/src/core/clock/random.ts
+++ b/src/core/clock/random.ts
@@ -7,7 +7,7 @@
 const ID_BYTES = 8;
 const UINT32_RANGE = 2 ** 32;
 
-/** Random numbers of the machine. */
+/** Random numbers of the operating system and the JavaScript engine. */
 export class SystemRandom implements RandomSource {
   float(): number {
     return Math.random();
@@ -23,7 +23,7 @@
 }
 
 /**
- * Random numbers that repeat with their seed.
+ * Pseudorandom numbers that are reproducible from a seed.
  *
  * @example
  * const random = new SeededRandom(7);
--- a/src/core/clock/sleep.ts
+++ b/src/core/clock/sleep.ts
@@ -1,7 +1,7 @@
 import type {Clock} from './types.js';
 
 /**
- * Resolves after a time in milliseconds.
+ * Resolves after `delayMs` milliseconds.
  *
  * @example
  * await sleep(clock, 50);
--- a/src/core/clock/system-clock.ts
+++ b/src/core/clock/system-clock.ts
@@ -1,6 +1,6 @@
 import type {Clock, TimerHandle} from './types.js';
 
-/** The clock of the machine. */
+/** The system clock. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
--- a/src/core/clock/types.ts
+++ b/src/core/clock/types.ts
@@ -6,9 +6,11 @@
 
 /** A monotonic clock with timers, in milliseconds. */
 export interface Clock {
-  /** Milliseconds on a clock that never goes back. */
+  /** Milliseconds on a clock that never goes backwards. */
   now(): number;
-  /** Milliseconds since the Unix epoch, for what other processes read. */
+  /**
+   * Milliseconds since the Unix epoch, for times shared with other processes.
+   */
   wallNow(): number;
   /** Runs `run` once after `delayMs`. */
   schedule(options: {delayMs: number; run: () => void}): TimerHandle;
@@ -16,12 +18,12 @@
   repeat(options: {periodMs: number; run: () => void}): TimerHandle;
 }
 
-/** A source of random numbers and identities. */
+/** A source of random numbers and ids. */
 export interface RandomSource {
   /** A float in [0, 1). */
   float(): number;
   /** An integer in [0, bound). */
   below(bound: number): number;
-  /** An identity of 16 lower-case hexadecimal characters. */
+  /** An id of 16 lower-case hexadecimal characters. */
   id(): string;
 }
--- a/src/core/codec/decode-value.ts
+++ b/src/core/codec/decode-value.ts
@@ -1,10 +1,10 @@
-/** Decodes what came from outside, with failures as values. */
+/** Decodes external input; failures are returned as values. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {Codec} from 'purify-ts';
 
 /**
- * A value of a codec's type; the error tells what was expected.
+ * Decodes a value with a codec; the error describes what was expected.
  *
  * @example
  * decodeValue(REPORT, parseJson(body)).map(({active}) => active);
--- a/src/core/metrics/index.ts
+++ b/src/core/metrics/index.ts
@@ -1,3 +1,3 @@
-/** Counters and histograms of a process. */
+/** Metrics of a process. */
 export {Metrics} from './metrics.js';
 export {CounterName, LatencyName} from './types.js';
--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -16,7 +16,7 @@
 const SECONDS_PER_US = 1e-6;
 
 /**
- * The counters and histograms of a process.
+ * The counters, gauges and histograms of a process.
  *
  * @example
  * const metrics = new Metrics();
@@ -30,7 +30,7 @@
   private readonly gauges = new Map<string, Gauge>();
   private readonly histograms = new Map<LatencyName, Histogram>();
 
-  /** Every counter and histogram exists from the start, at 0. */
+  /** Creates every counter and histogram with the value 0. */
   constructor() {
     for (const reason of Object.values(RefusalReason)) {
       this.refusals.inc({reason}, 0);
@@ -54,13 +54,13 @@
     this.retries.inc({reason});
   }
 
-  /** Adds to a counter, under a label where one is given. */
+  /** Increments a counter, optionally under a label. */
   count(name: CounterName, options: {label?: string; by?: number} = {}): void {
     const {label = '', by = 1} = options;
     this.counters.get(name)?.inc({label}, by);
   }
 
-  /** Lets labels of a counter exist at 0 before they first occur. */
+  /** Initializes labels of a counter with 0 before they first occur. */
   declareLabels(options: {name: CounterName; labels: readonly string[]}): void {
     const {name, labels} = options;
     for (const label of labels) this.count(name, {label, by: 0});
@@ -114,7 +114,7 @@
   const count = histogram.totalCount;
   const lines = QUANTILES.map((quantile) => {
     const us = histogram.getValueAtPercentile(quantile * PERCENT);
-    // The quantiles of nothing are no numbers.
+    // Quantiles of an empty histogram are undefined.
     const value = count === 0 ? Number.NaN : us * SECONDS_PER_US;
     return `${fullName}{quantile="${quantile}"} ${value}\n`;
   });
--- a/src/core/metrics/types.ts
+++ b/src/core/metrics/types.ts
@@ -3,19 +3,19 @@
   FIRST_TOKEN = 'first_token_seconds',
   TOKEN_GAP = 'token_gap_seconds',
   RESUME = 'resume_seconds',
-  /** From the last token until the loss was noticed. */
+  /** From the last token until the loss was detected. */
   RESUME_DETECTION = 'resume_detection_seconds',
-  /** From then until another target was asked. */
+  /** From the detection until another target was selected. */
   RESUME_PLACEMENT = 'resume_placement_seconds',
-  /** From then until its first token. */
+  /** From the selection until the first token of that target. */
   RESUME_FIRST_TOKEN = 'resume_first_token_seconds',
   BOOKING_CLAIM = 'booking_claim_seconds',
   PLAIN_CALL = 'plain_call_seconds',
-  /** From an event to the next that the caller got from another target. */
+  /** From the last event of a lost target to the first of its replacement. */
   STREAM_RESUME = 'stream_resume_seconds',
 }
 
-/** Counters besides those of refusals and retries. */
+/** Counters other than those of refusals and retries. */
 export enum CounterName {
   CONNECTIONS_CLOSED = 'connections_closed_total',
   TOKENS_RELAYED = 'tokens_relayed_total',
@@ -32,7 +32,7 @@
   OUTCOMES_RECORDED = 'outcomes_recorded_total',
   OUTCOMES_DROPPED = 'outcomes_dropped_total',
   CONFIG_CHANGES = 'config_changes_total',
-  /** Targets lost under requests, by the cause that was found. */
+  /** Targets lost while they ran requests, by cause. */
   TARGET_LOSSES = 'target_losses_total',
   LOG_LINES_DROPPED = 'log_lines_dropped_total',
 }
