--- a/src/core/yaml-check/check-node.ts
+++ b/src/core/yaml-check/check-node.ts
@@ -4,8 +4,8 @@
 import type {Problem, Schema, SourceNode} from './types.js';
 
 /**
- * Checks a node against a schema and returns its typed value, or all its
- * problems at once.
+ * Checks a node against a schema. Returns its typed value, or all problems at
+ * once.
  *
  * @example
  * checkNode({node, schema}).match(start, showProblems);
--- a/src/core/yaml-check/format.ts
+++ b/src/core/yaml-check/format.ts
@@ -6,10 +6,10 @@
 } from './types.js';
 import {NodeKind} from './types.js';
 
-/** Longest scalar that a problem quotes, in characters. */
+/** Maximum length of a scalar quoted in a problem, in characters. */
 const QUOTE_LENGTH = 60;
 
-/** Joins path segments as problems show them. */
+/** Formats a path for a problem. */
 export function formatPath(path: readonly PathSegment[]): string {
   return path.join('.');
 }
@@ -35,7 +35,7 @@
   return JSON.stringify(shown);
 }
 
-/** Builds a problem from its position and path. */
+/** Creates a problem at a position and path. */
 export function createProblem(options: {
   position: SourcePosition;
   path: readonly PathSegment[];
@@ -48,7 +48,7 @@
 }
 
 /**
- * Writes a problem on one line.
+ * Formats a problem as one line.
  *
  * @example
  * formatProblem(problem);
@@ -61,7 +61,7 @@
   return `${at}: expected ${expected}, found ${found}`;
 }
 
-/** Drops problems that were met more than once. */
+/** Removes duplicate problems. */
 export function uniqueProblems(problems: readonly Problem[]): Problem[] {
   const byText = new Map(
     problems.map((problem) => [formatProblem(problem), problem]),
--- a/src/core/yaml-check/load-yaml.ts
+++ b/src/core/yaml-check/load-yaml.ts
@@ -23,8 +23,8 @@
 import {NodeKind} from './types.js';
 
 /**
- * Parses YAML into nodes that know their file, line and column. Aliases are
- * refused, so that a small file cannot grow into a large value.
+ * Parses YAML into nodes with file, line and column. Aliases are rejected, so
+ * that a small file cannot expand into a large value.
  *
  * @example
  * loadYaml({file: 'base.yaml', text: 'deployment: demo'});
@@ -33,7 +33,7 @@
   return new YamlLoader(source).load();
 }
 
-/** Turns one document of the YAML library into nodes. */
+/** Converts a document of the YAML library into nodes. */
 class YamlLoader {
   private readonly lines = new LineCounter();
   private readonly problems: Problem[] = [];
--- a/src/core/yaml-check/merge-nodes.ts
+++ b/src/core/yaml-check/merge-nodes.ts
@@ -2,9 +2,9 @@
 import {NodeKind} from './types.js';
 
 /**
- * Lays one node over another: maps merge deep, scalars and lists replace, and
- * null removes a key. An empty overlay changes nothing. Every part of the
- * result keeps the position it had in its own file.
+ * Merges an overlay into a base: maps are merged recursively, scalars and lists
+ * are replaced, and null removes a key. An empty overlay changes nothing. Every
+ * part of the result keeps its position in its own file.
  *
  * @example
  * mergeNodes({base, overlay});
--- a/src/core/yaml-check/nearest-key.ts
+++ b/src/core/yaml-check/nearest-key.ts
@@ -1,13 +1,13 @@
 import {Just, type Maybe, Nothing} from 'purify-ts';
 
-/** Most edits between an unknown key and the key proposed for it. */
+/** Maximum edit distance between an unknown key and the suggested key. */
 const MAX_EDITS = 3;
 
 /**
- * Returns the known key that is nearest to a mistyped one.
+ * Returns the known key with the smallest edit distance to an unknown key.
  *
  * @example
- * resolveNearestKey('wieght', ['weight', 'models']); // Just('weight')
+ * findNearestKey('wieght', ['weight', 'models']); // Just('weight')
  */
 export function findNearestKey(
   key: string,
--- a/src/core/yaml-check/nodes.ts
+++ b/src/core/yaml-check/nodes.ts
@@ -1,4 +1,4 @@
-/** Builds nodes from plain values and back, and finds positions in them. */
+/** Converts plain values to nodes and back, and finds positions in nodes. */
 import type {
   MapEntry,
   MapNode,
@@ -8,7 +8,7 @@
 } from './types.js';
 import {NodeKind} from './types.js';
 
-/** Builds a map node in which nothing was removed. */
+/** Creates a map node without removed keys. */
 export function createMapNode(options: {
   position: SourcePosition;
   entries: Iterable<readonly [string, MapEntry]>;
@@ -22,7 +22,7 @@
 }
 
 /**
- * Wraps a plain JSON value, every part of it at one position.
+ * Converts a plain JSON value to nodes that all have the same position.
  *
  * @example
  * createNode({value: {a: 1}, position: {file: 'base', line: 0, column: 0}});
--- a/src/core/yaml-check/schemas/index.ts
+++ b/src/core/yaml-check/schemas/index.ts
@@ -1,4 +1,4 @@
-/** Schemas by kind of value. */
+/** Schemas for each kind of value. */
 export * from './list-schema.js';
 export * from './named-map-schema.js';
 export * from './object-schema.js';
--- a/src/core/yaml-check/schemas/list-schema.ts
+++ b/src/core/yaml-check/schemas/list-schema.ts
@@ -2,7 +2,7 @@
 import {NodeKind} from '../types.js';
 import {reportMismatch} from './report.js';
 
-/** Accepts lists whose items one schema accepts. */
+/** Accepts lists whose items all match one schema. */
 export class ListSchema<T> implements Schema<readonly T[]> {
   readonly description = 'a list';
 
--- a/src/core/yaml-check/schemas/named-map-schema.ts
+++ b/src/core/yaml-check/schemas/named-map-schema.ts
@@ -12,10 +12,10 @@
   ctx: RuleContext,
 ) => void;
 
-/** Form of a name: it appears in URLs, counters and object names. */
+/** Format of a name, which is used in URLs, counters and object names. */
 const NAME = /^[a-z0-9][a-z0-9._-]{0,62}$/;
 
-/** Accepts maps from free names to items of one schema. */
+/** Accepts maps from arbitrary names to items that match one schema. */
 export class NamedMapSchema<T extends object> implements Schema<
   readonly Named<T>[]
 > {
--- a/src/core/yaml-check/schemas/object-schema.ts
+++ b/src/core/yaml-check/schemas/object-schema.ts
@@ -15,7 +15,7 @@
 export interface Field<T> {
   readonly schema: Schema<T>;
   readonly isRequired: boolean;
-  /** Value of a field that is absent. */
+  /** Default value if the field is absent. */
   readonly fallback?: T;
 }
 
@@ -23,22 +23,22 @@
 export type Fields<T> = {readonly [K in keyof T]-?: Field<T[K]>};
 
 /**
- * A rule over the fields of an object. Fields that are absent or faulty are
+ * A rule over the fields of an object. Fields that are absent or invalid are
  * undefined.
  */
 export type ObjectRule<T> = (value: Partial<T>, ctx: RuleContext) => void;
 
-/** Declares a field that must be there. */
+/** Declares a required field. */
 export function requiredField<T>(schema: Schema<T>): Field<T> {
   return {schema, isRequired: true};
 }
 
-/** Declares a field that may be absent. */
+/** Declares an optional field. */
 export function optionalField<T>(schema: Schema<T>): Field<T | undefined> {
   return {schema, isRequired: false};
 }
 
-/** Declares a field that has a value where it is absent. */
+/** Declares an optional field with a default value. */
 export function defaultField<T>(
   schema: Schema<T>,
   fallback: NoInfer<T>,
@@ -47,7 +47,7 @@
 }
 
 /**
- * Accepts maps with known keys.
+ * Accepts maps with declared fields and no other keys.
  *
  * @example
  * const schema = new ObjectSchema<{port: number}>({
--- a/src/core/yaml-check/schemas/report.ts
+++ b/src/core/yaml-check/schemas/report.ts
@@ -3,7 +3,7 @@
 import type {CheckContext, RuleContext, SourceNode} from '../types.js';
 import {NodeKind} from '../types.js';
 
-/** Reports that a node is not what its schema expects. */
+/** Reports that a node does not match its schema. */
 export function reportMismatch(
   node: SourceNode,
   ctx: CheckContext,
@@ -15,7 +15,7 @@
   ctx.problems.push(createProblem({position, path, expected, found}));
 }
 
-/** Returns the context in which the rules of a node report. */
+/** Returns the context in which the rules of a node report problems. */
 export function createRuleContext(
   node: SourceNode,
   ctx: CheckContext,
--- a/src/core/yaml-check/schemas/scalar-schemas.ts
+++ b/src/core/yaml-check/schemas/scalar-schemas.ts
@@ -1,9 +1,9 @@
-/** Schemas of single values. */
+/** Schemas of scalar values. */
 import type {CheckContext, Schema, SourceNode} from '../types.js';
 import {NodeKind} from '../types.js';
 import {reportMismatch} from './report.js';
 
-/** Accepts strings, or those of one format. */
+/** Accepts non-empty strings, or strings of one format. */
 export class StringSchema implements Schema<string> {
   readonly description: string;
   private readonly accepts: (value: string) => boolean;
@@ -11,7 +11,9 @@
   constructor(
     options: {
       description?: string;
-      /** Rejects values of a wrong format; by default the empty string. */
+      /**
+       * Whether a value has the right format; by default, if it is not empty.
+       */
       accepts?: (value: string) => boolean;
     } = {},
   ) {
@@ -40,14 +42,14 @@
   }
 }
 
-/** Bounds of a number and the unit it is in. */
+/** Bounds of a number and its unit. */
 export interface NumberRange {
   readonly min: number;
   readonly max: number;
   readonly unit?: string;
 }
 
-/** Accepts numbers of a range. */
+/** Accepts numbers in a range. */
 export class NumberSchema implements Schema<number> {
   readonly description: string;
 
@@ -72,7 +74,7 @@
   }
 }
 
-/** Accepts integers of a range. */
+/** Accepts integers in a range. */
 export class IntegerSchema extends NumberSchema {
   constructor(range: NumberRange) {
     super(range, 'an integer');
--- a/src/core/yaml-check/types.ts
+++ b/src/core/yaml-check/types.ts
@@ -1,22 +1,22 @@
-/** Shapes of the YAML checker: positioned nodes, problems and schemas. */
+/** Types of the YAML checker: nodes with positions, problems and schemas. */
 
-/** Where a value stands. */
+/** Position of a value in a file. */
 export interface SourcePosition {
-  /** File name as people know it. */
+  /** File name as shown to users. */
   readonly file: string;
-  /** Line, from 1; 0 where the source has no lines. */
+  /** Line, from 1; 0 if the source has no lines. */
   readonly line: number;
-  /** Column, from 1; 0 where the source has no lines. */
+  /** Column, from 1; 0 if the source has no lines. */
   readonly column: number;
 }
 
-/** A text with the name that problems show. */
+/** A text with the file name to show in problems. */
 export interface SourceText {
   readonly file: string;
   readonly text: string;
 }
 
-/** One fault of a file. */
+/** One problem in a file. */
 export interface Problem extends SourcePosition {
   /** Keys joined by dots; empty for the whole file. */
   readonly path: string;
@@ -31,7 +31,7 @@
   MAP = 'map',
 }
 
-/** A single value. */
+/** A scalar value. */
 export interface ScalarNode {
   readonly kind: NodeKind.SCALAR;
   readonly position: SourcePosition;
@@ -56,33 +56,35 @@
   readonly kind: NodeKind.MAP;
   readonly position: SourcePosition;
   readonly entries: ReadonlyMap<string, MapEntry>;
-  /** Keys that an overlay removed, and where it did so. */
+  /** Keys removed by an overlay, with the positions in the overlay. */
   readonly removed: ReadonlyMap<string, SourcePosition>;
 }
 
-/** A value that knows where it came from. */
+/** A value with its position in a source. */
 export type SourceNode = ScalarNode | ListNode | MapNode;
 
 /** A key of a map or an index of a list. */
 export type PathSegment = string | number;
 
-/** Where a check stands, and where it reports. */
+/** Path of the value being checked, and the list of problems found. */
 export interface CheckContext {
   readonly path: readonly PathSegment[];
   readonly problems: Problem[];
 }
 
-/** Checks one node and turns it into a typed value. */
+/** Checks one node and converts it to a typed value. */
 export interface Schema<T> {
-  /** What the schema expects, as a problem shows it. */
+  /** What the schema expects, as shown in problems. */
   readonly description: string;
-  /** Returns undefined after it has reported at least one problem. */
+  /** Returns the value, or undefined after reporting at least one problem. */
   check(node: SourceNode, ctx: CheckContext): T | undefined;
 }
 
-/** Lets a rule report a contradiction at a path below the checked value. */
+/**
+ * Context in which a rule reports problems at paths below the checked value.
+ */
 export interface RuleContext {
-  /** Whether the key stands in the file, valid or not. */
+  /** Whether the key is present in the file, even with an invalid value. */
   isPresent(key: string): boolean;
   report(options: {
     path: readonly PathSegment[];
