--- a/test/platform/boot-settings.test.ts
+++ b/test/platform/boot-settings.test.ts
@@ -32,9 +32,9 @@
       dataCentre: 'a',
       callers: {host: '127.0.0.1', port: 8740},
       storeUrl: 'http://127.0.0.1:8742',
-      stopGraceMs: 8_000,
-      targetLeaveMs: 3_000,
-      keyTrustMs: 5_000,
+      shutdownGraceMs: 8_000,
+      targetDrainMs: 3_000,
+      keyRevocationMs: 5_000,
       retryBudget: {ratio: 0.8, windowMs: 10_000, slack: 150},
     });
   });
