--- a/src/core/timeline/build-timeline.ts
+++ b/src/core/timeline/build-timeline.ts
@@ -68,9 +68,11 @@
 ): Relation | undefined {
   // Lines of other requests are not related.
   if (line.fields['id'] !== undefined) return undefined;
-  const named = targetsOf(line);
-  if (named.length === 0) return Relation.ENTRY_STATE;
-  return named.some((name) => targets.has(name)) ? Relation.TARGET : undefined;
+  const lineTargets = targetsOf(line);
+  if (lineTargets.length === 0) return Relation.ENTRY_STATE;
+  return lineTargets.some((name) => targets.has(name))
+    ? Relation.TARGET
+    : undefined;
 }
 
 function targetsOf(line: LogLine): string[] {
--- a/test/core/config/distribution.test.ts
+++ b/test/core/config/distribution.test.ts
@@ -105,14 +105,14 @@
     fc.assert(
       fc.property(MEMBERS, (members) => {
         const {dataCentre} = members[0]!;
-        const near = members.filter((m) => m.dataCentre === dataCentre);
+        const localMembers = members.filter((m) => m.dataCentre === dataCentre);
         const watchers = electWatchers({dataCentre, members});
         const reversed = [...members].reverse();
         expect(electWatchers({dataCentre, members: reversed})).toEqual(
           watchers,
         );
         expect(watchers).toHaveLength(
-          Math.min(near.length, WATCHERS_PER_DATA_CENTRE),
+          Math.min(localMembers.length, WATCHERS_PER_DATA_CENTRE),
         );
         const remaining = members.filter(({vm}) => vm !== watchers[0]);
         const next = electWatchers({dataCentre, members: remaining});
@@ -129,11 +129,15 @@
           const {dataCentre} = self;
           const peers = selectConfigPeers({self, members});
           const watchers = electWatchers({dataCentre, members});
-          const near = watchers.filter((vm) => vm !== self.vm);
-          expect(peers).toEqual(expect.arrayContaining(near));
+          const localWatchers = watchers.filter((vm) => vm !== self.vm);
+          expect(peers).toEqual(expect.arrayContaining(localWatchers));
           expect(peers).not.toContain(self.vm);
-          const isDistant = members.some((m) => m.dataCentre !== dataCentre);
-          expect(peers.length).toBe(near.length + Number(isDistant));
+          const hasRemoteMember = members.some(
+            (m) => m.dataCentre !== dataCentre,
+          );
+          expect(peers.length).toBe(
+            localWatchers.length + Number(hasRemoteMember),
+          );
         }
       }),
       {seed: SEED},
