--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -1,4 +1,4 @@
-/** Runs one plain call: at most once, or repeated where that is harmless. */
+/** Runs one plain call: at most once, or with retries if it is idempotent. */
 import type {TimerHandle} from '../core/clock/index.js';
 import type {AnswerHead, Exchange} from '../core/edges/direct-target.js';
 import {ExchangeFailure} from '../core/edges/direct-target.js';
@@ -25,7 +25,7 @@
 import {refuseUnsent} from './refuse-unsent.js';
 import {toTargetRequest} from './target-request.js';
 
-/** A try under way. */
+/** An attempt in progress. */
 interface CallAttempt {
   readonly target: Target;
   readonly targetWork: TargetWork;
@@ -34,11 +34,11 @@
 }
 
 /**
- * One call. The whole answer of a target is collected before any of it goes
- * to the caller, so that a broken one can be replaced.
+ * Handles one plain call. The response of a target is buffered in full before
+ * any of it is sent to the caller, so that a failed attempt can be retried.
  *
  * @example
- * new CallRun({ctx, work}).start();
+ * new CallHandler({ctx, work}).start();
  */
 export class CallHandler {
   private readonly ctx: DirectContext;
@@ -74,7 +74,7 @@
     else this.sendFirst();
   }
 
-  /** The request lost targets before, here or at other entries. */
+  /** Earlier attempts of the request lost targets, at any entry. */
   private async sendAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
@@ -87,7 +87,9 @@
     this.ctx.retryBudgets.recordFirstAttempt(service.name);
     const target = this.chooseTarget();
     if (target === undefined) {
-      this.ctx.logger.warn('no target', {service: service.name});
+      this.ctx.logger.warn('no usable target for call', {
+        service: service.name,
+      });
       this.fail(false);
       return;
     }
@@ -130,7 +132,7 @@
     this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE_DETAIL);
   }
 
-  /** An idempotent call leaves time for another try. */
+  /** An idempotent call leaves time for another attempt. */
   private attemptTimeoutMs(leftMs: number): number {
     const {operation, maxAttempts} = this.work.admitted.route;
     const mayRetry = operation === OperationKind.SAFE;
@@ -162,7 +164,7 @@
     if (!certainlyDidNotRun(failure)) this.mayHaveRun = true;
     const isLost = failure === ExchangeFailure.BROKEN;
     if (isLost) this.poisonDetector.recordLoss({target, startedMs});
-    this.ctx.logger.info('try failed', {
+    this.ctx.logger.info('call attempt failed', {
       id: this.work.req.attemptId,
       target: target.id,
       failure,
@@ -200,7 +202,7 @@
     }
   }
 
-  /** A call that lost several targets waits until their causes are known. */
+  /** A call that lost several targets waits for the diagnosis of the losses. */
   private async retryAfterDiagnosis(): Promise<void> {
     const mayRetry = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
@@ -236,7 +238,7 @@
     const mayHaveRun = this.mayHaveRun || hadActiveAttempt;
     const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
-    this.ctx.logger.info('refused', {
+    this.ctx.logger.info('call failed', {
       id: this.work.req.attemptId,
       status,
       reason,
@@ -249,7 +251,7 @@
     this.work.res.sendOwn({status, reason, retryAfterMs});
   }
 
-  /** The request has just turned out to be poison. */
+  /** The request was quarantined while this handler ran. */
   private failAsPoison(): void {
     if (this.isOver) return;
     const isUnsent = !this.mayHaveRun && this.current === undefined;
@@ -257,7 +259,7 @@
     else this.fail(false);
   }
 
-  /** Ends without an answer; the caller may come again elsewhere. */
+  /** Ends without a response; the caller may retry at another entry. */
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
@@ -300,7 +302,7 @@
 
   private logRetry(reason: RetryReason, from: Target): void {
     this.ctx.metrics.countRetry(reason);
-    this.ctx.logger.info('retry', {
+    this.ctx.logger.info('call retried at another target', {
       id: this.work.req.attemptId,
       reason,
       from: from.id,
--- a/src/direct/consts.ts
+++ b/src/direct/consts.ts
@@ -1,122 +1,125 @@
-/** When a refused caller may come back, in milliseconds. */
+/** Value of `Retry-After` for refused callers, in milliseconds. */
 export const RETRY_AFTER_MS = 150;
 
-/** Share of the time left after which a silent safe call is repeated. */
+/** Share of the remaining time after which an idempotent call is retried. */
 export const SAFE_ATTEMPT_TIME_SHARE = 0.45;
 
-/** Pause before a stream looks for a target again, in milliseconds. */
+/** Pause before the placement of a stream is retried, in milliseconds. */
 export const PLACEMENT_RETRY_MS = 60;
 
-/** Targets that may break one stream before it is given up. */
+/** Attempts that start from the prompt before a stream fails. */
 export const MAX_PROMPT_ATTEMPTS = 12;
 
-/** Longest wait for a change of the configuration, in milliseconds. */
+/** Longest long poll for configuration changes, in milliseconds. */
 export const CONFIG_LONG_POLL_MS = 2_000;
 
-/** Longest such wait, as a share of the time for which keys are trusted. */
+/** Longest such poll, as a share of the time for which keys are trusted. */
 export const CONFIG_LONG_POLL_SHARE = 0.4;
 
-/** Longest wait for a change of the targets, in milliseconds. */
+/** Longest long poll for changes of the targets, in milliseconds. */
 export const TARGETS_LONG_POLL_MS = 2_400;
 
 /**
  * Least time between two reads of changed targets, as a share of the time
- * after which a leaving target must get no new work.
+ * after which a draining target must get no new work.
  */
 export const TARGETS_READ_INTERVAL_SHARE = 0.4;
 
-/** Part of the shared retry budget that entries plan with. */
+/** Share of the configured retry ratio for retries after losses. */
 export const LOSS_BUDGET_SHARE = 0.9;
 
-/** Repeats after losses that an entry always allows in a window. */
+/** Retries after losses that an entry always allows in a window. */
 export const MIN_LOSS_RETRIES = 24;
 
-/** How many of them may be for requests that no target has written for. */
+/** How many of these may follow attempts without any output. */
 export const MIN_NO_OUTPUT_RETRIES = 12;
 
-/** Repeats after rejections that an entry always allows in a window. */
+/** Retries after rejections that an entry always allows in a window. */
 export const MIN_REJECTION_RETRIES = 4;
 
-/** Entries among which the repeats beyond the ratio are divided. */
+/** Number of entries among which the slack of the retry budget is divided. */
 export const ASSUMED_ENTRY_COUNT = 24;
 
-/** Time for a target to say that it is there, in milliseconds. */
+/** Timeout of a probe, including the connection setup, in milliseconds. */
 export const PROBE_TIMEOUT_MS = 120;
 
-/** Time for which the outcome of a probe is used again, in milliseconds. */
+/** Time for which the result of a probe is reused, in milliseconds. */
 export const PROBE_CACHE_MS = 150;
 
-/** Time between two looks at all targets of a data centre. */
+/** Least time between two probes of a whole data centre, in milliseconds. */
 export const DATA_CENTRE_PROBE_INTERVAL_MS = 400;
 
-/** Events after which a run may have copied its memory. */
+/** Events after which a KV cache copy of a generation may exist. */
 export const MIN_EVENTS_FOR_COPY = 2;
 
-/** Time for which a data centre that lost a target is avoided. */
+/** Time to avoid a data centre after the loss of a target, in milliseconds. */
 export const AVOID_DATA_CENTRE_MS = 2_000;
 
-/** Share of a stop's grace that must be left for a new stream. */
+/** Share of the grace period that must remain to accept a stream. */
 export const MIN_STREAM_GRACE_SHARE = 0.9;
 
-/** Share of a stop's grace that must be left for a new call. */
+/** Share of the grace period that must remain to accept a call. */
 export const MIN_CALL_GRACE_SHARE = 0.2;
 
-/** Age up to which a report serves a placement, in milliseconds. */
+/** Age up to which a load report is used for placement, in milliseconds. */
 export const MAX_REPORT_AGE_MS = 120;
 
-/** Engines that are asked for their load before a generation is placed. */
+/** Engines whose load is queried before a generation is placed. */
 export const SHORTLIST_SIZE = 3;
 
-/** Work that a leaving target still ends by itself, in milliseconds. */
+/**
+ * Time after the start of its drain for which a target still accepts a resumed
+ * stream whose KV cache copy it holds, in milliseconds.
+ */
 export const DRAINING_RESUME_WINDOW_MS = 800;
 
-/** Time for a run that goes on from a copy to write, in milliseconds. */
+/** Time until the first probe of a target that resumes from a copy, in ms. */
 export const RESUME_CHECK_MS = 350;
 
-/** Time between two looks at a target that reads a prompt. */
+/** Time between two probes of a target during prefill, in milliseconds. */
 export const PREFILL_CHECK_MS = 400;
 
-/** Time after which the cause of a loss is known, in milliseconds. */
+/** Time in which this entry determines the cause of a loss, in milliseconds. */
 export const LOSS_DIAGNOSIS_MS = 250;
 
-/** Time in which another entry finds out the cause of a loss of its own. */
+/** Time in which other entries diagnose and share a loss, in milliseconds. */
 export const REMOTE_DIAGNOSIS_MS = 350;
 
-/** What was on its way before a loss has come by then, in milliseconds. */
+/** Time by which data sent before a loss has arrived, in milliseconds. */
 export const IN_FLIGHT_DATA_MS = 50;
 
-/** Time after which the store knows of a life that ended, in milliseconds. */
+/** Time until the store shows that an incarnation ended, in milliseconds. */
 export const INCARNATION_CHECK_MS = 6_000;
 
-/** Least time between two writes of this entry's losses. */
+/** Least time between two writes of this entry's losses, in milliseconds. */
 export const LOSS_WRITE_INTERVAL_MS = 100;
 
-/** Least time between two reads of the other entries' losses. */
+/** Least time between two reads of other entries' losses, in milliseconds. */
 export const LOSS_READ_INTERVAL_MS = 40;
 
-/** Longest wait until the store has this entry's losses, in milliseconds. */
+/** Longest wait for the write of this entry's losses, in milliseconds. */
 export const FLUSH_TIMEOUT_MS = 200;
 
-/** Time in which the losses of other entries are heard, in milliseconds. */
+/** Time to wait for losses recorded by other entries, in milliseconds. */
 export const REMOTE_LOSSES_WAIT_MS = 60;
 
-/** Time after its start in which an entry waits for the losses of others. */
+/** Longest wait for recorded losses after the start, in milliseconds. */
 export const STARTUP_LOSSES_WAIT_MS = 1_500;
 
-/** Time for which a request that crashes engines is kept from them. */
+/** Time for which a poison request is quarantined, in milliseconds. */
 export const QUARANTINE_MS = 600_000;
 
-/** Longest wait for news of such requests, in milliseconds. */
+/** Longest long poll for quarantined requests and losses, in milliseconds. */
 export const POISON_LONG_POLL_MS = 30_000;
 
-/** Time until such a request is written to the store again. */
+/** Time until a failed write to the store is retried, in milliseconds. */
 export const STORE_WRITE_RETRY_MS = 500;
 
-/** Time between two tries to have a run copied, in milliseconds. */
+/** Least time between two requests for a KV cache copy, in milliseconds. */
 export const COPY_RETRY_MS = 400;
 
-/** Age at which a copy that was asked for is brought up to date. */
+/** Age at which a requested KV cache copy is refreshed, in milliseconds. */
 export const COPY_REFRESH_MS = 2_000;
 
-/** Part of the retry budget for requests that a target had no room for. */
+/** Share of the configured retry ratio for rejected requests. */
 export const REJECTION_BUDGET_SHARE = 0.5;
--- a/src/direct/context.ts
+++ b/src/direct/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a direct entry share. */
+/** Dependencies shared by the parts of a direct entry. */
 import type {Clock, RandomSource} from '../core/clock/index.js';
 import type {
   CallerRequest,
@@ -15,7 +15,7 @@
 import type {ServiceRetryBudgets} from './service-retry-budgets.js';
 import type {StreamDurations} from './streams/stream-durations.js';
 
-/** Shared by all requests of an entry. */
+/** Dependencies of the request handlers of an entry. */
 export interface DirectContext {
   readonly dataCentre: string;
   readonly clock: Clock;
@@ -23,23 +23,23 @@
   readonly targets: TargetSet;
   readonly client: DirectTargets;
   readonly prober: Prober;
-  /** How long generations take, by service. */
+  /** Durations of past generations, by service. */
   readonly streamDurations: StreamDurations;
   readonly retryBudgets: ServiceRetryBudgets;
-  /** Targets that requests lost, here and at the other entries. */
+  /** Targets lost while they ran requests, at this and other entries. */
   readonly lossTracker: LossTracker;
-  /** Requests that this entry, or another, found to end targets. */
+  /** Requests that crash their targets, as found by any entry. */
   readonly quarantine: Quarantine;
   readonly metrics: Metrics;
   readonly logger: Logger;
 }
 
-/** One request that was let in. */
+/** An admitted request with its response and deadline. */
 export interface DirectWork {
   readonly req: CallerRequest;
   readonly res: CallerResponse;
   readonly admitted: AdmittedRequest;
   readonly service: RoutedService;
-  /** When the caller's or the route's time is over, on the process's clock. */
+  /** Deadline of the caller or the route, on the monotonic clock in ms. */
   readonly deadlineAtMs: number;
 }
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -1,4 +1,4 @@
-/** An entry that calls its targets directly, without agents beside them. */
+/** An entry that calls its targets directly, without agents. */
 import {Cell} from '../core/blackboard/index.js';
 import type {Clock, RandomSource} from '../core/clock/index.js';
 import type {
@@ -45,7 +45,7 @@
 import {StreamDurations} from './streams/stream-durations.js';
 import {StreamHandler} from './streams/stream-handler.js';
 
-/** What a direct entry is built from. */
+/** Settings and dependencies of a direct entry. */
 export interface DirectProcessOptions {
   readonly settings: DirectSettings;
   readonly clock: Clock;
@@ -62,17 +62,17 @@
 }
 
 /**
- * Follows the configuration and the registered targets, and serves requests
- * by them.
+ * Follows the configuration and the registered targets, and routes requests
+ * to these targets.
  *
  * @example
  * const entry = new DirectProcess(options);
  * entry.start();
  */
 export class DirectProcess {
-  /** The configuration in force. */
+  /** The active configuration. */
   readonly routes = new Cell<RouteTable | undefined>(undefined);
-  /** Whether the process has been told to stop. */
+  /** Whether a graceful shutdown has begun. */
   readonly draining = new Cell(false);
   private readonly keyTrust: KeyTrust;
   private settings: DirectSettings;
@@ -91,7 +91,9 @@
       clock,
       boundMs: settings.keyTrustMs,
       onDistrusted: () => {
-        logger.warn('keys are distrusted: the clocks have parted');
+        logger.warn(
+          'API keys not trusted: wall clock and monotonic clock diverged',
+        );
         this.configs?.refresh();
       },
     });
@@ -157,20 +159,20 @@
     this.startedMs = this.options.clock.now();
   }
 
-  /** Takes over settings that may change while the process runs. */
+  /** Applies settings that may change at run time. */
   applySettings(settings: DirectSettings): void {
     this.settings = settings;
     this.keyTrust.setBound(settings.keyTrustMs);
   }
 
-  /** Begins a planned stop. */
+  /** Begins to drain: the process is no longer ready for new connections. */
   startDraining(): void {
     const {clock} = this.options;
     this.killAtMs = clock.now() + this.settings.stopGraceMs;
     this.draining.set(true);
   }
 
-  /** Stops following the platform. */
+  /** Stops following the store. */
   stop(): void {
     for (const follower of this.followers) follower.stop();
     this.quarantineSync.stop();
@@ -192,7 +194,10 @@
     return hasLoadedState && !this.draining.get() && this.keyTrust.isSound();
   }
 
-  /** What was lost before this process began is waited for, but not long. */
+  /**
+   * Whether earlier losses are loaded. The wait is bounded, so that an
+   * unavailable store does not keep the process unready.
+   */
   private hasLoadedLosses(): boolean {
     const upForMs = this.options.clock.now() - this.startedMs;
     return (
@@ -250,7 +255,7 @@
     }
   }
 
-  /** Whether work that starts now can end before the process does. */
+  /** Whether enough of the grace period remains for new work. */
   private hasTimeFor(operation: OperationKind): boolean {
     const leftMs = this.killAtMs - this.options.clock.now();
     const share =
@@ -266,7 +271,7 @@
     refusal: OwnAnswer,
   ): void {
     this.ctx.metrics.countRefusal(refusal.reason);
-    this.ctx.logger.info('refused', {
+    this.ctx.logger.info('request refused at admission', {
       id: req.attemptId,
       status: refusal.status,
       reason: refusal.reason,
@@ -308,7 +313,7 @@
     follower.start();
   }
 
-  /** Two waits in a row must fit into the time for which keys are trusted. */
+  /** Two long polls in a row must fit into the key trust time. */
   private configLongPollMs(): number {
     const {keyTrustMs = Infinity} = this.settings;
     return Math.min(
@@ -349,7 +354,7 @@
     const currentVersion =
       this.routes.get()?.version ?? Number.NEGATIVE_INFINITY;
     if (config.version <= currentVersion) return;
-    this.options.logger.info('configuration in force', {
+    this.options.logger.info('configuration applied', {
       version: config.version,
       routes: config.routes.length,
     });
--- a/src/direct/graceful-shutdown.ts
+++ b/src/direct/graceful-shutdown.ts
@@ -1,17 +1,17 @@
-/** A planned stop: no new connections, work ends, then the process. */
+/** Graceful shutdown: closes the listener, drains requests, then stops. */
 import type {Clock, TimerHandle} from '../core/clock/index.js';
 import type {Logger} from '../core/logs/index.js';
 
-/** Time in which the balancer notices, as a share of the grace. */
+/** Time for the load balancer to react, as a share of the grace period. */
 const BALANCER_NOTICE_SHARE = 0.33;
 
-/** Time by which work ends before the forced end, in milliseconds. */
+/** Time between the end of the drain and the kill, in milliseconds. */
 const KILL_MARGIN_MS = 300;
 
-/** How often idle connections are closed and open work is counted. */
+/** Interval at which idle connections are closed, in milliseconds. */
 const CHECK_INTERVAL_MS = 50;
 
-/** The listener for callers, as a stop needs it. */
+/** The methods of the callers' listener that a shutdown uses. */
 export interface StoppableListener {
   readonly openRequests: number;
   closeIdle(): void;
@@ -20,12 +20,14 @@
 }
 
 /**
- * Ends a process without cutting off requests. Callers' connections end with
- * the answers that they wait for; idle ones are closed once the balancer
- * gives the process no more, and the process ends when nothing is open.
+ * Stops a process without aborting requests. Connections of callers close
+ * after their pending responses. Idle connections are closed once the load
+ * balancer has stopped routing to the process. The process stops when no
+ * request is open, or shortly before the grace period ends.
  *
  * @example
- * new PlannedStop({clock, logger, listener, graceMs, onStopped}).begin();
+ * const options = {clock, logger, listener, graceMs, onStopped};
+ * new GracefulShutdown(options).begin();
  */
 export class GracefulShutdown {
   private startedMs = 0;
@@ -77,7 +79,9 @@
     const {logger, listener, onStopped} = this.options;
     this.timer?.cancel();
     this.stopListening();
-    logger.info('stopped', {unfinished: listener.openRequests});
+    logger.info('graceful shutdown finished', {
+      unfinished: listener.openRequests,
+    });
     listener.closeAll();
     onStopped();
   }
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -1,4 +1,4 @@
-/** Asks targets whether they are there, when there is reason to doubt it. */
+/** Probes targets that may be unavailable. */
 import type {Result} from 'neverthrow';
 import {err} from 'neverthrow';
 
@@ -20,11 +20,11 @@
 }
 
 /**
- * Probes targets. Data centres fail as a whole, so a target that is lost
- * casts doubt on its neighbours: they are probed before they are given work.
+ * Probes targets. Data centres fail as a whole, so when an engine is lost, the
+ * other engines of its service in the data centre are probed too.
  *
  * @example
- * if (!(await prober.isAlive(target))) leave(target);
+ * if (!(await prober.isAlive(target))) avoid(target);
  */
 export class Prober {
   private readonly probes = new WeakMap<Target, Probe>();
@@ -36,14 +36,14 @@
       client: DirectTargets;
       targets: TargetSet;
       logger: Logger;
-      /** Whether a target can be asked: only engines tell of themselves. */
+      /** Whether a target is an engine: only engines report their load. */
       isEngine: (target: Target) => boolean;
-      /** Path of a target's own health check. */
+      /** Path of the health check of a plain service. */
       healthPathOf: (target: Target) => string | undefined;
     },
   ) {}
 
-  /** Whether a target answers; an engine that does not is paused. */
+  /** Whether a target responds; an engine that does not is paused. */
   isAlive(target: Target): Promise<boolean> {
     const nowMs = this.options.clock.now();
     const cached = this.probes.get(target);
@@ -57,9 +57,7 @@
     return outcome;
   }
 
-  /**
-   * Whether a target shows, later than `sinceMs`, that it is there.
-   */
+  /** Whether a target responds to a probe that was sent after `sinceMs`. */
   isAliveSince(target: Target, sinceMs: number): Promise<boolean> {
     const cached = this.probes.get(target);
     if (cached === undefined || cached.startedMs < sinceMs) {
@@ -68,18 +66,18 @@
     return this.isAlive(target);
   }
 
-  /** Whether a target tells of its birth, so that a restart shows. */
+  /** Whether a target reports its start time, so that restarts are detected. */
   reportsStartTime(target: Target): boolean {
     return this.options.isEngine(target) && target.record.bornMs !== undefined;
   }
 
-  /** Asks those of some targets that were not asked lately. */
+  /** Probes the given targets whose load reports are out of date. */
   async refreshReports(targets: readonly Target[]): Promise<void> {
     const stale = targets.filter((t) => t.reportAgeMs() > MAX_REPORT_AGE_MS);
     await Promise.all(stale.map((target) => this.isAlive(target)));
   }
 
-  /** Looks at the other targets beside one that was lost. */
+  /** Probes the other engines of the service in the lost one's data centre. */
   probeDataCentreOf(lost: Target): void {
     const {clock, targets} = this.options;
     if (!this.options.isEngine(lost)) return;
@@ -95,13 +93,13 @@
     }
   }
 
-  /** The time limit also covers the opening of a connection. */
+  /** The timeout also covers the connection setup. */
   private requestReport(target: Target): Promise<Result<ReportedLoad, string>> {
     const {client, clock} = this.options;
     return new Promise((resolve) => {
       const timer = clock.schedule({
         delayMs: PROBE_TIMEOUT_MS,
-        run: () => resolve(err(`no answer in ${PROBE_TIMEOUT_MS} ms`)),
+        run: () => resolve(err(`no response within ${PROBE_TIMEOUT_MS} ms`)),
       });
       void client.report(target.record, PROBE_TIMEOUT_MS).then((report) => {
         timer.cancel();
@@ -110,7 +108,7 @@
     });
   }
 
-  /** Asks a paused target again before its pause ends. */
+  /** Probes a paused target again shortly before its pause ends. */
   recheckPaused(target: Target, pauseMs: number): void {
     const delayMs = pauseMs - PROBE_TIMEOUT_MS * 2;
     if (!this.options.isEngine(target) || delayMs <= 0) return;
@@ -138,7 +136,7 @@
     const report = await this.requestReport(target);
     if (report.isOk() && isOtherIncarnation(target, report.value)) {
       target.noteGone();
-      logger.info('target was replaced', {
+      logger.info('target replaced by another incarnation', {
         target: target.id,
         bornMs: report.value.bornMs,
       });
@@ -150,7 +148,7 @@
       return true;
     }
     target.pause();
-    logger.info('target does not answer', {
+    logger.info('target does not respond to probe', {
       target: target.id,
       dataCentre: target.record.dataCentre,
       detail: report.error,
@@ -160,7 +158,7 @@
   }
 }
 
-/** Another target, or a restarted one, has the address now. */
+/** Whether another target, or a restarted one, now has the address. */
 function isOtherIncarnation({record}: Target, {bornMs}: ReportedLoad): boolean {
   const isReported = bornMs !== undefined && record.bornMs !== undefined;
   return isReported && bornMs !== record.bornMs;
--- a/src/direct/record-target-failure.ts
+++ b/src/direct/record-target-failure.ts
@@ -1,12 +1,12 @@
-/** What a failed exchange tells of its target. */
+/** Updates a target's health after a failed exchange. */
 import {ExchangeFailure} from '../core/edges/direct-target.js';
 import type {Target} from '../core/targets/index.js';
 
 /**
- * Takes a failed exchange into account when targets are chosen.
+ * Records a failed exchange at its target, which affects later choices.
  *
  * @example
- * noteFailureAt(target, ExchangeFailure.REJECTED);
+ * recordTargetFailure(target, ExchangeFailure.REJECTED);
  */
 export function recordTargetFailure(
   target: Target,
--- a/src/direct/refuse-unsent.ts
+++ b/src/direct/refuse-unsent.ts
@@ -1,15 +1,15 @@
-/** Refuses a request of which nothing was sent to any target. */
+/** Refuses a request that was not sent to any target. */
 import type {RefusalReason} from '../core/errors/refusals.js';
 import type {DirectContext, DirectWork} from './context.js';
 
 const UNAVAILABLE = 503;
 
 /**
- * Tells the caller that the request did not run; it is of no use to send it
- * again as it is.
+ * Responds that the request did not run. The response has no `Retry-After`:
+ * sending the same request again does not help.
  *
  * @example
- * refuseUntried({ctx, work, reason: RefusalReason.POISON});
+ * refuseUnsent({ctx, work, reason: RefusalReason.POISON});
  */
 export function refuseUnsent(options: {
   ctx: DirectContext;
@@ -18,7 +18,7 @@
 }): void {
   const {ctx, work, reason} = options;
   ctx.metrics.countRefusal(reason);
-  ctx.logger.info('refused', {
+  ctx.logger.info('request refused without an attempt', {
     id: work.req.attemptId,
     status: UNAVAILABLE,
     reason,
--- a/src/direct/response-body.ts
+++ b/src/direct/response-body.ts
@@ -1,17 +1,17 @@
-/** Collects the body of an answer, up to a bound. */
+/** Buffers the body of a response, up to a size limit. */
 
-/** Most that is kept of one answer, or of one event, in bytes. */
+/** Largest response, or event of a stream, that is buffered, in bytes. */
 export const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** What is said of an answer that is over the bound. */
-export const TOO_LARGE_DETAIL = `over ${MAX_RESPONSE_BYTES} bytes`;
+/** Error detail for a response or event over the limit. */
+export const TOO_LARGE_DETAIL = `exceeds ${MAX_RESPONSE_BYTES} bytes`;
 
 /**
- * The bytes of one answer. A target may send without end, so nothing is kept
- * beyond the bound.
+ * The body of one response. A faulty target may send without end, so the
+ * buffer is discarded once the limit is exceeded.
  *
  * @example
- * const body = new AnswerBody();
+ * const body = new ResponseBody();
  * body.push(chunk);
  * if (body.isTooLarge) exchange.cancel();
  */
@@ -19,7 +19,7 @@
   private chunks: Uint8Array[] = [];
   private size = 0;
 
-  /** Whether more has come than is kept. */
+  /** Whether the limit has been exceeded. */
   get isTooLarge(): boolean {
     return this.size > MAX_RESPONSE_BYTES;
   }
--- a/src/direct/service-retry-budgets.ts
+++ b/src/direct/service-retry-budgets.ts
@@ -1,4 +1,4 @@
-/** Bounds how often requests are sent again, over all entries together. */
+/** Limits the retries of all entries together. */
 import {RetryBudgets} from '../core/admission/index.js';
 import type {Clock} from '../core/clock/index.js';
 import {RetryReason} from '../core/errors/refusals.js';
@@ -13,17 +13,18 @@
 } from './consts.js';
 
 /**
- * Budgets for each service. Runs that wrote before they were lost are bounded
- * by the engines that are lost with them, so one entry may have many at a time
- * when a data centre fails. Other losses, and targets found replaced, may come
- * again and again for one request, so they may spend only a part of that
- * budget. When all targets are full, all entries have rejections at once, so
- * each has a small budget of its own for them.
+ * Retry budgets of each service, by the cause of the retry. Losses of attempts
+ * that had produced output are limited by the number of lost engines, so one
+ * entry may retry many of them at a time when a data centre fails. Attempts
+ * without output, and those at replaced targets, can fail again and again for
+ * one request, so their retries may use only a part of that budget. When all
+ * targets are full, all entries have rejections at the same time, so each
+ * entry has a small separate budget for them.
  *
  * @example
- * budgets.noteFirstTry('drafts');
+ * budgets.recordFirstAttempt('drafts');
  * const reason = RetryReason.ENGINE_DIED;
- * if (budgets.tryRetry({service: 'drafts', reason})) sendAgain();
+ * if (budgets.takeRetry({service: 'drafts', reason})) resend();
  */
 export class ServiceRetryBudgets {
   private readonly losses: RetryBudgets;
@@ -56,18 +57,18 @@
     for (const budget of this.budgetsOf(service)) budget.noteFirstTry();
   }
 
-  /** Takes one repeat out of the service's budget; false if none is left. */
+  /** Takes one retry from the service's budget; false if none is left. */
   takeRetry(options: {
     service: string;
     reason: RetryReason;
-    /** Whether the lost run had written for the request. */
+    /** Whether the lost attempt had produced output. */
     hadOutput?: boolean;
   }): boolean {
     const {service, reason, hadOutput: hadWritten = false} = options;
     const [losses, noOutput, rejections] = this.budgetsOf(service);
     switch (reason) {
       case RetryReason.NOT_SENT:
-        // Nothing reached the target, so nothing is repeated.
+        // Nothing reached the target, so this costs no budget.
         return true;
       case RetryReason.TARGET_REFUSED:
         return rejections.tryRetry();
--- a/src/direct/settings-watcher.ts
+++ b/src/direct/settings-watcher.ts
@@ -1,4 +1,4 @@
-/** Notices that the settings file of a process has changed. */
+/** Watches the settings file of a process for changes. */
 import {readFile} from 'node:fs/promises';
 
 import type {Result} from 'neverthrow';
@@ -7,17 +7,19 @@
 import type {Logger} from '../core/logs/index.js';
 import type {DirectSettings} from '../core/settings/direct-settings.js';
 
-/** How often the file is compared with what is in force, in milliseconds. */
+/** Interval at which the file is checked for changes, in milliseconds. */
 const CHECK_INTERVAL_MS = 1_000;
 
 /**
- * Reads the settings file anew on a signal, and when its text has changed
- * without one. A file that is wrong leaves the settings in force as they are.
+ * Applies the settings file when its text has changed. The file is checked at
+ * a fixed interval, and at once by `check`, as on a signal. An invalid or
+ * unreadable file leaves the active settings unchanged.
  *
  * @example
- * const watch = new SettingsWatch({path, parse, onSettings, clock, logger});
- * watch.start();
- * process.on('SIGHUP', () => void watch.check());
+ * const options = {path, parse, onSettings, clock, logger};
+ * const watcher = new SettingsWatcher(options);
+ * watcher.start();
+ * process.on('SIGHUP', () => void watcher.check());
  */
 export class SettingsWatcher {
   private text?: string;
@@ -44,7 +46,7 @@
     this.timer?.cancel();
   }
 
-  /** Compares the file with the text seen last. */
+  /** Compares the file with the text that was read last. */
   async check(): Promise<void> {
     const {path, logger} = this.options;
     let text: string;
@@ -52,7 +54,10 @@
       text = await readFile(path, 'utf8');
     } catch (e) {
       const detail = e instanceof Error ? e.message : String(e);
-      logger.warn('settings: cannot be read', {path, detail});
+      logger.warn('settings file not readable, settings unchanged', {
+        path,
+        detail,
+      });
       return;
     }
     const isFirst = this.text === undefined;
@@ -65,10 +70,12 @@
     const {parse, onSettings, logger} = this.options;
     const settings = parse(text);
     if (settings.isErr()) {
-      logger.error('settings: refused', {detail: settings.error});
+      logger.error('settings file invalid, settings unchanged', {
+        detail: settings.error,
+      });
       return;
     }
-    logger.info('settings: taken over');
+    logger.info('settings file changed, settings applied');
     onSettings(settings.value);
   }
 }
--- a/src/direct/store-outage-log.ts
+++ b/src/direct/store-outage-log.ts
@@ -1,16 +1,16 @@
-/** Logs when a dependency is lost and when it is back. */
+/** Logs the start and the end of store outages. */
 import type {Clock} from '../core/clock/index.js';
 import type {SourceError} from '../core/edges/state-source.js';
 import type {Logger} from '../core/logs/index.js';
 
 /**
- * Writes one line for each loss of the store and one for its end, however
- * many calls fail between them.
+ * Writes one line when reads from the store start to fail and one when they
+ * succeed again, regardless of the number of failed calls in between.
  *
  * @example
- * const contact = new ContactLog({what: 'targets', clock, logger});
- * contact.noteLost(err);
- * contact.noteHeard();
+ * const outageLog = new StoreOutageLog({what: 'targets', clock, logger});
+ * outageLog.recordFailure(err);
+ * outageLog.recordSuccess();
  */
 export class StoreOutageLog {
   private lostSinceMs?: number;
@@ -30,14 +30,18 @@
     this.failures++;
     if (this.lostSinceMs !== undefined) return;
     this.lostSinceMs = clock.now();
-    logger.warn('store lost', {what, kind: err.kind, detail: err.detail});
+    logger.warn('store reads fail', {what, kind: err.kind, detail: err.detail});
   }
 
   recordSuccess(): void {
     const {what, clock, logger} = this.options;
     if (this.lostSinceMs === undefined) return;
     const lostForMs = Math.round(clock.now() - this.lostSinceMs);
-    logger.info('store is back', {what, lostForMs, failures: this.failures});
+    logger.info('store reads succeed again', {
+      what,
+      lostForMs,
+      failures: this.failures,
+    });
     this.lostSinceMs = undefined;
     this.failures = 0;
   }
--- a/src/direct/target-request.ts
+++ b/src/direct/target-request.ts
@@ -1,15 +1,15 @@
-/** What a target is told of a caller's request. */
+/** Builds the request that is sent to a target. */
 import type {TargetRequest} from '../core/edges/direct-target.js';
 import type {DirectWork} from './context.js';
 
-/** What differs between the tries of one request. */
+/** Fields that differ between the attempts of one request. */
 export type AttemptFields = Pick<
   TargetRequest,
   'lastEventId' | 'copyTo' | 'copyFrom' | 'priority'
 >;
 
 /**
- * Builds the request for one try.
+ * Builds the request of one attempt.
  *
  * @example
  * const req = toTargetRequest({work, leftMs: 800});
