--- a/src/direct/poison/index.ts
+++ b/src/direct/poison/index.ts
@@ -1,4 +1,4 @@
-/** Requests that end targets: their losses, shared, and their quarantine. */
+/** Detects poison requests, which crash their targets, and quarantines them. */
 export {LossTracker} from './loss-tracker.js';
 export {PoisonDetector} from './poison-detector.js';
 export {QuarantineSync} from './quarantine-sync.js';
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -1,4 +1,4 @@
-/** Finds out why targets were lost under requests. */
+/** Determines why targets were lost while they ran requests. */
 import type {Clock} from '../../core/clock/index.js';
 import {sleep} from '../../core/clock/index.js';
 import type {Logger} from '../../core/logs/index.js';
@@ -16,38 +16,38 @@
 } from '../consts.js';
 import type {Prober} from '../prober.js';
 
-/** Requests with own losses that are remembered; the oldest ones go first. */
+/** Most requests whose attributed losses are kept; the oldest are dropped. */
 const MAX_ATTRIBUTED_REQUESTS = 4_096;
 
 /** Why a target was lost. */
 export enum LossCause {
-  /** The target lives on: it only broke the connection. */
+  /** The target still runs: only the connection broke. */
   TARGET_ALIVE = 'target_lives',
-  /** Its data centre fell. */
+  /** The target was lost in a data-centre outage. */
   DATA_CENTRE_OUTAGE = 'data_centre',
-  /** No other cause than the request was found. */
+  /** No cause other than the request was found. */
   UNEXPLAINED = 'unexplained',
 }
 
-/** A target that was lost under a request. */
+/** A target that was lost while it ran a request. */
 export interface RequestLoss {
-  /** Id of the caller's try, for the log. */
+  /** Attempt id of the caller, for the log. */
   readonly id: string;
   /** Fingerprint of the request. */
   readonly request: string;
   readonly clientAccount: string;
   readonly target: Target;
-  /** When the request came to the target, on the process's clock. */
+  /** When the attempt started, in milliseconds on the monotonic clock. */
   readonly startedMs: number;
 }
 
-/** The losses that this entry holds against a request. */
+/** The losses that this entry attributes to a request. */
 interface AttributedLosses {
   readonly clientAccount: string;
   readonly targets: Set<Target>;
 }
 
-/** What a diagnosis is made from. */
+/** Dependencies of the diagnosis. */
 export interface LossDiagnosisOptions {
   readonly ledger: LossLedger;
   readonly quarantine: Quarantine;
@@ -56,37 +56,37 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** Told when there is something new to tell the other entries. */
+  /** Called when the losses to share with other entries have changed. */
   readonly onChanged: () => void;
 }
 
 /**
- * Looks into each loss: the target may live on, or may have fallen with its
- * data centre. What remains is held against the request; after enough of it
- * the request is put into quarantine.
+ * Determines the cause of each loss: the target may still run, or its data
+ * centre may have failed. Other losses are attributed to the request. After
+ * enough of them the request is quarantined.
  *
  * @example
- * diagnosis.open({id, request, clientAccount, target, beganMs});
- * if (await diagnosis.isPoison({request, clientAccount})) giveUp();
+ * diagnosis.diagnose({id, request, clientAccount, target, startedMs});
+ * if (await diagnosis.isPoison({request, clientAccount})) refuse();
  */
 export class LossDiagnosis {
-  /** Losses that are looked into, by request and life. */
+  /** Diagnoses in progress, by request and incarnation. */
   private readonly diagnoses = new Map<string, Promise<void>>();
-  /** Own losses that are held against requests, by request. */
+  /** Losses seen by this entry and attributed to requests, by request. */
   private readonly attributed = new Map<string, AttributedLosses>();
-  /** Requests that were taken from silent targets not long ago. */
+  /** Requests that were recently withdrawn from unresponsive targets. */
   private readonly unresponsive = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
 
-  /** Whether nothing is looked into or held. */
+  /** Whether no loss is under diagnosis, watched or attributed. */
   get isIdle(): boolean {
     return (
       this.diagnoses.size + this.unresponsive.size + this.attributed.size === 0
     );
   }
 
-  /** A target was lost under a request that it may have begun. */
+  /** Starts the diagnosis of a target lost while it may have run a request. */
   diagnose(loss: RequestLoss): void {
     const {ledger} = this.options;
     const {request, target} = loss;
@@ -94,7 +94,7 @@
     const key = `${request} ${incarnation}`;
     if (this.diagnoses.has(key) || this.isAttributed(loss)) return;
     ledger.note({request, life: incarnation});
-    this.log('loss held against request', loss, {
+    this.log('target lost during request, diagnosis started', loss, {
       held: ledger.livesOf(request).size,
     });
     const diagnosis = this.findCause(loss).finally(() =>
@@ -104,8 +104,9 @@
   }
 
   /**
-   * A target was silent when its request was taken from it. If its life turns
-   * out to have ended then, it was lost under the request.
+   * A request was withdrawn from an unresponsive target. If the incarnation of
+   * the target turns out to have ended by then, the loss is attributed to the
+   * request.
    */
   watchUnresponsive(loss: RequestLoss): void {
     this.unresponsive.add(loss);
@@ -115,8 +116,8 @@
   }
 
   /**
-   * Whether a request is poison, once all is known that can be. If it is, it
-   * is put into quarantine.
+   * Whether a request is poison, after all diagnoses of its losses. If it is,
+   * the request is quarantined.
    */
   async isPoison(suspect: {
     request: string;
@@ -129,7 +130,7 @@
     if (!ledger.mayBePoison(request)) return false;
     await this.probeAttributed(request);
     if (ledger.mayBePoison(request) && !ledger.isPoison(request)) {
-      // Another entry may still look into a loss of its own.
+      // Another entry may still be diagnosing one of its losses.
       await sleep(this.options.clock, REMOTE_DIAGNOSIS_MS);
     }
     if (!ledger.isPoison(request)) return quarantine.has(request);
@@ -138,17 +139,17 @@
     return true;
   }
 
-  /** Whether this entry itself holds losses against a request. */
+  /** Whether this entry has attributed losses to a request. */
   hasAttributed(request: string): boolean {
     return this.attributed.has(request);
   }
 
-  /** The client account of a request with held losses. */
+  /** The client account of a request with attributed losses. */
   clientAccountOf(request: string): string {
     return this.attributed.get(request)?.clientAccount ?? '';
   }
 
-  /** A request was served, or released from quarantine. */
+  /** Forgets the losses of a request that was served or is released. */
   clear(request: string): void {
     this.attributed.delete(request);
     for (const loss of [...this.unresponsive]) {
@@ -212,7 +213,7 @@
     const {ledger, metrics, onChanged} = this.options;
     const key = {request: loss.request, life: lifeOf(loss.target.record)};
     metrics.count(CounterName.TARGET_LOSSES, {label: cause});
-    this.log('cause of loss', loss, {cause});
+    this.log('target loss diagnosed', loss, {cause});
     if (cause === LossCause.DATA_CENTRE_OUTAGE) ledger.noteFall(key);
     else if (cause === LossCause.TARGET_ALIVE) ledger.dismiss(key);
     else this.attribute(loss);
@@ -230,7 +231,7 @@
     dropOldest({entries: this.attributed, most: MAX_ATTRIBUTED_REQUESTS});
   }
 
-  /** A target that still lives was not ended by the request. */
+  /** Removes attributed losses whose targets turn out to be still running. */
   private async probeAttributed(request: string): Promise<void> {
     const {ledger, prober, clock, targets} = this.options;
     const nowMs = clock.now();
--- a/src/direct/poison/loss-sync.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -1,4 +1,4 @@
-/** Shares the losses under requests with the other entries. */
+/** Shares target losses with the other entries through the store. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import type {SharedNotes} from '../../core/edges/shared-notes.js';
 import type {SourceItem, StateSource} from '../../core/edges/state-source.js';
@@ -13,9 +13,9 @@
 } from '../consts.js';
 import {StoreOutageLog} from '../store-outage-log.js';
 
-/** What the sharing of losses is made from. */
+/** Dependencies of the synchronization. */
 export interface LossSyncOptions {
-  /** Name of this entry's VM, under which it leaves its notes. */
+  /** Name of this entry's VM, under which its losses are stored. */
   readonly vm: string;
   readonly ledger: LossLedger;
   readonly records: SharedNotes<LossNotes>;
@@ -23,19 +23,19 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  /** Told of the requests of which another entry tells. */
+  /** Called with the requests for which another entry recorded losses. */
   readonly onReceived: (requests: readonly string[]) => void;
 }
 
 /**
- * Leaves one object in the store with all that this entry knows of losses,
- * and reads those of the others. An entry that starts again takes over what
- * it had left.
+ * Writes the losses recorded by this entry to one object in the store, and
+ * reads the objects of other entries. An entry that restarts first restores
+ * its own object.
  *
  * @example
- * const share = new LossShare(options);
- * share.start();
- * share.publish();
+ * const sync = new LossSync(options);
+ * sync.start();
+ * sync.publish();
  */
 export class LossSync {
   private readonly follower: Follower<LossNotes>;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Whether the notes of all entries have been read once. */
+  /** Whether the recorded losses of all entries have been read once. */
   get hasLoaded(): boolean {
     return this.hasLoadedAll;
   }
@@ -82,9 +82,9 @@
     this.resolveFlushes();
   }
 
-  /** Writes what is known now, soon. */
+  /** Schedules a write of the current losses. */
   publish(): void {
-    // What an earlier life of this entry had left must not be overwritten.
+    // The losses of an earlier incarnation of this entry must be read first.
     if (this.isStopped || !this.hasLoadedAll) return;
     if (this.isWriting || this.timer !== undefined) return;
     const dueMs =
@@ -92,7 +92,7 @@
     this.scheduleWrite(Math.max(0, dueMs));
   }
 
-  /** Waits until the store has what is known now, or for a time. */
+  /** Waits until the current losses are stored, for at most `limitMs`. */
   flush(limitMs: number): Promise<void> {
     this.publish();
     if (this.timer === undefined && !this.isWriting) return Promise.resolve();
@@ -133,7 +133,10 @@
     if (this.isStopped) return;
     if (written.isErr()) {
       const {kind, detail} = written.error;
-      logger.warn('losses not written', {kind, detail});
+      logger.warn('target losses not written to store, will retry', {
+        kind,
+        detail,
+      });
       this.scheduleWrite(STORE_WRITE_RETRY_MS);
       return;
     }
@@ -143,7 +146,7 @@
     else this.resolveFlushes();
   }
 
-  /** Nothing was ever told, and there is nothing to tell. */
+  /** Whether nothing was ever written and there is nothing to write. */
   private hasNothingToWrite({losses, harmless}: LossNotes): boolean {
     return this.lastWritten === '' && losses.length + harmless.length === 0;
   }
--- a/src/direct/poison/loss-tracker.ts
+++ b/src/direct/poison/loss-tracker.ts
@@ -1,11 +1,11 @@
-/** What an entry knows of targets that requests lost. */
+/** Tracks the targets lost while they ran requests. */
 import {LossLedger} from '../../core/poison/index.js';
 import type {LossDiagnosisOptions} from './loss-diagnosis.js';
 import {LossDiagnosis} from './loss-diagnosis.js';
 import type {LossSyncOptions} from './loss-sync.js';
 import {LossSync} from './loss-sync.js';
 
-/** What it is built from: all that its parts do not get from each other. */
+/** Dependencies that the parts do not get from each other. */
 export type LossTrackerOptions = Omit<
   LossDiagnosisOptions,
   'ledger' | 'onChanged'
@@ -13,11 +13,11 @@
   Omit<LossSyncOptions, 'ledger' | 'onReceived'>;
 
 /**
- * Puts the ledger of losses, their diagnosis and their sharing together.
+ * Connects the ledger of losses, their diagnosis and their synchronization.
  *
  * @example
- * const losses = new Losses(options);
- * losses.start();
+ * const tracker = new LossTracker(options);
+ * tracker.start();
  */
 export class LossTracker {
   readonly ledger: LossLedger;
@@ -55,7 +55,10 @@
     this.sync.stop();
   }
 
-  /** With what others saw, a request of this entry's may be found out. */
+  /**
+   * Losses of other entries may complete the evidence against a request to
+   * which this entry has attributed losses.
+   */
   private diagnoseOwn(requests: readonly string[]): void {
     const {quarantine} = this.options;
     for (const request of new Set(requests)) {
--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -1,4 +1,4 @@
-/** Keeps requests that end targets away from them. */
+/** Detects whether a request crashes its targets. */
 import {sleep} from '../../core/clock/index.js';
 import {fingerprintOf} from '../../core/generation/fingerprint.js';
 import type {Target} from '../../core/targets/index.js';
@@ -6,19 +6,20 @@
 import type {DirectContext, DirectWork} from '../context.js';
 import type {RequestLoss} from './loss-diagnosis.js';
 
-/** A request's stay at a target. */
+/** An attempt of a request at one target. */
 export interface TargetAttempt {
   readonly target: Target;
-  /** When the request came to the target, on the process's clock. */
+  /** When the attempt started, in milliseconds on the monotonic clock. */
   readonly startedMs: number;
 }
 
 /**
- * Watches one request, a stream or a call, for the losses that it may cause.
+ * Records the target losses of one stream or call, and decides whether the
+ * request may be sent.
  *
  * @example
- * const watch = new PoisonWatch({ctx, work, onNamed: () => giveUp()});
- * if (watch.isPoison()) refuse();
+ * const detector = new PoisonDetector({ctx, work, onPoison: () => fail()});
+ * if (detector.isPoison()) refuse();
  */
 export class PoisonDetector {
   private readonly ctx: DirectContext;
@@ -30,7 +31,7 @@
   constructor(options: {
     ctx: DirectContext;
     work: DirectWork;
-    /** Told when the request turns out to be poison, here or elsewhere. */
+    /** Called when this or another entry quarantines the request. */
     onPoison: () => void;
   }) {
     this.ctx = options.ctx;
@@ -40,45 +41,45 @@
     });
   }
 
-  /** Whether the request is known to end its targets. */
+  /** Whether the request is quarantined. */
   isPoison(): boolean {
     const {quarantine} = this.ctx;
     return !quarantine.isEmpty && quarantine.has(this.computeFingerprint());
   }
 
-  /** Whether it is to be found out first if the request is poison. */
+  /** Whether the request must be diagnosed before it is sent. */
   mayBePoison(): boolean {
     const {ledger} = this.ctx.lossTracker;
     return !ledger.isEmpty && ledger.mayBePoison(this.computeFingerprint());
   }
 
-  /** Whether the request is to be sent on with care, and apart from others. */
+  /** Whether retries wait for a diagnosis and are isolated from others. */
   isSuspect(): boolean {
     const {ledger} = this.ctx.lossTracker;
     return !ledger.isEmpty && ledger.isSuspect(this.computeFingerprint());
   }
 
-  /** What suspects are kept apart by. */
+  /** Identifies the request by its client account, path and body. */
   get fingerprint(): string {
     return this.computeFingerprint();
   }
 
-  /** A target was lost that may have begun the request. */
+  /** Records the loss of a target that may have run the request. */
   recordLoss(attempt: TargetAttempt): void {
     this.hasLostTarget = true;
     this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(attempt));
   }
 
-  /** The request is taken from a target that has not answered. */
+  /** Records that the request is withdrawn from an unresponsive target. */
   recordUnresponsive(attempt: TargetAttempt): void {
     const {diagnosis} = this.ctx.lossTracker;
     const loss = this.toLoss(attempt);
-    // Its end may not have been seen yet, as that of the one before was.
+    // After an earlier loss, this target may have crashed too, undetected.
     if (this.hasLostTarget) diagnosis.diagnose(loss);
     else diagnosis.watchUnresponsive(loss);
   }
 
-  /** One target has served the whole request, and lives on. */
+  /** Records that one target served the whole request and still runs. */
   recordServed(): void {
     const {ledger, diagnosis, sync} = this.ctx.lossTracker;
     if (ledger.isEmpty && diagnosis.isIdle) return;
@@ -87,21 +88,24 @@
     diagnosis.clear(request);
   }
 
-  /** The request ends here; without an answer it may come elsewhere. */
+  /**
+   * Ends the detection. Losses are published, as the caller may retry at
+   * another entry.
+   */
   close(): void {
     this.unsubscribe();
     if (this.hasLostTarget) this.ctx.lossTracker.sync.publish();
   }
 
-  /** Whether the request may be sent, once the causes are known. */
+  /** Whether the request may be sent, after the diagnosis of its losses. */
   async maySend(): Promise<boolean> {
     const {diagnosis} = this.ctx.lossTracker;
     return !(await diagnosis.isPoison(this.requestFields()));
   }
 
   /**
-   * Whether a suspect may be sent once more: the other entries are told of
-   * its losses first, and are heard.
+   * Whether a suspect may be sent again. Its losses are first written to the
+   * store, and losses recorded by other entries are awaited.
    */
   async mayRetry(): Promise<boolean> {
     const {sync} = this.ctx.lossTracker;
--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -1,4 +1,4 @@
-/** Shares requests that crash engines with the other entries. */
+/** Shares quarantined requests with the other entries through the store. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import type {SharedNotes} from '../../core/edges/shared-notes.js';
 import type {
@@ -16,10 +16,10 @@
 } from '../consts.js';
 import {StoreOutageLog} from '../store-outage-log.js';
 
-/** An entry that only heard of a culprit waits this much longer. */
+/** Factor for the expiry at entries that only read the quarantine. */
 const REMOTE_EXPIRY_FACTOR = 2;
 
-/** What the entries' common quarantine is made from. */
+/** Dependencies of the synchronization. */
 export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
   readonly records: SharedNotes<Culprit>;
@@ -30,15 +30,15 @@
 }
 
 /**
- * Keeps this entry's quarantine and the notes in the store the same. The
- * entry that found a culprit takes its note away after a time.
+ * Keeps this entry's quarantine and the records in the store in sync. The
+ * entry that quarantined a request removes its record after the expiry time.
  *
  * @example
- * new QuarantineShare(options).start();
+ * new QuarantineSync(options).start();
  */
 export class QuarantineSync {
   private readonly follower: Follower<Culprit>;
-  /** Fingerprints that the store is known to hold. */
+  /** Fingerprints with a record in the store, as last read or written. */
   private readonly stored = new Set<string>();
   private readonly timers = new Set<TimerHandle>();
   private isStopped = false;
@@ -62,15 +62,15 @@
 
   start(): void {
     const {quarantine, logger} = this.options;
-    quarantine.subscribe((fingerprint, culprit) => {
+    quarantine.subscribe((fingerprint, record) => {
       const isFromStore = this.stored.has(fingerprint);
-      logger.warn('request quarantined', {
+      logger.warn('request quarantined after target losses', {
         fingerprint,
-        clientAccount: culprit.clientAccount,
-        engines: culprit.crashes.join(','),
+        clientAccount: record.clientAccount,
+        engines: record.crashes.join(','),
         isHeard: isFromStore,
       });
-      if (!isFromStore) void this.store(fingerprint, culprit);
+      if (!isFromStore) void this.store(fingerprint, record);
     });
     this.follower.start();
   }
@@ -96,11 +96,11 @@
     }
   }
 
-  private addStored(fingerprint: string, culprit: Culprit | undefined): void {
-    if (culprit === undefined || this.stored.has(fingerprint)) return;
+  private addStored(fingerprint: string, record: Culprit | undefined): void {
+    if (record === undefined || this.stored.has(fingerprint)) return;
     this.stored.add(fingerprint);
-    this.options.quarantine.add({fingerprint, culprit});
-    // Whoever left the note may be gone when its time is over.
+    this.options.quarantine.add({fingerprint, culprit: record});
+    // The entry that wrote the record may have stopped before the expiry.
     void this.removeAfter(fingerprint, QUARANTINE_MS * REMOTE_EXPIRY_FACTOR);
   }
 
@@ -109,14 +109,14 @@
     this.options.quarantine.remove(fingerprint);
   }
 
-  private async store(fingerprint: string, culprit: Culprit): Promise<void> {
+  private async store(fingerprint: string, record: Culprit): Promise<void> {
     const {records} = this.options;
-    await this.retryUntilWritten(() => records.put(fingerprint, culprit));
+    await this.retryUntilWritten(() => records.put(fingerprint, record));
     this.stored.add(fingerprint);
     await this.removeAfter(fingerprint, QUARANTINE_MS);
   }
 
-  /** Takes a note away after a time; its deletion releases the request. */
+  /** Removes a record after a delay; its deletion releases the request. */
   private async removeAfter(
     fingerprint: string,
     delayMs: number,
@@ -128,7 +128,7 @@
     );
   }
 
-  /** Writes until the store takes it. */
+  /** Retries a write until it succeeds or the process stops. */
   private async retryUntilWritten(
     write: () => ReturnType<SharedNotes<Culprit>['remove']>,
   ): Promise<void> {
@@ -137,12 +137,15 @@
       const written = await write();
       if (written.isOk()) return;
       const {kind, detail} = written.error;
-      logger.warn('quarantine not written', {kind, detail});
+      logger.warn('quarantine change not written to store, will retry', {
+        kind,
+        detail,
+      });
       await this.sleep(STORE_WRITE_RETRY_MS);
     }
   }
 
-  /** Ends early, and for good, when the process stops. */
+  /** Never resolves if the process stops first, as the timer is cancelled. */
   private sleep(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.options.clock.schedule({
