--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -202,7 +202,7 @@
     }
   }
 
-  /** A call that lost several targets waits for the diagnosis of the losses. */
+  /** A call that lost several targets waits for the loss diagnosis. */
   private async retryAfterDiagnosis(): Promise<void> {
     const mayRetry = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
--- a/src/direct/streams/kv-cache-replicator.ts
+++ b/src/direct/streams/kv-cache-replicator.ts
@@ -1,41 +1,41 @@
-/** Keeps a copy of a run's memory at another target while the run goes on. */
+/** Keeps a copy of a generation's KV cache at another target. */
 import type {CopyReference} from '../../core/edges/direct-target.js';
 import type {Target} from '../../core/targets/index.js';
 import {COPY_RETRY_MS, COPY_REFRESH_MS} from '../consts.js';
 import type {DirectContext, DirectWork} from '../context.js';
 import {canResumeAt} from './stream-placer.js';
 
-/** A copy from which a lost run can go on. */
+/** A KV cache copy from which a lost generation can be resumed. */
 export interface KvCacheCopy {
   readonly holder: Target;
   readonly reference: CopyReference;
 }
 
-/** What a copy keeper works for. */
+/** The generation that is replicated, with its dependencies. */
 export interface KvCacheReplicatorOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
   readonly runner: Target;
-  /** Tokens that the run holds in memory at its end. */
+  /** Tokens in the KV cache at the end of the generation. */
   readonly tokens: number;
-  /** Chooses a target for a copy; undefined where there is none. */
+  /** Chooses a target for a copy; undefined if none is suitable. */
   readonly chooseHolder: () => Target | undefined;
 }
 
 /**
- * The first copy is made by the runner itself, as it was told with the
- * request. When its holder is lost or leaves, the runner is asked for another
- * copy, which is brought up to date now and then. Serves the load of data
- * centres that fail in turn while generations run.
+ * The request names the holder of the first copy, which the runner makes by
+ * itself. When this holder is lost or drains, the runner is requested to make
+ * another copy, which is refreshed at intervals. So a generation can be resumed
+ * even if several data centres fail one after the other.
  *
  * @example
- * const keeper = new CopyKeeper(options);
- * keeper.check();
- * const copy = keeper.copy;
+ * const replicator = new KvCacheReplicator(options);
+ * replicator.check();
+ * const copy = replicator.copy;
  */
 export class KvCacheReplicator {
   private current?: KvCacheCopy;
-  /** Whether the copy has to be brought up to date by calls. */
+  /** Whether the copy was requested by a call and has to be refreshed. */
   private isCopyRequested = false;
   private isRequesting = false;
   private isOver = false;
@@ -50,12 +50,12 @@
     this.setCopy({holder, reference});
   }
 
-  /** The newest copy, wherever it is. */
+  /** The newest copy, at whichever target. */
   get copy(): KvCacheCopy | undefined {
     return this.current;
   }
 
-  /** Looks after the copy; to be called while the run writes. */
+  /** Refreshes or replaces the copy if needed; to be called on each event. */
   check(): void {
     if (this.isRequesting || this.current === undefined) return;
     const {holder} = this.current;
@@ -71,12 +71,12 @@
     if (next !== undefined && canResumeAt(next)) void this.requestCopy(next);
   }
 
-  /** The run is over; or it is lost, and its copy is needed. */
+  /** Ends the replication. The copy is needed if the generation was lost. */
   close(options: {isNeeded: boolean}): void {
     this.isOver = true;
     if (this.current === undefined) return;
     this.current.holder.removeCopy(this.options.tokens);
-    // The runner itself frees the copy that it made with the request.
+    // The runner frees the copy that it made for the request by itself.
     const mustFree = this.isCopyRequested && !options.isNeeded;
     if (mustFree) this.freeCopy(this.current.reference.id);
   }
@@ -85,7 +85,11 @@
     const {ctx, runner, work} = this.options;
     void ctx.client.freeCopy({runner: runner.record, id}).mapErr((detail) => {
       const {attemptId} = work.req;
-      ctx.logger.info('copy is not freed', {id: attemptId, copy: id, detail});
+      ctx.logger.info('KV cache copy not freed', {
+        id: attemptId,
+        copy: id,
+        detail,
+      });
     });
   }
 
@@ -106,7 +110,7 @@
     }
     if (handle.isErr()) {
       const detail = handle.error;
-      ctx.logger.info('copy refused', {
+      ctx.logger.info('KV cache copy not created', {
         id: attemptId,
         holder: holder.id,
         detail,
--- a/src/direct/streams/stall-detector.ts
+++ b/src/direct/streams/stall-detector.ts
@@ -1,25 +1,25 @@
-/** Notices that the target of a stream has fallen silent. */
+/** Detects that the target of a stream has stalled. */
 import type {TimerHandle} from '../../core/clock/index.js';
 import {stallLimitMs, suspectLimitMs} from '../../core/streams/index.js';
 import type {Target} from '../../core/targets/index.js';
 import {PREFILL_CHECK_MS} from '../consts.js';
 import type {DirectContext} from '../context.js';
 
-/** Part of the widest gap that remains after another gap. */
+/** Factor by which the widest gap decays with each further gap. */
 const GAP_DECAY = 0.98;
 
-/** Told once, when the target counts as lost. */
+/** Called once, when the target counts as lost. */
 export type StallListener = (silentMs: number) => void;
 
 /**
- * Watches one target of a stream. Until the first event the target is asked
- * now and then whether it is there; after it, a silence that is long for
- * this target is looked into, and ends the watch if it lasts.
+ * Watches one target of a stream. Until the first event the target is probed at
+ * intervals. After it, the target is probed when a gap between events is
+ * unusually long, and counts as lost if the probe fails or the gap lasts.
  *
  * @example
- * const watch = new SilenceWatch({ctx, target, onLost});
- * watch.start(400);
- * watch.noteEvent();
+ * const detector = new StallDetector({ctx, target, onStalled});
+ * detector.start(400);
+ * detector.recordEvent();
  */
 export class StallDetector {
   private events = 0;
@@ -32,7 +32,7 @@
     private readonly options: {
       ctx: DirectContext;
       target: Target;
-      /** Longest pause between events that is on time, in milliseconds. */
+      /** Longest allowed pause between events, in milliseconds. */
       maxPauseMs?: number;
       onStalled: StallListener;
     },
@@ -40,7 +40,7 @@
     this.lastEventMs = options.ctx.clock.now();
   }
 
-  /** Begins to watch; the target is first asked after `firstCheckMs`. */
+  /** Starts to watch; the target is first probed after `firstCheckMs`. */
   start(firstCheckMs: number): void {
     this.schedule(firstCheckMs, () => void this.checkPrefill());
   }
@@ -70,7 +70,7 @@
     else this.reportStall();
   }
 
-  /** Waits until the present gap has become suspicious. */
+  /** Waits until the current gap is long enough for a probe. */
   private watchSilence(): void {
     const leftMs = suspectLimitMs(this.limitOptions()) - this.silentMs();
     if (leftMs <= 0) void this.probeSilent();
@@ -86,7 +86,7 @@
     else this.reportStall();
   }
 
-  /** The target is there, but it writes nothing. */
+  /** The target responds to probes but sends no events. */
   private watchStall(events: number): void {
     const leftMs = stallLimitMs(this.limitOptions()) - this.silentMs();
     if (this.events > events) this.watchSilence();
--- a/src/direct/streams/stream-attempt.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -1,4 +1,4 @@
-/** One target's part in a stream. */
+/** One attempt of a stream at one target. */
 import type {
   AnswerHead,
   CopyReference,
@@ -26,49 +26,49 @@
 
 const OK = 200;
 
-/** Why a target is of no more use to a stream. */
+/** Why a stream lost its target. */
 export interface TargetLoss {
   readonly reason: RetryReason;
   readonly detail: string;
-  /** Present where the exchange itself failed. */
+  /** Present if the exchange itself failed. */
   readonly failure?: ExchangeFailure;
 }
 
-/** Hears what a target writes. */
+/** Receives the events and the outcome of an attempt. */
 export interface AttemptListener {
   onEvent(head: AnswerHead, event: RawEvent): void;
   /** The target has ended its stream. */
   onEnd(head: AnswerHead): void;
-  /** The target answered with something else than a stream. */
+  /** The target sent a response that is not a stream. */
   onOtherResponse(head: AnswerHead, body: Uint8Array): void;
   onLost(loss: TargetLoss): void;
 }
 
-/** What a target is given to do. */
+/** Parameters and dependencies of an attempt. */
 export interface StreamAttemptOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
   readonly target: Target;
-  /** Chooses where the run's memory is copied to. */
+  /** Chooses the target that holds a copy of the KV cache. */
   readonly chooseCopyHolder: () => Target | undefined;
-  /** Tokens that the run holds in memory at its end. */
+  /** Tokens in the KV cache at the end of the generation. */
   readonly tokens: number;
-  /** The last event that the caller has. */
+  /** Id of the last event that the caller received. */
   readonly lastEventId?: number;
-  /** Whether the caller has got events from another target before. */
+  /** Whether earlier attempts have sent events to the caller. */
   readonly hasDelivered: boolean;
-  /** The copy from which the target goes on. */
+  /** The KV cache copy from which the target resumes. */
   readonly copyFrom?: CopyReference;
   readonly listener: AttemptListener;
 }
 
 /**
- * A stream at one target, from the request to its end or its loss. After
- * either, the listener hears nothing more.
+ * A stream at one target, from the request until the stream ends or the target
+ * is lost. After that the listener is not called again.
  *
  * @example
- * const run = new StreamTry(options);
- * run.cancel();
+ * const attempt = new StreamAttempt(options);
+ * attempt.cancel();
  */
 export class StreamAttempt {
   readonly target: Target;
@@ -77,7 +77,7 @@
   private readonly exchange: Exchange;
   private readonly stallDetector: StallDetector;
   private readonly splitter = new EventSplitter();
-  /** The body of an answer that is no stream. */
+  /** The body of a response that is not a stream. */
   private readonly body = new ResponseBody();
   private head?: AnswerHead;
   private eventCount = 0;
@@ -119,22 +119,22 @@
     this.exchange = this.send();
   }
 
-  /** The newest copy of the run's memory. */
+  /** The newest copy of the KV cache. */
   get copy(): KvCacheCopy | undefined {
     return this.replicator.copy;
   }
 
-  /** When the request came to the target, on the process's clock. */
+  /** When the attempt started, in milliseconds on the monotonic clock. */
   get startedMs(): number {
     return this.work.begunMs;
   }
 
-  /** Events that this target has written. */
+  /** Number of events received from this target. */
   get events(): number {
     return this.eventCount;
   }
 
-  /** Ends the work at the target. */
+  /** Cancels the work at the target. */
   cancel(): void {
     this.stop({copyIsNeeded: false});
   }
@@ -184,13 +184,13 @@
     for (const event of this.splitter.push(chunk)) {
       this.recordEvent();
       this.options.listener.onEvent(this.head, event);
-      // The listener may have left this target.
+      // The listener may have cancelled this attempt.
       if (this.isOver) return;
     }
     if (this.splitter.pendingBytes > MAX_RESPONSE_BYTES) this.failOversized();
   }
 
-  /** The target sends without end what is no event and no answer. */
+  /** The target sent more than the limit for one event or response. */
   private failOversized(): void {
     const failure = ExchangeFailure.BROKEN;
     recordTargetFailure(this.target, failure);
@@ -218,7 +218,7 @@
       this.options.listener.onOtherResponse(head, this.body.toBytes());
     } else if (this.splitter.pendingBytes > 0) {
       const reason = RetryReason.ENGINE_DIED;
-      this.reportLoss({reason, detail: 'ended within an event'});
+      this.reportLoss({reason, detail: 'stream ended within an event'});
     } else {
       this.close({copyIsNeeded: false});
       this.target.noteSuccess();
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -1,16 +1,16 @@
-/** What the caller of a stream gets, and when. */
+/** Writes a stream to its caller. */
 import type {AnswerHead} from '../../core/edges/direct-target.js';
 import {LatencyName} from '../../core/metrics/index.js';
 import type {RawEvent} from '../../core/streams/index.js';
 import type {DirectContext, DirectWork} from '../context.js';
 
 /**
- * Writes the events of a stream to its caller under the head of the first
- * target, and measures the pauses that the caller sees.
+ * Writes the events of a stream to its caller, with the status and headers of
+ * the first target, and measures the pauses that the caller sees.
  *
  * @example
  * const delivery = new StreamDelivery({ctx, work});
- * delivery.pass(head, event);
+ * delivery.writeEvent(head, event);
  * delivery.finish(head);
  */
 export class StreamDelivery {
@@ -27,17 +27,17 @@
     this.work = options.work;
   }
 
-  /** Whether the caller has got a part of the answer. */
+  /** Whether a part of the response was sent to the caller. */
   get isOpen(): boolean {
     return this.isOpened;
   }
 
-  /** Time from the request to its first event, in milliseconds. */
+  /** Time from the receipt of the request to the first event, in ms. */
   get firstEventMs(): number {
     return this.firstEventAfterMs;
   }
 
-  /** The next event comes from another target. */
+  /** Marks that the next event comes from another attempt. */
   markResumed(): void {
     this.isResuming = this.isOpened;
   }
@@ -48,7 +48,7 @@
     this.recordPause();
   }
 
-  /** Ends the answer as a whole one. */
+  /** Ends the response as a complete one. */
   finish(head: AnswerHead): void {
     this.open(head);
     this.work.res.end();
@@ -85,7 +85,7 @@
       this.firstEventAfterMs <= objectiveMs &&
       this.longestPauseMs <= maxPauseMs;
     if (isOnTime) return;
-    this.ctx.logger.info('stream was late', {
+    this.ctx.logger.info('stream exceeded its latency limits', {
       id: this.work.req.attemptId,
       firstEventMs: Math.round(this.firstEventAfterMs),
       longestPauseMs: Math.round(this.longestPauseMs),
--- a/src/direct/streams/stream-durations.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -1,4 +1,4 @@
-/** How long the generations of each service take. */
+/** Estimated durations of generations, by service. */
 import type {CallerRequest} from '../../core/edges/direct-caller.js';
 import type {RoutedService} from '../../core/routes/index.js';
 import type {GenerationNeed} from '../../core/streams/index.js';
@@ -8,7 +8,7 @@
  * One `StreamTime` for each service.
  *
  * @example
- * times.of('drafts').isHopeless({need, leftMs});
+ * durations.of('drafts').isHopeless({need, leftMs});
  */
 export class StreamDurations {
   private readonly durations = new Map<string, StreamTime>();
@@ -24,10 +24,11 @@
 }
 
 /**
- * What a request for a generation needs; undefined where it does not say.
+ * Tokens and events of a requested generation; undefined if the request is not
+ * for a generation or the service is not an engine.
  *
  * @example
- * const need = needOf(req, service);
+ * const need = toGenerationNeed(req, service);
  */
 export function toGenerationNeed(
   req: CallerRequest,
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -1,4 +1,4 @@
-/** Runs one event stream, across as many targets as it takes. */
+/** Handles one event stream, across several targets if targets are lost. */
 import type {TimerHandle} from '../../core/clock/index.js';
 import type {
   AnswerHead,
@@ -29,27 +29,27 @@
 import type {TargetLoss} from './stream-attempt.js';
 import {StreamAttempt} from './stream-attempt.js';
 
-/** Losses by which the data centre is seen to be there. */
+/** Reasons of a loss that show that the data centre is reachable. */
 const DATA_CENTRE_ALIVE_REASONS: ReadonlySet<RetryReason> = new Set([
   RetryReason.TARGET_REFUSED,
   RetryReason.TARGET_REPLACED,
 ]);
 
-/** Losses of which a request may be the cause. */
+/** Reasons of a loss that the request itself may have caused. */
 const POSSIBLE_CRASH_REASONS: ReadonlySet<RetryReason> = new Set([
   RetryReason.ENGINE_DIED,
   RetryReason.ENGINE_STALLED,
 ]);
 
-/** First status that says that the target failed. */
+/** Lowest status that means that the target failed. */
 const MIN_FAILURE_STATUS = 500;
 
 /**
- * One stream. Its events go to the caller as they come; when a target is
- * lost, another goes on after the last one.
+ * Handles one stream. Events are sent to the caller as they arrive. When a
+ * target is lost, another target resumes after the last event.
  *
  * @example
- * new StreamRun({ctx, work}).start();
+ * new StreamHandler({ctx, work}).start();
  */
 export class StreamHandler {
   private readonly ctx: DirectContext;
@@ -61,12 +61,12 @@
   private readonly deadline: TimerHandle;
   private placementTimer?: TimerHandle;
   private current?: StreamAttempt;
-  /** The copy of what the lost run had in memory. */
+  /** The KV cache copy of the lost attempt, if one can be used. */
   private resumableCopy?: KvCacheCopy;
   private isOver = false;
-  /** Targets that began with the prompt. */
+  /** Attempts that started from the prompt. */
   private promptAttempts = 0;
-  /** Targets to which the stream, or the rest of it, was sent. */
+  /** All attempts, including those that resumed from a copy. */
   private attempts = 0;
   private mayHaveRun = false;
 
@@ -103,7 +103,7 @@
     else void this.place();
   }
 
-  /** The request lost targets before, here or at other entries. */
+  /** Earlier attempts of the request lost targets, at any entry. */
   private async placeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
@@ -111,7 +111,7 @@
     else this.refuse(RefusalReason.POISON);
   }
 
-  /** Whether the time left is too short for any engine. */
+  /** Whether the remaining time is too short for any engine. */
   private cannotMeetDeadline(): boolean {
     const {req, service, deadlineAtMs} = this.work;
     const need = toGenerationNeed(req, service);
@@ -190,7 +190,7 @@
   }
 
   private finish(head: AnswerHead): void {
-    // Several targets may each have been ended by their part of it.
+    // After several attempts, the request may have crashed earlier targets.
     if (this.attempts === 1) this.poisonDetector.recordServed();
     this.stop();
     this.recordDurations();
@@ -209,7 +209,7 @@
     this.work.res.sendWhole(head, body);
   }
 
-  /** The present target is of no more use: another goes on, if it may. */
+  /** The current target is lost: resumes at another one if allowed. */
   private onLost(loss: TargetLoss): void {
     const lost = this.current;
     if (lost === undefined || this.isOver) return;
@@ -235,7 +235,7 @@
     else void this.place();
   }
 
-  /** A request that lost several targets waits until their causes are known. */
+  /** A stream that lost several targets waits for the loss diagnosis. */
   private async resumeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
@@ -264,7 +264,7 @@
     this.abandon();
     const {status, reason} = answerFailure({mayHaveRun, isTimedOut});
     this.ctx.metrics.countRefusal(reason);
-    this.ctx.logger.info('stream given up', {
+    this.ctx.logger.info('stream failed', {
       id: this.work.req.attemptId,
       status,
       reason,
@@ -283,7 +283,7 @@
     this.work.res.sendOwn({status, reason, retryAfterMs});
   }
 
-  /** The request has just turned out to be poison. */
+  /** The request was quarantined while this handler ran. */
   private failAsPoison(): void {
     if (this.isOver) return;
     const isUnsent = !this.mayHaveRun && this.current === undefined;
@@ -291,7 +291,7 @@
     else this.fail(false);
   }
 
-  /** Ends without an answer; the caller may come again elsewhere. */
+  /** Ends without a response; the caller may retry at another entry. */
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
@@ -324,7 +324,7 @@
   }
 
   private logLoss(lost: StreamAttempt, loss: TargetLoss): void {
-    this.ctx.logger.info('stream lost its target', {
+    this.ctx.logger.info('stream attempt failed', {
       id: this.work.req.attemptId,
       target: lost.target.id,
       dataCentre: lost.target.record.dataCentre,
@@ -336,7 +336,7 @@
   }
 
   private logCopyLost(holder: Target): void {
-    this.ctx.logger.info('copy of a stream is lost', {
+    this.ctx.logger.info('KV cache copy not usable for resume', {
       id: this.work.req.attemptId,
       holder: holder.id,
       dataCentre: holder.record.dataCentre,
@@ -346,7 +346,7 @@
   }
 
   private logPlacement({target, copy}: StreamAttempt, usesCopy: boolean): void {
-    this.ctx.logger.info('stream goes on', {
+    this.ctx.logger.info('stream retried or resumed at target', {
       id: this.work.req.attemptId,
       target: target.id,
       dataCentre: target.record.dataCentre,
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -1,4 +1,4 @@
-/** Where a stream runs next, and where its copy goes. */
+/** Chooses where a stream runs and where its KV cache is copied to. */
 import type {EngineChoice} from '../../core/placing/index.js';
 import {
   chooseEngine,
@@ -14,22 +14,22 @@
 import type {DirectContext, DirectWork} from '../context.js';
 
 /**
- * Chooses targets for one stream, with what it has met so far.
+ * Chooses targets for one stream, based on its failed attempts.
  *
  * @example
  * const target = await placer.findTarget();
- * const copy = placer.chooseCopy(target);
+ * const holder = placer.chooseCopyHolder(target);
  */
 export class StreamPlacer {
-  /** Tokens that the stream holds in a target's memory at its end. */
+  /** Tokens in the KV cache at the end of the stream. */
   readonly tokens: number;
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
-  /** Targets that did not take the stream. */
+  /** Targets that did not accept the stream. */
   private readonly excluded = new Set<string>();
-  /** Present where the stream is kept apart from others. */
+  /** Fingerprint of the request if the stream is isolated from others. */
   private isolatedFingerprint?: string;
-  /** Data centres in which the stream has just lost a target. */
+  /** Data centres in which the stream recently lost a target. */
   private readonly avoidedDataCentres = new Set<string>();
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
@@ -40,12 +40,12 @@
       (generation?.promptTokens ?? 0) + (generation?.maxOutputTokens ?? 0);
   }
 
-  /** Keeps the stream apart from others that lost the same targets. */
+  /** Isolates the stream from others that lost the same targets. */
   isolate(fingerprint: string): void {
     this.isolatedFingerprint = fingerprint;
   }
 
-  /** Asks the best engines for their load, then takes the best of them. */
+  /** Queries the load of the best engines, then chooses the best of them. */
   async findTarget(): Promise<Target | undefined> {
     const candidates = this.shortlist();
     await this.ctx.prober.refreshReports(candidates);
@@ -56,7 +56,7 @@
     return isUsable ? target : undefined;
   }
 
-  /** Where the memory of a run is copied to; undefined if nowhere. */
+  /** Target for a copy of the runner's KV cache; undefined if none. */
   chooseCopyHolder(runner: Target): Target | undefined {
     const {engine} = this.work.service;
     const {isResumable} = this.work.admitted.route;
@@ -75,12 +75,12 @@
     this.excluded.add(target.id);
   }
 
-  /** Lets all targets be tried again. */
+  /** Allows all targets again. */
   clearExcluded(): void {
     this.excluded.clear();
   }
 
-  /** Data centres fail as a whole: none that was just lost is chosen. */
+  /** Avoids a data centre for a while, as data centres fail as a whole. */
   avoidDataCentreOf(lost: Target): void {
     const {dataCentre} = lost.record;
     this.avoidedDataCentres.add(dataCentre);
@@ -115,11 +115,11 @@
 }
 
 /**
- * Whether a target still takes a stream of which it holds a copy: one that
- * began to leave a moment ago does.
+ * Whether a target accepts a stream whose KV cache copy it holds. A target that
+ * began to drain only a moment ago still does.
  *
  * @example
- * if (canGoOnAt(holder)) goOnAt(holder);
+ * if (canResumeAt(holder)) resumeAt(holder);
  */
 export function canResumeAt(holder: Target): boolean {
   const leavingForMs = holder.leavingForMs() ?? 0;
