--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -1,4 +1,4 @@
-/** Plain calls through a direct entry, with targets that fail in each way. */
+/** Plain calls through a direct entry, with each kind of faulty target. */
 import {once} from 'node:events';
 import {Worker} from 'node:worker_threads';
 
@@ -13,14 +13,14 @@
   readonly fault: Fault;
   readonly path: SitePath;
   readonly status: number;
-  /** Times that the call ran, at all targets together. */
+  /** Number of times that the call ran, at all targets together. */
   readonly runs: number;
   readonly isWhole?: boolean;
 }
 
 const {SAFE, UNSAFE} = SitePath;
 
-/** One target has the fault, the other is sound and farther away. */
+/** The target in the entry's data centre is faulty; another one is not. */
 const CASES: readonly Case[] = [
   {fault: Fault.NONE, path: SAFE, status: 200, runs: 1},
   {fault: Fault.NONE, path: UNSAFE, status: 200, runs: 1},
@@ -42,7 +42,7 @@
   {fault: Fault.HANG, path: UNSAFE, status: 504, runs: 1},
 ];
 
-/** Connects, tells so, then sends its request and leaves. */
+/** Connects, reports the connection, then sends its request and disconnects. */
 const DISCONNECTING_CALLER = `
 const {connect} = require('node:net');
 const {parentPort, workerData} = require('node:worker_threads');
@@ -55,7 +55,7 @@
 socket.resume();
 `;
 
-/** Time for which the entry is too busy to read, in milliseconds. */
+/** Time for which the event loop of the entry is blocked, in milliseconds. */
 const BUSY_MS = 250;
 
 function blockEventLoop(ms: number): void {
@@ -78,18 +78,22 @@
 
   afterEach(() => site.stop());
 
-  it.each(CASES)('$path meets $fault: $status', async (row) => {
-    near.fault = row.fault;
-    const reply = await site.call({path: row.path, body: 'order'});
-    expect(reply.status).toBe(row.status);
-    expect(near.runs.length + far.runs.length).toBe(row.runs);
-    expect(reply.isWhole).toBe(true);
-    if (reply.status === 200) expect(reply.text).toMatch(/^answer to try-\d+$/);
-    const isRefusal = reply.status === 503;
-    expect(reply.headers['retry-after'] !== undefined).toBe(isRefusal);
-  });
+  it.each(CASES)(
+    'to $path with target fault $fault responds $status',
+    async (row) => {
+      near.fault = row.fault;
+      const reply = await site.call({path: row.path, body: 'order'});
+      expect(reply.status).toBe(row.status);
+      expect(near.runs.length + far.runs.length).toBe(row.runs);
+      expect(reply.isWhole).toBe(true);
+      if (reply.status === 200)
+        expect(reply.text).toMatch(/^answer to try-\d+$/);
+      const isRefusal = reply.status === 503;
+      expect(reply.headers['retry-after'] !== undefined).toBe(isRefusal);
+    },
+  );
 
-  it('passes an answer without a length on without one', async () => {
+  it('forwards a response without Content-Length as it came', async () => {
     near.fault = Fault.UNFRAMED;
     const reply = await site.call({path: UNSAFE});
     expect(reply.status).toBe(200);
@@ -98,7 +102,7 @@
     expect(reply.text).toBe('answer to try-1');
   });
 
-  it('never gives a late second answer to the next call', async () => {
+  it('never returns a late second response to the next call', async () => {
     far.crash();
     near.fault = Fault.TWICE;
     for (let i = 1; i <= 8; i++) {
@@ -108,7 +112,7 @@
     }
   });
 
-  it('tells the target who calls, and never the key', async () => {
+  it('sends the client account to the target, but not the key', async () => {
     await site.call({
       path: SAFE,
       headers: {Tenant: 'someone', 'Kv-Hold': 'x', 'X-Own': 'kept'},
@@ -123,7 +127,7 @@
   });
 
   it.each(['GET', 'POST'])(
-    'sends no %s on whose caller has hung up',
+    'forwards no %s request of a caller that has disconnected',
     async (method) => {
       const head = [
         `${method} ${UNSAFE} HTTP/1.1`,
@@ -145,7 +149,7 @@
     },
   );
 
-  it('sends nothing to a target that another one has replaced', async () => {
+  it('sends nothing to targets that no longer exist', async () => {
     far.crash();
     near.crash();
     const reply = await site.call({path: UNSAFE});
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -1,4 +1,4 @@
-/** Configuration, keys, registrations and stops of a direct entry. */
+/** Configuration, keys, registrations and shutdown of a direct entry. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
@@ -14,12 +14,12 @@
 import {DirectSite, waitFor} from '../support/direct-site.js';
 
 const REVOKE_MS = 1_500;
-/** The entry's longest wait for a change, and its slack, in milliseconds. */
+/** The entry's longest long poll, plus a margin, in milliseconds. */
 const OUTAGE_DETECTION_MS = 2_500;
 
-/** Registrations that lapsed in an outage have two seconds to come back. */
+/** Registrations that expired in an outage are removed after two seconds. */
 const MIN_REMOVAL_MS = 1_900;
-/** Those two seconds, and the entry's longest pause between two calls. */
+/** Those two seconds, plus the longest backoff between two reads. */
 const MAX_REMOVAL_MS = 2_900;
 
 describe('a direct entry', () => {
@@ -48,11 +48,11 @@
     {name: 'a known key', key: KEY, path: SitePath.SAFE, expected: 200},
     {name: 'no such key', key: 'other', path: SitePath.SAFE, expected: 401},
     {name: 'no such route', key: KEY, path: '/none/1', expected: 404},
-  ])('answers $expected for $name', async ({key, path, expected}) => {
+  ])('responds $expected for $name', async ({key, path, expected}) => {
     expect(await status(key, path)).toBe(expected);
   });
 
-  it('takes a key away at once, and never goes back', async () => {
+  it('revokes a key at once and ignores older configurations', async () => {
     putConfig(7, ['new']);
     await waitFor(() => activeVersion() === 7);
     expect(await status()).toBe(401);
@@ -61,7 +61,7 @@
     expect(activeVersion()).toBe(7);
   });
 
-  it('refuses keys, not routes, once the store is silent for long', async () => {
+  it('refuses all requests once the store has not responded for long', async () => {
     site.store.mode = StoreMode.SILENT;
     expect(await status()).toBe(200);
     await sleep(REVOKE_MS);
@@ -74,7 +74,7 @@
     expect(await status()).toBe(200);
   });
 
-  it('lists anew when the store has dropped its history', async () => {
+  it('lists all objects again when the store has dropped its history', async () => {
     site.store.dropHistory();
     putConfig(9);
     site.store.dropHistory();
@@ -90,7 +90,7 @@
     },
   );
 
-  it('gives a leaving target no more work', async () => {
+  it('sends no more work to a draining target', async () => {
     const options = {service: SiteService.DESK, zone: 'a'};
     const next = await site.addTarget(options);
     const [first] = site.targets;
@@ -102,41 +102,41 @@
   });
 
   it.each([
-    {name: 'a foreign state', spec: {state: 'resting'}},
+    {name: 'an unknown state', spec: {state: 'resting'}},
     {name: 'a missing address', spec: {address: undefined}},
-    {name: 'slots that are no number', spec: {slots: 'many'}},
-    {name: 'an address that is none', spec: {address: 'somewhere'}},
+    {name: 'slots that are not a number', spec: {slots: 'many'}},
+    {name: 'an invalid address', spec: {address: 'somewhere'}},
   ])('ignores a registration with $name', async ({spec}) => {
     const [first] = site.targets;
-    const sound = first!.registration({service: SiteService.DESK, zone: 'a'});
+    const valid = first!.registration({service: SiteService.DESK, zone: 'a'});
     site.store.put({
       kind: Kind.TARGETS,
       name: 'i-forged',
-      spec: {...sound, ...spec},
+      spec: {...valid, ...spec},
     });
     await sleep(50);
     expect(site.entry.usableTargetIds()).toEqual([first!.id]);
   });
 
-  it('holds on to targets whose registrations lapse in an outage', async () => {
+  it('keeps targets for a while whose registrations expire in an outage', async () => {
     const [first] = site.targets;
     site.store.mode = StoreMode.RESET;
     site.store.cutWaiters();
     await sleep(OUTAGE_DETECTION_MS);
     site.store.remove({kind: Kind.TARGETS, name: first!.id});
     site.store.mode = StoreMode.UP;
-    const backMs = performance.now();
+    const recoveredMs = performance.now();
     await waitFor(() => site.entry.isReady());
     let last = await status();
-    while (last === 200 && performance.now() - backMs < MAX_REMOVAL_MS) {
+    while (last === 200 && performance.now() - recoveredMs < MAX_REMOVAL_MS) {
       await sleep(50);
       last = await status();
     }
     expect(last).toBe(503);
-    expect(performance.now() - backMs).toBeGreaterThan(MIN_REMOVAL_MS);
+    expect(performance.now() - recoveredMs).toBeGreaterThan(MIN_REMOVAL_MS);
   });
 
-  it('closes callers’ connections with their answers when it stops', async () => {
+  it('closes callers’ connections after their responses when it stops', async () => {
     const before = await site.call({path: SitePath.SAFE});
     expect(before.headers.connection).not.toBe('close');
     site.entry.startDraining();
--- a/test/direct/endless-responses.test.ts
+++ b/test/direct/endless-responses.test.ts
@@ -1,4 +1,4 @@
-/** Targets that send bytes without end, until the entry closes. */
+/** Targets that send bytes without end until the entry disconnects. */
 import {Agent} from 'node:http';
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
@@ -9,10 +9,10 @@
 
 const {SAFE, UNSAFE, STREAM} = SitePath;
 
-/** Most that an entry may take of one answer, with what is on its way. */
+/** Most bytes sent for one response, including bytes in flight. */
 const MAX_BYTES = 16 * 1024 * 1024;
 
-/** Calls until the target without end has been chosen. */
+/** Most calls until the faulty target has been chosen. */
 const MAX_CALLS = 50;
 
 const EVENTS = 20;
@@ -25,14 +25,14 @@
   Fault.ENDLESS_NOISE,
 ];
 
-/** The target near the entry never ends; another is sound. */
+/** The target in the entry's data centre is faulty; another one is not. */
 const CASES = FAULTS.flatMap((fault) => [
   {fault, path: SAFE, status: 200},
   {fault, path: UNSAFE, status: 502},
   {fault, path: STREAM, status: 200},
 ]);
 
-describe('an answer without end', () => {
+describe('an endless response', () => {
   let site: DirectSite;
 
   beforeEach(async () => {
--- a/test/direct/graceful-shutdown.test.ts
+++ b/test/direct/graceful-shutdown.test.ts
@@ -6,7 +6,7 @@
 
 const GRACE_MS = 8_000;
 
-/** Notes what a stop asks of the listener for callers. */
+/** Records the calls that a shutdown makes to the callers' listener. */
 class RecordingListener {
   openRequests = 0;
   readonly calls: string[] = [];
@@ -28,7 +28,7 @@
   }
 }
 
-describe('PlannedStop', () => {
+describe('GracefulShutdown', () => {
   let clock: ManualClock;
   let listener: RecordingListener;
   let stoppedMs: number | undefined;
@@ -47,20 +47,20 @@
     });
   });
 
-  it('leaves connections alone until the balancer has noticed', () => {
+  it('closes nothing until the load balancer has reacted', () => {
     shutdown.begin();
     clock.advance(2_500);
     expect(listener.calls).toEqual([]);
   });
 
-  it('ends soon after that where nothing is open', () => {
+  it('stops soon after that if no request is open', () => {
     shutdown.begin();
     clock.advance(3_000);
     expect(stoppedMs).toBeLessThan(3_000);
     expect(listener.calls).toEqual(['closeIdle', 'closeListener', 'closeAll']);
   });
 
-  it('waits for open requests, and closes what becomes idle', () => {
+  it('waits for open requests', () => {
     listener.openRequests = 1;
     shutdown.begin();
     clock.advance(6_000);
@@ -70,14 +70,14 @@
     expect(stoppedMs).toBeDefined();
   });
 
-  it('ends before it is killed, whatever is open', () => {
+  it('stops before the grace period ends even with open requests', () => {
     listener.openRequests = 1;
     shutdown.begin();
     clock.advance(GRACE_MS);
     expect(stoppedMs).toBeLessThan(GRACE_MS);
   });
 
-  it('takes a second signal for the first', () => {
+  it('ignores a second signal', () => {
     shutdown.begin();
     clock.advance(1_000);
     shutdown.begin();
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -1,4 +1,4 @@
-/** What an entry tells the others of losses, and what it hears. */
+/** Losses that an entry writes to the store, and those that it reads. */
 import {errAsync, okAsync, ResultAsync} from 'neverthrow';
 import {beforeEach, describe, expect, it} from 'vitest';
 
@@ -19,12 +19,16 @@
 const REQUEST = 'a request';
 const INCARNATION = 'i-1@1000';
 
-const recordsOf = (...lives: string[]): LossNotes => ({
-  losses: lives.map((life) => ({request: REQUEST, life, isSettled: true})),
+const recordsOf = (...incarnations: string[]): LossNotes => ({
+  losses: incarnations.map((incarnation) => ({
+    request: REQUEST,
+    life: incarnation,
+    isSettled: true,
+  })),
   harmless: [],
 });
 
-/** Lists what it is given, when it is told to. */
+/** Returns the given items from pending lists when `respond` is called. */
 class ManualSource implements StateSource<LossNotes> {
   private waiting: Array<(items: Array<SourceItem<LossNotes>>) => void> = [];
 
@@ -86,9 +90,9 @@
     await flushMicrotasks();
   });
 
-  const recordLoss = (life: string) => {
-    ledger.note({request: REQUEST, life});
-    ledger.settle({request: REQUEST, life});
+  const recordLoss = (incarnation: string) => {
+    ledger.note({request: REQUEST, life: incarnation});
+    ledger.settle({request: REQUEST, life: incarnation});
     sync.publish();
   };
 
@@ -97,25 +101,25 @@
     await flushMicrotasks();
   };
 
-  it('keeps what an earlier life of the entry had left', async () => {
+  it('keeps the losses of an earlier incarnation of the entry', async () => {
     recordLoss('i-2@1000');
     await advance();
     await source.respond({[VM]: recordsOf(INCARNATION)});
     await advance();
-    const lives = written.map(({losses}) =>
-      losses.map(({life}) => life).sort(),
+    const incarnations = written.map(({losses}) =>
+      losses.map(({life: incarnation}) => incarnation).sort(),
     );
-    expect(lives).toEqual([[INCARNATION, 'i-2@1000']]);
+    expect(incarnations).toEqual([[INCARNATION, 'i-2@1000']]);
   });
 
-  it('forgets what an entry told whose notes are gone', async () => {
+  it('forgets the losses of entries whose objects were removed', async () => {
     await source.respond({[OTHER]: recordsOf(INCARNATION)});
     expect(ledger.livesOf(REQUEST).size).toBe(1);
     await source.respond({});
     expect(ledger.livesOf(REQUEST).size).toBe(0);
   });
 
-  it('writes nothing where nothing is lost', async () => {
+  it('writes nothing without losses', async () => {
     await source.respond({});
     sync.publish();
     await advance();
--- a/test/direct/poison-unrelated.test.ts
+++ b/test/direct/poison-unrelated.test.ts
@@ -1,4 +1,4 @@
-/** Requests that lose their targets to other causes are still served. */
+/** Requests that lose their targets for other reasons are still served. */
 import {Agent} from 'node:http';
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
@@ -21,23 +21,23 @@
 
 const {STREAM, SAFE} = SitePath;
 
-/** Events that the targets of the site write for a stream. */
+/** Last event that the targets of the site send for a stream. */
 const LAST_EVENT = 'id: 40\n';
 
 const DATA_CENTRES = 3;
 
-/** Time after which a fallen target is there again, in milliseconds. */
+/** Time after which a crashed target restarts, in milliseconds. */
 const RESTART_DELAY_MS = 300;
 
-/** Time in which a breaking target breaks what it is sent. */
+/** Time for which faulty targets break connections, in milliseconds. */
 const FAULT_MS = 600;
 
-/** Callers beside the request that ends its targets. */
+/** Callers that run concurrently with the poison request. */
 const UNRELATED_CALLERS = 6;
 
 const TIMEOUT_MS = 20_000;
 
-describe('an innocent request', () => {
+describe('an unrelated request', () => {
   let site: DirectSite;
 
   beforeEach(async () => {
@@ -70,13 +70,13 @@
     site.targets.filter((t) => t.runs.some((run) => run.body === body));
 
   it.each([{afterEvents: 0}, {afterEvents: 10}])(
-    'ends whole beside one that ends its targets after $afterEvents events',
+    'completes while a poison request crashes targets after $afterEvents events',
     {timeout: TIMEOUT_MS},
     async ({afterEvents}) => {
       let isRunning = true;
       const callRepeatedly = async (i: number) => {
         for (let n = 0; isRunning; n++)
-          await expectServed(i, `innocent ${i} ${n}`);
+          await expectServed(i, `unrelated ${i} ${n}`);
       };
       const runScenario = async () => {
         const caller = CallerBehaviour.WAITS_FOR_RESPONSE;
@@ -89,7 +89,7 @@
   );
 
   it.each([{atMs: 10}, {atMs: 80}])(
-    'ends whole after three data centres fell on it, each $atMs ms after it came there',
+    'completes after three data-centre outages, each $atMs ms after the request was sent there',
     {timeout: TIMEOUT_MS},
     async ({atMs}) => {
       const body = 'unlucky';
@@ -115,7 +115,7 @@
   };
 
   it(
-    'is served again though equal ones were lost with three data centres',
+    'is served again after equal requests were lost in three data-centre outages',
     {timeout: TIMEOUT_MS},
     async () => {
       const body = 'equal';
@@ -134,7 +134,7 @@
   );
 
   it(
-    'is served again after targets that live on broke its connections',
+    'is served again after running targets broke its connections',
     {timeout: TIMEOUT_MS},
     async () => {
       for (const target of site.targets) target.fault = Fault.DROP_RUNS;
@@ -143,27 +143,27 @@
         for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off');
       }
       for (const target of site.targets) target.fault = Fault.NONE;
-      // Targets that broke connections are left alone for a while.
+      // Targets that broke connections are paused for a while.
       await sleep(1_000);
       for (let i = 0; i < ENTRIES; i++) await expectServed(i, 'broken off');
     },
   );
 
   it(
-    'is served again as a call after targets that live on broke its connections',
+    'is served again as a call after running targets broke its connections',
     {timeout: TIMEOUT_MS},
     async () => {
-      const places = ['a', 'b', 'c', 'a'];
+      const zones = ['a', 'b', 'c', 'a'];
       const service = SiteService.DESK;
-      const desks = await site.addTargets(
-        places.map((zone) => ({service, zone})),
+      const targets = await site.addTargets(
+        zones.map((zone) => ({service, zone})),
       );
-      for (const target of desks) target.fault = Fault.CUT;
+      for (const target of targets) target.fault = Fault.CUT;
       const endMs = performance.now() + FAULT_MS;
       while (performance.now() < endMs) {
         for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off', SAFE);
       }
-      for (const target of desks) target.fault = Fault.NONE;
+      for (const target of targets) target.fault = Fault.NONE;
       await sleep(1_000);
       for (let i = 0; i < ENTRIES; i++) {
         expect((await call(i, 'broken off', SAFE)).status).toBe(200);
@@ -172,7 +172,7 @@
   );
 
   it(
-    'is not taken for one that ends targets',
+    'is not mistaken for a poison request',
     {timeout: TIMEOUT_MS},
     async () => {
       await runPoisonScenario({
--- a/test/direct/poison.test.ts
+++ b/test/direct/poison.test.ts
@@ -1,4 +1,4 @@
-/** Requests that end the targets that run them, at several entries. */
+/** Poison requests, which crash their targets, sent to several entries. */
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {SitePath} from '../../stand-ins/site/config.js';
@@ -16,24 +16,27 @@
   startPoisonSite,
 } from '../support/poison-scenario.js';
 
-/** Losses that name a request; one more where others share them all. */
+/**
+ * Losses after which a request is quarantined; one more is needed if another
+ * request was lost with all the same targets.
+ */
 const LOSSES_TO_QUARANTINE = 3;
 const SHARED_LOSS_MARGIN = 1;
 
-/** Time from the third loss until all entries know, in milliseconds. */
+/** Time from the third loss until all entries have read it, in milliseconds. */
 const PROPAGATION_MS = 700;
 
 const TEST_TIMEOUT_MS = 20_000;
 
-/** What befalls the site meanwhile. */
+/** Disturbance of the site during the scenario. */
 enum Disturbance {
-  NONE = 'nothing else',
-  STORE_UNAVAILABLE = 'the store away',
-  STORE_SLOW = 'the store slow',
-  STORE_REJECTS_ONE_ENTRY = 'one entry turned away by the store',
-  ENTRY_RESTARTS = 'entries that restart',
-  POWER_LOSS = 'all entries losing power',
-  DATA_CENTRE_OUTAGE = 'a data centre falling',
+  NONE = 'no disturbance',
+  STORE_UNAVAILABLE = 'the store unavailable',
+  STORE_SLOW = 'a slow store',
+  STORE_REJECTS_ONE_ENTRY = 'one entry rejected by the store',
+  ENTRY_RESTARTS = 'restarts of entries',
+  POWER_LOSS = 'a power loss of all entries',
+  DATA_CENTRE_OUTAGE = 'a data-centre outage',
 }
 
 interface Row {
@@ -45,36 +48,31 @@
 }
 
 const {STREAM, SAFE, UNSAFE} = SitePath;
-const {
-  WAITS_FOR_RESPONSE: WAITS,
-  HANGS_UP,
-  TIMES_OUT,
-  ALL_ENTRIES: AT_ONCE,
-} = CallerBehaviour;
+const {WAITS_FOR_RESPONSE, HANGS_UP, TIMES_OUT, ALL_ENTRIES} = CallerBehaviour;
 const UNDISTURBED = {
   disturbance: Disturbance.NONE,
   maxLosses: LOSSES_TO_QUARANTINE + SHARED_LOSS_MARGIN,
 };
 const STREAM_HANGS = {path: STREAM, afterEvents: 0, caller: HANGS_UP};
 
-/** Each entry may have one under way when the third is lost. */
+/** Each entry may have one attempt in progress at the third loss. */
 const CONCURRENT = {...UNDISTURBED, maxLosses: LOSSES_TO_QUARANTINE + ENTRIES};
 
-/** Entries that cannot hear of each other each count for themselves. */
+/** Entries that cannot share losses count separately. */
 const MAX_UNSHARED_LOSSES = LOSSES_TO_QUARANTINE * ENTRIES;
 
 const ROWS: readonly Row[] = [
-  ...[WAITS, HANGS_UP, TIMES_OUT].flatMap((caller) => [
+  ...[WAITS_FOR_RESPONSE, HANGS_UP, TIMES_OUT].flatMap((caller) => [
     {path: STREAM, afterEvents: 0, caller, ...UNDISTURBED},
     {path: STREAM, afterEvents: 2, caller, ...UNDISTURBED},
     {path: STREAM, afterEvents: 20, caller, ...UNDISTURBED},
     {path: SAFE, afterEvents: 0, caller, ...UNDISTURBED},
     {path: UNSAFE, afterEvents: 0, caller, ...UNDISTURBED},
   ]),
-  {path: STREAM, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
-  {path: STREAM, afterEvents: 20, caller: AT_ONCE, ...CONCURRENT},
-  {path: SAFE, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
-  {path: UNSAFE, afterEvents: 0, caller: AT_ONCE, ...CONCURRENT},
+  {path: STREAM, afterEvents: 0, caller: ALL_ENTRIES, ...CONCURRENT},
+  {path: STREAM, afterEvents: 20, caller: ALL_ENTRIES, ...CONCURRENT},
+  {path: SAFE, afterEvents: 0, caller: ALL_ENTRIES, ...CONCURRENT},
+  {path: UNSAFE, afterEvents: 0, caller: ALL_ENTRIES, ...CONCURRENT},
   {
     ...STREAM_HANGS,
     disturbance: Disturbance.STORE_UNAVAILABLE,
@@ -100,15 +98,15 @@
   {
     ...STREAM_HANGS,
     ...UNDISTURBED,
-    caller: WAITS,
+    caller: WAITS_FOR_RESPONSE,
     disturbance: Disturbance.DATA_CENTRE_OUTAGE,
   },
 ];
 
-/** Visit of the play in which its trouble begins. */
+/** Round of the scenario in which the disturbance begins. */
 const DISTURBANCE_ROUND = 1;
 
-/** Visit of the play in which the store is back. */
+/** Round of the scenario in which the store is available again. */
 const STORE_RECOVERY_ROUND = 9;
 
 async function disturb(
@@ -155,13 +153,13 @@
   }
 }
 
-describe('a request that ends its targets', () => {
+describe('a poison request', () => {
   let site: DirectSite;
 
   afterEach(() => site.stop());
 
   it.each(ROWS)(
-    'is kept from targets: $path after $afterEvents events, its caller $caller, with $disturbance',
+    'is quarantined: $path, crash after $afterEvents events, caller $caller, $disturbance',
     {timeout: TEST_TIMEOUT_MS},
     async (row) => {
       const {path, caller, afterEvents, disturbance, maxLosses} = row;
@@ -178,10 +176,10 @@
       const late = requestsAfterThirdCrash(site, PROPAGATION_MS);
       if (isStoreAvailable) expect({losses, late}).toEqual({losses, late: 0});
       expect(losses).toBeLessThanOrEqual(maxLosses);
-      // What is known by now holds at each entry, whatever came before.
+      // Once losses are shared, every entry refuses the request.
       const before = crashesOf(site).length;
       site.store.mode = StoreMode.UP;
-      for (const door of site.storeEndpoints) door.mode = StoreMode.UP;
+      for (const endpoint of site.storeEndpoints) endpoint.mode = StoreMode.UP;
       await sleep(PROPAGATION_MS * 2);
       for (let entry = 0; entry < ENTRIES; entry++) {
         const reply = await site.call({path, body: CRASH_MARK, entry});
@@ -192,7 +190,7 @@
   );
 
   it(
-    'is told from another that comes at the same time',
+    'is diagnosed separately from another one sent at the same time',
     {timeout: TEST_TIMEOUT_MS},
     async () => {
       const bodies = [`${CRASH_MARK} one`, `${CRASH_MARK} two`];
--- a/test/direct/service-retry-budgets.test.ts
+++ b/test/direct/service-retry-budgets.test.ts
@@ -1,4 +1,4 @@
-/** Plays many entries on the budgets and counts what reaches the targets. */
+/** Simulates many entries and counts the retries that the budgets allow. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../src/core/clock/index.js';
@@ -26,9 +26,9 @@
   {entries: 5, requests: 130, reason: RetryReason.CALL_LOST},
 ];
 
-describe('RepeatBudgets', () => {
+describe('ServiceRetryBudgets', () => {
   it.each(CASES)(
-    '$entries entries with $requests requests each keep to the bound: $reason',
+    'limits the retries of $entries entries with $requests requests each: $reason',
     ({entries, requests, reason}) => {
       const clock = new ManualClock();
       let retries = 0;
@@ -48,7 +48,7 @@
     },
   );
 
-  it('does not let rejections spend what losses need', () => {
+  it('keeps the budgets for rejections and losses separate', () => {
     const clock = new ManualClock();
     const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     while (
@@ -59,8 +59,8 @@
     ).toBe(true);
   });
 
-  it('lets all runs go on that one data centre takes with it', () => {
-    // One entry of many has more than its share of the runs there.
+  it('allows a retry of every generation lost with one data centre', () => {
+    // This entry has more than its share of the generations there.
     const clock = new ManualClock();
     const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     for (let i = 0; i < 8; i++) budgets.recordFirstAttempt('s');
@@ -71,8 +71,8 @@
     expect(runs).not.toContain(false);
   });
 
-  it('lets requests go on that meet many replaced targets', () => {
-    // After an outage of the store each request meets a target of before.
+  it('allows retries of requests that were sent to replaced targets', () => {
+    // After a store outage each request may be sent to an outdated target.
     const clock = new ManualClock();
     const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     for (let i = 0; i < 10; i++) budgets.recordFirstAttempt('s');
@@ -86,7 +86,7 @@
     expect(requests).not.toContain(false);
   });
 
-  it('counts nothing that never reached a target', () => {
+  it('does not count requests that never reached a target', () => {
     const clock = new ManualClock();
     const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     for (let i = 0; i < 1_000; i++) {
--- a/test/direct/settings-watcher.test.ts
+++ b/test/direct/settings-watcher.test.ts
@@ -10,7 +10,7 @@
 import type {DirectSettings} from '../../src/core/settings/direct-settings.js';
 import {SettingsWatcher} from '../../src/direct/settings-watcher.js';
 
-describe('SettingsWatch', () => {
+describe('SettingsWatcher', () => {
   let folder: string;
   let path: string;
   let applied: string[];
@@ -37,9 +37,9 @@
   it.each([
     {name: 'the same text', texts: ['one'], expected: []},
     {name: 'another text', texts: ['two'], expected: ['two']},
-    {name: 'a wrong file', texts: ['bad'], expected: []},
-    {name: 'a mended file', texts: ['bad', 'two'], expected: ['two']},
-  ])('takes $expected from $name', async ({texts, expected}) => {
+    {name: 'an invalid file', texts: ['bad'], expected: []},
+    {name: 'a corrected file', texts: ['bad', 'two'], expected: ['two']},
+  ])('applies $expected from $name', async ({texts, expected}) => {
     for (const text of texts) {
       writeFileSync(path, text);
       await watcher.check();
@@ -47,7 +47,7 @@
     expect(applied).toEqual(expected);
   });
 
-  it('keeps what is in force while there is no file', async () => {
+  it('keeps the active settings while the file is missing', async () => {
     rmSync(path);
     await watcher.check();
     expect(applied).toEqual([]);
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -1,4 +1,4 @@
-/** Event streams through a direct entry, whose targets are lost on the way. */
+/** Event streams through a direct entry, whose targets are lost midway. */
 import {Agent} from 'node:http';
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
@@ -10,7 +10,7 @@
 import {Fault} from '../../stand-ins/site/target-fault.js';
 import {DirectSite, waitFor} from '../support/direct-site.js';
 
-/** Long enough for a change of the targets to be read in between. */
+/** Long enough for a change of the targets to be read during the stream. */
 const EVENTS = 100;
 const ZONES = ['a', 'a', 'b', 'b', 'c'];
 const PACE = {events: EVENTS, firstMs: 30, gapMs: 16};
@@ -21,10 +21,10 @@
 /** How a target is lost. */
 enum Loss {
   CRASH = 'crash',
-  UNREACHABLE = 'dark',
+  UNREACHABLE = 'unreachable',
 }
 
-/** What the loss takes with it. */
+/** Which targets are lost. */
 enum Extent {
   RUNNER = 'runner',
   DATA_CENTRE = 'data centre',
@@ -57,7 +57,7 @@
     else target.isDark = true;
   }
 
-  /** Each target that runs a request with this body is lost. */
+  /** Each target that runs a request with this body crashes. */
   function crashTargetsOn(mark: string): void {
     for (const target of site.targets) {
       target.crashOn = {mark, afterEvents: 0};
@@ -81,34 +81,37 @@
       (_, i) => `id: ${i + 1}\ndata: piece ${i + 1} of ${id}\n\n`,
     ).join('');
 
-  it('passes on whole, with a copy in another data centre', async () => {
+  it('is forwarded in full, with a copy in another data centre', async () => {
     const reply = await site.call({path: SitePath.STREAM});
     expect(reply.text).toBe(expected('try-1'));
     expect(zoneOf(holder())).not.toBe(zoneOf(runner()));
   });
 
-  it.each(CASES)('goes on whole after $loss of $extent', async (row) => {
-    let isLost = false;
-    const reply = await site.call({
-      path: SitePath.STREAM,
-      onData: (text) => {
-        if (isLost || !text.includes('id: 20\n')) return;
-        isLost = true;
-        loseExtent(row.extent, row.loss);
-      },
-    });
-    expect(isLost).toBe(true);
-    expect(reply.status).toBe(200);
-    expect(reply.isWhole).toBe(true);
-    expect(reply.text).toBe(expected('try-1'));
-    const recomputed = site.targets
-      .flatMap((target) => target.runs)
-      .filter((run) => run.isReadAnew).length;
-    const hasCopy = row.extent !== Extent.RUNNER_AND_COPY;
-    expect(recomputed).toBe(hasCopy ? 1 : 2);
-  });
+  it.each(CASES)(
+    'is resumed and completed after loss by $loss of $extent',
+    async (row) => {
+      let isLost = false;
+      const reply = await site.call({
+        path: SitePath.STREAM,
+        onData: (text) => {
+          if (isLost || !text.includes('id: 20\n')) return;
+          isLost = true;
+          loseExtent(row.extent, row.loss);
+        },
+      });
+      expect(isLost).toBe(true);
+      expect(reply.status).toBe(200);
+      expect(reply.isWhole).toBe(true);
+      expect(reply.text).toBe(expected('try-1'));
+      const recomputed = site.targets
+        .flatMap((target) => target.runs)
+        .filter((run) => run.isReadAnew).length;
+      const hasCopy = row.extent !== Extent.RUNNER_AND_COPY;
+      expect(recomputed).toBe(hasCopy ? 1 : 2);
+    },
+  );
 
-  it('goes on a class more urgent than it began', async () => {
+  it('is resumed with a priority class more urgent than at first', async () => {
     let isLost = false;
     await site.call({
       path: SitePath.STREAM,
@@ -124,7 +127,7 @@
     expect(classes.sort()).toEqual(['0', '1']);
   });
 
-  it('has another copy made when the holder of the first is gone', async () => {
+  it('is copied again when the holder of the first copy is lost', async () => {
     let first: StandInTarget | undefined;
     let isLost = false;
     const reply = await site.call({
@@ -141,7 +144,7 @@
         );
         if (isLost || !hasAnother) return;
         isLost = true;
-        // The entry has to hear of the copy first.
+        // The entry must receive the response about the copy first.
         setTimeout(() => runner().crash(), 100);
       },
     });
@@ -151,7 +154,7 @@
     expect(runs.filter((run) => run.isReadAnew)).toHaveLength(1);
   });
 
-  it('frees a copy that was not needed', async () => {
+  it('has its copy freed if the copy was not needed', async () => {
     let first: StandInTarget | undefined;
     await site.call({
       path: SitePath.STREAM,
@@ -167,7 +170,7 @@
     expect(freed()).toEqual(['copy-of-try-1']);
   });
 
-  it('goes on after the last event that the caller has', async () => {
+  it('resumes after the last event that the caller received', async () => {
     const reply = await site.call({
       path: SitePath.STREAM,
       headers: {'Last-Event-Id': '98'},
@@ -176,7 +179,7 @@
     expect(reply.text).toContain(`id: ${EVENTS}\n`);
   });
 
-  it('reaches three engines if it crashes them, and none when it comes again', async () => {
+  it('reaches three engines if it crashes them, and none when retried', async () => {
     crashTargetsOn('poison');
     const runs = () => site.targets.flatMap((target) => target.runs).length;
     const first = await site.call({path: SitePath.STREAM, body: 'poison'});
@@ -189,7 +192,7 @@
     expect(other.isWhole).toBe(true);
   });
 
-  it('sends nothing to engines that others have replaced', async () => {
+  it('is not sent to engines that were replaced by others', async () => {
     const [only, ...replaced] = site.targets;
     for (const target of replaced) target.bornMs++;
     for (let i = 0; i < 5; i++) {
@@ -199,14 +202,14 @@
     expect(only!.runs).toHaveLength(5);
   });
 
-  it('tells the other entries of a request that crashes engines', async () => {
+  it('is recorded in the store if it crashes engines', async () => {
     crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
-    const culprits = () => site.store.namesOf(Kind.QUARANTINE);
-    await waitFor(() => culprits().length === 1);
+    const quarantined = () => site.store.namesOf(Kind.QUARANTINE);
+    await waitFor(() => quarantined().length === 1);
   });
 
-  it('refuses a request that crashed engines at another entry', async () => {
+  it('is refused if it crashed engines at another entry', async () => {
     crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
     await waitFor(() => site.store.namesOf(Kind.QUARANTINE).length === 1);
@@ -234,7 +237,7 @@
     }
   });
 
-  it('does not hold equal requests for poison that one engine took with it', async () => {
+  it('is not poison if many equal requests were lost with one engine', async () => {
     const [first] = site.targets;
     for (const target of site.targets.slice(1)) target.fault = Fault.REJECT;
     const calls = Array.from({length: POISON_LOSSES}, () =>
@@ -250,7 +253,7 @@
     expect(again.status).toBe(200);
   });
 
-  it('ends the work at the target when its caller goes', async () => {
+  it('is cancelled at the target when its caller disconnects', async () => {
     const call = site.call({
       path: SitePath.STREAM,
       onData: () => site.agent.destroy(),
--- a/test/support/direct-entry.ts
+++ b/test/support/direct-entry.ts
@@ -1,4 +1,4 @@
-/** One direct entry in this process, with a caller's connection to it. */
+/** Runs a direct entry in the test process, with an agent for its callers. */
 import {Agent} from 'node:http';
 
 import {CallerServer} from '../../platform/caller-server.js';
@@ -11,7 +11,7 @@
 
 const SEED = 20261204;
 
-/** What an entry is started with. */
+/** Options of a test entry. */
 export interface DirectEntryOptions {
   readonly vm: string;
   readonly storeUrl: string;
@@ -68,7 +68,7 @@
     return entry;
   }
 
-  /** Ends as a killed process does: its connections break, nothing is said. */
+  /** Simulates a killed process: all connections break without a response. */
   stop(): void {
     this.process.stop();
     this.agent.destroy();
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -17,27 +17,27 @@
 
 const DEADLINE_MS = 4_000;
 
-/** A target of the site. */
+/** Options of a target. */
 export interface TargetOptions {
   readonly service: SiteService;
   readonly zone: string;
   readonly pace?: StreamPace;
 }
 
-/** What a site is started with. */
+/** Options of a site. */
 export interface SiteOptions {
   readonly revokeMs?: number;
-  /** Entries before the same targets; one where it is left out. */
+  /** Number of entries, all with the same targets; 1 by default. */
   readonly entries?: number;
   readonly logger?: Logger;
 }
 
-/** The whole site in this process. */
+/** Entries, store and targets of a site, all in the test process. */
 export class DirectSite {
   readonly store: StandInStore;
   readonly targets: StandInTarget[] = [];
   readonly entries: DirectEntry[] = [];
-  /** The address of the store for each entry. */
+  /** A store address for each entry, which can fail independently. */
   readonly storeEndpoints: StoreDoor[] = [];
   private readonly targetOptions = new Map<StandInTarget, TargetOptions>();
   private readonly copyNetwork = new TargetWorld();
@@ -84,7 +84,7 @@
     return this.entries[0]!.port;
   }
 
-  /** Starts an entry, also in place of one that was killed. */
+  /** Starts an entry, or restarts one that was killed. */
   async startEntry(i: number): Promise<void> {
     const {revokeMs, logger} = this.options;
     this.entries[i] = await DirectEntry.start({
@@ -95,13 +95,13 @@
     });
   }
 
-  /** Starts a target and waits until the entry knows it. */
+  /** Starts a target and waits until every entry may use it. */
   async addTarget(options: TargetOptions): Promise<StandInTarget> {
     const [target] = await this.addTargets([options]);
     return target!;
   }
 
-  /** Starts targets and waits until the entry knows them all. */
+  /** Starts targets and waits until every entry may use all of them. */
   async addTargets(options: readonly TargetOptions[]) {
     const added: StandInTarget[] = [];
     for (const {service, zone, pace} of options) {
@@ -127,7 +127,7 @@
     return added;
   }
 
-  /** Has a target start again as another life, and register itself. */
+  /** Restarts a target as a new incarnation and registers it. */
   async restartTarget(target: StandInTarget): Promise<void> {
     await target.restart();
     this.register(target, this.targetOptions.get(target)!);
@@ -145,7 +145,7 @@
     });
   }
 
-  /** Sends a request and reads what comes until the connection's end. */
+  /** Sends a request and reads the response to its end. */
   call(options: {
     path: SitePath | string;
     method?: string;
@@ -153,12 +153,12 @@
     headers?: Record<string, string>;
     body?: string;
     onData?: (text: string) => void;
-    /** Holds another connection than the usual one. */
+    /** Uses other connections than those of the entry's agent. */
     agent?: Agent;
-    /** The entry that is called; the first where it is left out. */
+    /** Index of the entry that is called; 0 by default. */
     entry?: number;
     deadlineMs?: number;
-    /** Has the caller hang up. */
+    /** Makes the caller disconnect. */
     signal?: AbortSignal;
   }): Promise<Reply> {
     const {key = KEY, entry = 0, ...call} = options;
@@ -187,5 +187,5 @@
     if (condition()) return;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  throw new Error('the condition did not come to hold');
+  throw new Error('condition not met within 2 s');
 }
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -1,4 +1,4 @@
-/** Plays a request that ends its targets against a site, and its callers. */
+/** Sends poison requests, which crash their targets, to a site in rounds. */
 import {Agent} from 'node:http';
 
 import type {Logger} from '../../src/core/logs/index.js';
@@ -7,47 +7,47 @@
 import type {Reply} from '../../tools/lab/site-caller.js';
 import {DirectSite} from './direct-site.js';
 
-/** Requests with this mark end the targets that run them. */
+/** Requests with this text in the body crash the targets that run them. */
 export const CRASH_MARK = 'ends-its-target';
 
-/** Entries of the site, all before the same targets. */
+/** Number of entries of the site, all with the same targets. */
 export const ENTRIES = 3;
 
-/** Time after which an ended target is there again, in milliseconds. */
+/** Time after which a crashed target restarts, in milliseconds. */
 const RESTART_DELAY_MS = 400;
 
-/** Time between two visits of a caller, in milliseconds. */
+/** Time between two rounds of a caller, in milliseconds. */
 const ROUND_PAUSE_MS = 60;
 
-/** Time from a loss until its caller hangs up, in milliseconds. */
+/** Time from a crash until the caller disconnects, in milliseconds. */
 const HANG_UP_DELAY_MS = 15;
 
-/** Time that callers who run out of it have after a loss, in milliseconds. */
+/** Time from the crash to the deadline of callers that time out, in ms. */
 const SHORT_DEADLINE_MARGIN_MS = 80;
 
 const ROUNDS = 12;
 
-/** Events that a target writes for a whole stream. */
+/** Number of events of a complete stream. */
 export const EVENTS = 40;
 
 const PACE = {events: EVENTS, firstMs: 30, gapMs: 5};
 
-/** Time that an event takes where timers are late, in milliseconds. */
+/** Longest expected time between two events, as timers may be late, in ms. */
 const MAX_EVENT_MS = 6;
 
-/** Targets in each of the site's data centres. */
+/** Number of targets in each of the site's data centres. */
 export const TARGETS_PER_DATA_CENTRE = 3;
 
 const ZONES = ['a', 'a', 'a', 'b', 'b', 'b', 'c', 'c', 'c'];
 
-/** How a caller goes on after each loss. */
+/** What a caller does after each crash. */
 export enum CallerBehaviour {
-  /** Waits for an answer, then comes again at another entry. */
+  /** Waits for the response, then retries at another entry. */
   WAITS_FOR_RESPONSE = 'waits',
   HANGS_UP = 'hangs up',
-  TIMES_OUT = 'runs out of time',
-  /** Comes at all entries at once, again and again. */
-  ALL_ENTRIES = 'comes at all at once',
+  TIMES_OUT = 'times out',
+  /** Calls all entries at the same time in every round. */
+  ALL_ENTRIES = 'calls all entries at once',
 }
 
 /**
@@ -68,24 +68,25 @@
   return site;
 }
 
-/** What a play is made of. */
+/** Options of a scenario. */
 export interface PoisonScenarioOptions {
   readonly site: DirectSite;
   readonly path: SitePath;
   readonly caller: CallerBehaviour;
-  /** Bodies that are sent, each by a caller of its own. */
+  /** Request bodies, each sent by a separate caller. */
   readonly bodies?: readonly string[];
-  /** Events that a target writes before it is ended. */
+  /** Events that a target sends before it crashes. */
   readonly afterEvents?: number;
-  /** Done before each visit, numbered from 0. */
-  readonly beforeRound?: (visit: number) => Promise<void> | void;
+  /** Called before each round; rounds are numbered from 0. */
+  readonly beforeRound?: (round: number) => Promise<void> | void;
 }
 
 /**
- * Has callers come again and again; targets that are ended come back.
+ * Sends the requests in several rounds; crashed targets restart after a delay.
  *
  * @example
- * await playPoison({site, path, caller: Caller.HANGS_UP});
+ * const caller = CallerBehaviour.HANGS_UP;
+ * await runPoisonScenario({site, path, caller});
  */
 export async function runPoisonScenario(
   options: PoisonScenarioOptions,
@@ -110,7 +111,7 @@
   return site.targets.slice(first, first + TARGETS_PER_DATA_CENTRE);
 }
 
-/** All losses under requests with a body, in order. */
+/** All crashes caused by requests with a body, in order of time. */
 export function crashesOf(site: DirectSite, body = CRASH_MARK): CrashRecord[] {
   return site.targets
     .flatMap((target) => target.crashes)
@@ -118,7 +119,7 @@
     .sort((a, b) => a.atMs - b.atMs);
 }
 
-/** Requests that reached targets later than `slackMs` after the third loss. */
+/** Number of requests that reached targets `slackMs` after the third crash. */
 export function requestsAfterThirdCrash(
   site: DirectSite,
   slackMs: number,
@@ -174,7 +175,7 @@
       ...(deadlineMs === undefined ? {} : {deadlineMs}),
     });
   } catch {
-    // The caller left, or its entry is gone.
+    // The caller disconnected, or its entry was stopped.
     return undefined;
   } finally {
     clearInterval(watch);
