--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -116,8 +116,8 @@
     return !this.mayBePoison() || this.maySend();
   }
 
-  private toLoss({target, startedMs: beganMs}: TargetAttempt): RequestLoss {
-    return {...this.requestFields(), target, startedMs: beganMs};
+  private toLoss({target, startedMs}: TargetAttempt): RequestLoss {
+    return {...this.requestFields(), target, startedMs};
   }
 
   private requestFields() {
--- a/src/direct/service-retry-budgets.ts
+++ b/src/direct/service-retry-budgets.ts
@@ -64,7 +64,7 @@
     /** Whether the lost attempt had produced output. */
     hadOutput?: boolean;
   }): boolean {
-    const {service, reason, hadOutput: hadWritten = false} = options;
+    const {service, reason, hadOutput: hadOutput = false} = options;
     const [losses, noOutput, rejections] = this.budgetsOf(service);
     switch (reason) {
       case RetryReason.NOT_SENT:
@@ -73,7 +73,7 @@
       case RetryReason.TARGET_REFUSED:
         return rejections.tryRetry();
       default:
-        if (!hadWritten && !noOutput.tryRetry()) return false;
+        if (!hadOutput && !noOutput.tryRetry()) return false;
         return losses.tryRetry();
     }
   }
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -170,7 +170,7 @@
       listener: {
         onEvent: (head, event) => this.onEvent(head, event),
         onEnd: (head) => this.finish(head),
-        onOtherResponse: (head, body) => this.onOtherAnswer(head, body),
+        onOtherResponse: (head, body) => this.onOtherResponse(head, body),
         onLost: (loss) => this.onLost(loss),
       },
     });
@@ -197,7 +197,7 @@
     this.delivery.finish(head);
   }
 
-  private onOtherAnswer(head: AnswerHead, body: Uint8Array): void {
+  private onOtherResponse(head: AnswerHead, body: Uint8Array): void {
     const isFailure = head.status >= MIN_FAILURE_STATUS;
     if (isFailure || this.delivery.isOpen) {
       const reason = RetryReason.TARGET_REFUSED;
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -21,7 +21,7 @@
 const {SAFE, UNSAFE} = SitePath;
 
 /** The target in the entry's data centre is faulty; another one is not. */
-const CASES: readonly Case[] = [
+const TARGET_FAULT_CASES: readonly Case[] = [
   {fault: Fault.NONE, path: SAFE, status: 200, runs: 1},
   {fault: Fault.NONE, path: UNSAFE, status: 200, runs: 1},
   {fault: Fault.ERROR, path: SAFE, status: 200, runs: 2},
@@ -78,7 +78,7 @@
 
   afterEach(() => site.stop());
 
-  it.each(CASES)(
+  it.each(TARGET_FAULT_CASES)(
     'to $path with target fault $fault responds $status',
     async (row) => {
       near.fault = row.fault;
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -57,7 +57,7 @@
   for (let i = 0; i < 30; i++) await Promise.resolve();
 }
 
-describe('LossShare', () => {
+describe('LossSync', () => {
   let clock: ManualClock;
   let ledger: LossLedger;
   let source: ManualSource;
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -137,9 +137,9 @@
   options: PoisonScenarioOptions,
   body: string,
 ): Promise<void> {
-  const {caller, beforeRound: beforeVisit} = options;
+  const {caller, beforeRound} = options;
   for (let round = 0; round < ROUNDS; round++) {
-    await beforeVisit?.(round);
+    await beforeRound?.(round);
     const entries =
       caller === CallerBehaviour.ALL_ENTRIES
         ? Array.from({length: ENTRIES}, (_, i) => i)
