--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -1,4 +1,4 @@
-/** Shares requests that crash engines with the other entries. */
+/** Shares quarantined requests with the other entries through the store. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import type {StateWriter} from '../../core/edges/state-writer.js';
 import type {
@@ -16,10 +16,10 @@
 } from '../consts.js';
 import {StoreOutageLog} from '../store-outage-log.js';
 
-/** An entry that only heard of a culprit waits this much longer. */
+/** Factor for the expiry at entries that only read the quarantine. */
 const REMOTE_EXPIRY_FACTOR = 2;
 
-/** What the entries' common quarantine is made from. */
+/** Dependencies of the synchronization. */
 export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
   readonly records: StateWriter<QuarantineRecord>;
@@ -30,15 +30,15 @@
 }
 
 /**
- * Keeps this entry's quarantine and the notes in the store the same. The
- * entry that found a culprit takes its note away after a time.
+ * Keeps this entry's quarantine and the records in the store in sync. The
+ * entry that quarantined a request removes its record after the expiry time.
  *
  * @example
- * new QuarantineShare(options).start();
+ * new QuarantineSync(options).start();
  */
 export class QuarantineSync {
   private readonly follower: Follower<QuarantineRecord>;
-  /** Fingerprints that the store is known to hold. */
+  /** Fingerprints with a record in the store, as last read or written. */
   private readonly stored = new Set<string>();
   private readonly timers = new Set<TimerHandle>();
   private isStopped = false;
@@ -62,15 +62,15 @@
 
   start(): void {
     const {quarantine, logger} = this.options;
-    quarantine.subscribe((fingerprint, culprit) => {
+    quarantine.subscribe((fingerprint, record) => {
       const isFromStore = this.stored.has(fingerprint);
-      logger.warn('request quarantined', {
+      logger.warn('request quarantined after target losses', {
         fingerprint,
-        clientAccount: culprit.clientAccount,
-        engines: culprit.crashes.join(','),
+        clientAccount: record.clientAccount,
+        engines: record.crashes.join(','),
         isHeard: isFromStore,
       });
-      if (!isFromStore) void this.store(fingerprint, culprit);
+      if (!isFromStore) void this.store(fingerprint, record);
     });
     this.follower.start();
   }
@@ -101,13 +101,12 @@
   }
 
   private addStored(
-    fingerprint: string,
-    culprit: QuarantineRecord | undefined,
+    fingerprint: string, record: QuarantineRecord | undefined,
   ): void {
-    if (culprit === undefined || this.stored.has(fingerprint)) return;
+    if (record === undefined || this.stored.has(fingerprint)) return;
     this.stored.add(fingerprint);
-    this.options.quarantine.add({fingerprint, record: culprit});
-    // Whoever left the note may be gone when its time is over.
+    this.options.quarantine.add({fingerprint, record: culprit: record});
+    // The entry that wrote the record may have stopped before the expiry.
     void this.removeAfter(fingerprint, QUARANTINE_MS * REMOTE_EXPIRY_FACTOR);
   }
 
@@ -117,18 +116,17 @@
   }
 
   private async store(
-    fingerprint: string,
-    culprit: QuarantineRecord,
+    fingerprint: string, record: QuarantineRecord,
   ): Promise<void> {
     const {records} = this.options;
     await this.retryUntilWritten(() =>
-      records.createIfAbsent(fingerprint, culprit),
+      records.createIfAbsent(fingerprint, record),
     );
     this.stored.add(fingerprint);
     await this.removeAfter(fingerprint, QUARANTINE_MS);
   }
 
-  /** Takes a note away after a time; its deletion releases the request. */
+  /** Removes a record after a delay; its deletion releases the request. */
   private async removeAfter(
     fingerprint: string,
     delayMs: number,
@@ -140,7 +138,7 @@
     );
   }
 
-  /** Writes until the store takes it. */
+  /** Retries a write until it succeeds or the process stops. */
   private async retryUntilWritten(
     write: () => ReturnType<StateWriter<QuarantineRecord>['remove']>,
   ): Promise<void> {
@@ -149,12 +147,15 @@
       const written = await write();
       if (written.isOk()) return;
       const {kind, detail} = written.error;
-      logger.warn('quarantine not written', {kind, detail});
+      logger.warn('quarantine change not written to store, will retry', {
+        kind,
+        detail,
+      });
       await this.sleep(STORE_WRITE_RETRY_MS);
     }
   }
 
-  /** Ends early, and for good, when the process stops. */
+  /** Never resolves if the process stops first, as the timer is cancelled. */
   private sleep(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.options.clock.schedule({
