--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -1,4 +1,4 @@
-/** The entry role: takes callers' requests and sees them through. */
+/** The entry role: serves callers' requests through agents. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {Admission} from '../core/admission/index.js';
@@ -44,7 +44,7 @@
 import {PlainService} from './calls/plain-service.js';
 import {VmDirectory} from './links/vm-directory.js';
 
-/** What an entry is built of. */
+/** Dependencies of an entry. */
 export interface EntryOptions {
   readonly settings: DaemonSettings;
   readonly clock: Clock;
@@ -53,13 +53,13 @@
   readonly logger: Logger;
   readonly store: ObjectStore;
   readonly vmList: VmList;
-  /** Answers that have not wholly left for their callers. */
+  /** Counts responses that are not fully sent to their callers. */
   readonly countPendingResponses: () => number;
-  /** Called once a drain has ended and all work is done. */
+  /** Called when a drain has ended and all work is done. */
   readonly onDrained: () => void;
 }
 
-/** Ties the entry's controllers to its board. */
+/** Creates the controllers of an entry and connects them to its board. */
 export class EntryProcess implements OperatorHandler {
   private readonly board = new EntryBoard();
   private readonly incarnation: string;
@@ -71,9 +71,9 @@
   private readonly links: AgentLinks;
   private readonly loadController: LoadController;
   private readonly generations: GenerationService;
-  private readonly gate: RequestDispatcher;
+  private readonly dispatcher: RequestDispatcher;
   private readonly config: ConfigController;
-  private readonly quarantineWatch: QuarantineSync;
+  private readonly quarantineSync: QuarantineSync;
   private readonly drainer: DrainController;
 
   constructor(private readonly options: EntryOptions) {
@@ -102,17 +102,17 @@
       board,
       views: () => this.links.views(),
     });
-    const parts = this.createParts();
+    const deps = this.createDeps();
     this.generations = new GenerationService({
-      parts,
+      deps,
       admission: this.admission,
       board,
       hello,
       router,
     });
-    this.gate = this.createGate(parts);
+    this.dispatcher = this.createDispatcher(deps);
     const {quarantine} = this;
-    this.quarantineWatch = new QuarantineSync({...options, quarantine});
+    this.quarantineSync = new QuarantineSync({...options, quarantine});
     this.drainer = this.createDrainer();
     new OwnVmWatch({
       board,
@@ -120,30 +120,30 @@
       onVmLeaving: () => this.drain(),
     }).open();
     this.board.load.subscribe((load) => this.admission.resize(load));
-    this.board.config.subscribe((inForce) => {
-      inForce.ifJust(({cfg}) => this.admission.configure(cfg));
+    this.board.config.subscribe((active) => {
+      active.ifJust(({cfg}) => this.admission.configure(cfg));
     });
   }
 
-  /** What callers are served by. */
+  /** Handles the requests of callers. */
   get callerHandler(): CallerHandler {
-    return this.gate;
+    return this.dispatcher;
   }
 
-  /** Listens for peers and returns the port. */
+  /** Starts the controllers, listens for peers and returns the port. */
   start(): ResultAsync<number, TransportError> {
     this.links.open();
     this.directory.open();
     this.loadController.open();
     this.generations.open();
     this.config.open();
-    this.quarantineWatch.open();
+    this.quarantineSync.open();
     return this.server.listen(this.options.settings.peers);
   }
 
   stop(): void {
     this.config.close();
-    this.quarantineWatch.close();
+    this.quarantineSync.close();
     this.generations.close();
     this.loadController.close();
     this.links.close();
@@ -186,13 +186,13 @@
   }
 
   private createDrainer(): DrainController {
-    const {countPendingResponses: countOpenAnswers} = this.options;
+    const {countPendingResponses} = this.options;
     return new DrainController({
       ...this.options,
       leaving: this.board.draining,
       limits: ENTRY_DRAIN_LIMITS,
       work: {
-        countRunning: () => this.countRunning() + countOpenAnswers(),
+        countRunning: () => this.countRunning() + countPendingResponses(),
         countUnsentBytes: () => 0,
         countPeersToAnswer: () => 0,
       },
@@ -200,10 +200,10 @@
   }
 
   private countRunning(): number {
-    return this.generations.countRunning() + this.gate.countRunning();
+    return this.generations.countRunning() + this.dispatcher.countRunning();
   }
 
-  private createParts(): GenerationDeps {
+  private createDeps(): GenerationDeps {
     const {clock, random, metrics, settings} = this.options;
     const failures = new FailureWatch({clock});
     return {
@@ -219,15 +219,15 @@
     };
   }
 
-  private createGate(parts: GenerationDeps): RequestDispatcher {
+  private createDispatcher(deps: GenerationDeps): RequestDispatcher {
     return new RequestDispatcher({
-      ...parts,
+      ...deps,
       board: this.board,
       admission: this.admission,
       generations: this.generations,
-      plain: new PlainService(parts),
+      plain: new PlainService(deps),
       bookings: new BookingService({
-        callDeps: parts,
+        callDeps: deps,
         claims: new GroupedClaims({
           ...this.options,
           paceMs: CLAIM_PACE_MS,
--- a/src/entry/generation/attempt-history.ts
+++ b/src/entry/generation/attempt-history.ts
@@ -1,35 +1,35 @@
-/** What became of the attempts on one answer. */
+/** Outcomes of the attempts of one generation. */
 import type {Culprit} from '../../core/poison/index.js';
 import {MAX_ATTEMPTS_WITHOUT_PROGRESS} from '../consts.js';
 import {SUSPECT_SHARING_DELAY_MS} from './consts.js';
 
-/** Remembers where attempts were lost and refused, and in which crashes. */
+/** Records which targets lost or refused attempts, and the crashes. */
 export class AttemptHistory {
   /** Targets on which attempts were lost. */
   readonly lostOn: string[] = [];
   /** Targets that refused since the last token or wait. */
   refusedBy: string[] = [];
-  /** Engine crashes whose cause is not known yet. */
+  /** IDs of engine crashes whose cause is not known yet. */
   crashes: string[] = [];
   /** Whether an attempt was admitted and then lost. */
   hasLostAttempt = false;
-  private fruitlessCount = 0;
-  private conflictSinceMs: number | undefined;
+  private withoutProgressCount = 0;
+  private refusedAsSuspectSinceMs: number | undefined;
 
   constructor(private readonly options: {now: () => number}) {}
 
-  /** Attempts in a row that brought no token. */
+  /** Consecutive attempts that produced no token. */
   get attemptsWithoutProgress(): number {
-    return this.fruitlessCount;
+    return this.withoutProgressCount;
   }
 
-  /** Too many attempts in a row brought no token. */
+  /** Whether too many consecutive attempts produced no token. */
   isAttemptLimitReached(): boolean {
-    return this.fruitlessCount >= MAX_ATTEMPTS_WITHOUT_PROGRESS;
+    return this.withoutProgressCount >= MAX_ATTEMPTS_WITHOUT_PROGRESS;
   }
 
   recordLoss(vm: string | undefined): void {
-    this.fruitlessCount++;
+    this.withoutProgressCount++;
     this.hasLostAttempt = true;
     if (vm !== undefined) this.lostOn.push(vm);
   }
@@ -37,11 +37,11 @@
   recordRefusal(vm: string | undefined): void {
     if (vm !== undefined) this.refusedBy.push(vm);
     if (this.crashes.length === 0) return;
-    this.conflictSinceMs ??= this.options.now();
+    this.refusedAsSuspectSinceMs ??= this.options.now();
   }
 
   recordProgress(): void {
-    this.fruitlessCount = 0;
+    this.withoutProgressCount = 0;
     this.refusedBy = [];
   }
 
@@ -49,16 +49,20 @@
     if (id !== undefined) this.crashes.push(id);
   }
 
-  /** The cause of some crashes is known: it is another request. */
-  removeExplainedCrashes(culprit: Culprit): void {
-    this.crashes = this.crashes.filter((id) => !culprit.crashes.includes(id));
+  /** Removes the crashes that another, quarantined request caused. */
+  removeExplainedCrashes(record: Culprit): void {
+    this.crashes = this.crashes.filter((id) => !record.crashes.includes(id));
   }
 
-  /** Whether no target without fellow suspects was found for long enough. */
+  /**
+   * Whether the attempt may run beside another request involved in a crash:
+   * its first refusal after a crash is `SUSPECT_SHARING_DELAY_MS` ago.
+   */
   mayShare(): boolean {
-    if (this.conflictSinceMs === undefined) return false;
+    if (this.refusedAsSuspectSinceMs === undefined) return false;
     return (
-      this.options.now() - this.conflictSinceMs >= SUSPECT_SHARING_DELAY_MS
+      this.options.now() - this.refusedAsSuspectSinceMs >=
+      SUSPECT_SHARING_DELAY_MS
     );
   }
 }
--- a/src/entry/generation/attempt-link.ts
+++ b/src/entry/generation/attempt-link.ts
@@ -1,14 +1,14 @@
-/** Where an attempt's words come from. */
+/** The connection over which an attempt's messages arrive. */
 import type {Message} from '../../core/protocol/index.js';
 import type {LinkHandler} from '../links/link-handler.js';
 
-/** A link over which one or many attempts are followed. */
+/** A link that serves one or many attempts. */
 export interface AttemptLink {
   readonly vm: string;
-  /** Sends the first message; false when nothing was sent. */
+  /** Sends the first message; returns false if nothing was sent. */
   open(options: {id: string; message: Message; handler: LinkHandler}): boolean;
-  /** Sends a message that needs no answer. */
+  /** Sends a message that needs no response. */
   send(message: Message): void;
-  /** Forgets an attempt; later words of it are dropped. */
+  /** Removes the handler of an attempt; its later messages are dropped. */
   release(id: string): void;
 }
--- a/src/entry/generation/attempt-messages.ts
+++ b/src/entry/generation/attempt-messages.ts
@@ -1,4 +1,4 @@
-/** The messages of an attempt. */
+/** Messages that start, attach to and cancel attempts. */
 import type {Token} from '../../core/edges/index.js';
 import type {
   AttachMessage,
@@ -8,9 +8,9 @@
 import {MessageType} from '../../core/protocol/index.js';
 import type {OpenAttempt, GenerationTask} from './run-types.js';
 
-/** Creates the order to run an attempt. */
+/** Creates the message that starts an attempt. */
 export function createStart(
-  order: GenerationTask,
+  task: GenerationTask,
   options: {
     attemptId: string;
     resumeFrom: readonly Token[];
@@ -19,7 +19,7 @@
     mayShare: boolean;
   },
 ): StartMessage {
-  const {requestId, clientAccount, fingerprint, spec} = order;
+  const {requestId, clientAccount, fingerprint, spec} = task;
   return {
     type: MessageType.START,
     requestId,
@@ -32,12 +32,12 @@
   };
 }
 
-/** Creates the request for an attempt's whole journal. */
+/** Creates the request to stream the tokens of an existing attempt. */
 export function createAttach(
-  order: GenerationTask,
+  task: GenerationTask,
   options: {attemptId: string; position: number},
 ): AttachMessage {
-  const {requestId, clientAccount, fingerprint} = order;
+  const {requestId, clientAccount, fingerprint} = task;
   return {
     type: MessageType.ATTACH,
     requestId,
@@ -47,14 +47,14 @@
   };
 }
 
-/** Reads the tokens of a message, which come in columns. */
+/** Joins the two columns of a message into tokens. */
 export function readTokens({ids, texts}: TokensMessage): Token[] {
   return ids.map((id, i) => ({id, text: texts[i] ?? ''}));
 }
 
-/** Hears no more of an attempt, and has it stopped. */
-export function cancelAttempt({link, location: place}: OpenAttempt): void {
-  const {attemptId} = place;
+/** Drops an attempt's later messages and cancels it at its agent. */
+export function cancelAttempt({link, location}: OpenAttempt): void {
+  const {attemptId} = location;
   link.release(attemptId);
   link.send({type: MessageType.CANCEL, attemptId});
 }
--- a/src/entry/generation/choose-target.ts
+++ b/src/entry/generation/choose-target.ts
@@ -1,4 +1,4 @@
-/** The choice of a target for an attempt. */
+/** Chooses the target of an attempt. */
 import {prefixFingerprintOf} from '../../core/generation/index.js';
 import type {RecoveryPolicy} from '../../core/generation/index.js';
 import type {TargetChooser, TargetView} from '../../core/routing/index.js';
@@ -6,20 +6,20 @@
 import {IDLE_SHARE} from './consts.js';
 import type {GenerationTask, GenerationDeps} from './run-types.js';
 
-/** What an attempt asks of a target. */
+/** What an attempt requires of a target. */
 export interface TargetQuery {
   readonly service: string;
   readonly dataCentre: string;
   readonly prompt: string;
-  /** Targets on which attempts were lost; used again only in need. */
+  /** Targets on which attempts were lost; reused only if no other is left. */
   readonly lostOn: readonly string[];
-  /** Targets that refused just now. */
+  /** Targets that refused recently; never chosen. */
   readonly refusedBy: readonly string[];
-  /** The attempt goes on with an answer. */
+  /** Whether the attempt resumes an output that has tokens. */
   readonly isResume: boolean;
 }
 
-/** A question and what it is answered from. */
+/** A query, the targets to choose from and how to choose. */
 export interface ChooseTargetOptions {
   readonly query: TargetQuery;
   readonly targets: readonly TargetView[];
@@ -27,24 +27,24 @@
   readonly policy: RecoveryPolicy;
 }
 
-/** Creates the question that a run asks now. */
+/** Creates the options of a choice from the present state of a run. */
 export function createChoice(options: {
-  order: GenerationTask;
-  parts: GenerationDeps;
+  task: GenerationTask;
+  deps: GenerationDeps;
   history: Pick<AttemptHistory, 'lostOn' | 'refusedBy'>;
   isResume: boolean;
 }): ChooseTargetOptions {
-  const {order, parts, history, isResume} = options;
+  const {task, deps, history, isResume} = options;
   const {lostOn, refusedBy} = history;
-  const {chooser, links, dataCentre} = parts;
-  const {service, spec} = order;
+  const {chooser, links, dataCentre} = deps;
+  const {service, spec} = task;
   const {prompt} = spec;
   const query = {service, dataCentre, prompt, lostOn, refusedBy, isResume};
   return {query, targets: links.views(), chooser, policy: links.policy()};
 }
 
 /**
- * Chooses a target, or returns undefined where none can be used now.
+ * Chooses a target, or returns undefined if none is usable now.
  *
  * @example
  * chooseTarget({query, targets: links.views(), chooser, policy});
@@ -57,23 +57,26 @@
   const prefix = prefixFingerprintOf(query.prompt);
   const choose = (
     exclude: readonly string[],
-    among: readonly TargetView[],
+    candidates: readonly TargetView[],
   ): TargetView | undefined =>
     chooser
-      .choose({query: {service, dataCentre, prefix, exclude}, targets: among})
+      .choose({
+        query: {service, dataCentre, prefix, exclude},
+        targets: candidates,
+      })
       .extract();
-  const fresh = [...lostOn, ...refusedBy];
+  const excluded = [...lostOn, ...refusedBy];
   if (policy.prefersCached && query.isResume) {
     const cached = targets.filter((t) => isIdleWith(t, prefix));
-    const found = choose(fresh, cached);
+    const found = choose(excluded, cached);
     if (found !== undefined) return found;
   }
-  // Where all were tried, any that works now is better than none.
-  return choose(fresh, targets) ?? choose(refusedBy, targets);
+  // If all targets were tried, reuse one on which an attempt was lost.
+  return choose(excluded, targets) ?? choose(refusedBy, targets);
 }
 
 /**
- * Chooses an idle target for a second attempt beside a quiet one.
+ * Chooses an idle, untried target for a hedged attempt.
  *
  * @example
  * chooseIdleTarget({query, targets, chooser, policy});
--- a/src/entry/generation/consts.ts
+++ b/src/entry/generation/consts.ts
@@ -1,19 +1,22 @@
-/** Silence after which another entry's copy is given up, in milliseconds. */
+/** Silence after which a read from another entry fails, in milliseconds. */
 export const REMOTE_OUTPUT_TIMEOUT_MS = 800;
 
-/** An entry that sends a copy says something this often, in milliseconds. */
+/** Keepalive period of an entry that sends an output, in milliseconds. */
 export const OUTPUT_KEEPALIVE_MS = 100;
 
 /** Most tokens in one message between entries. */
 export const MAX_TOKENS_PER_MESSAGE = 1_024;
 
-/** How often a move off a leaving target is tried, in milliseconds. */
+/** Wait before moving off a draining target is retried, in milliseconds. */
 export const MIGRATION_RETRY_MS = 250;
 
-/** A suspect waits this long for a target without fellow suspects, in ms. */
+/**
+ * Time for which a request involved in a crash waits for a target that runs
+ * no other such request, in milliseconds.
+ */
 export const SUSPECT_SHARING_DELAY_MS = 1_000;
 
-/** Share of a target's capacity below which it counts as idle. */
+/** Share of its capacity below which a target counts as idle. */
 export const IDLE_SHARE = 0.5;
 
 /** Wait before the quarantine is listed again, in milliseconds. */
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -1,4 +1,4 @@
-/** Brings one answer to its end, over as many attempts as it takes. */
+/** Runs one generation to its end, over as many attempts as needed. */
 import type {TimerHandle} from '../../core/clock/index.js';
 import type {Refusal} from '../../core/errors/index.js';
 import {RefusalReason, RetryReason} from '../../core/errors/index.js';
@@ -45,115 +45,117 @@
 
 export type {GenerationTask, GenerationDeps} from './run-types.js';
 
-/** Starts attempts, takes their tokens in order and replaces lost ones. */
+/** Starts attempts, appends their tokens in order and replaces lost ones. */
 export class GenerationRun {
   private current: OpenAttempt | undefined;
-  /** A second attempt beside a quiet one; the first to speak goes on. */
+  /** A second attempt beside a silent one; the first to respond is kept. */
   private hedge: OpenAttempt | undefined;
   private sources: OutputSource[] = [];
   private readonly assembly: Assembly;
   private readonly history: AttemptHistory;
   private started = false;
-  private waiting: TimerHandle | undefined;
+  private retryTimer: TimerHandle | undefined;
   private readonly deadlineTimer: TimerHandle;
   private readonly meter: TokenMeter;
   private readonly outcomes: TargetOutcomes;
 
   constructor(
-    private readonly order: GenerationTask,
-    private readonly copy: OutputBuffer,
-    private readonly parts: GenerationDeps,
+    private readonly task: GenerationTask,
+    private readonly output: OutputBuffer,
+    private readonly deps: GenerationDeps,
     private readonly onDone: () => void,
   ) {
-    const {clock} = parts;
-    const {spec} = order;
-    this.assembly = new Assembly({log: copy.log, spec});
+    const {clock} = deps;
+    const {spec} = task;
+    this.assembly = new Assembly({log: output.log, spec});
     this.history = new AttemptHistory({now: () => clock.now()});
-    this.meter = new TokenMeter(parts);
-    this.outcomes = new TargetOutcomes(parts.failures);
+    this.meter = new TokenMeter(deps);
+    this.outcomes = new TargetOutcomes(deps.failures);
     this.deadlineTimer = clock.schedule({
-      delayMs: Math.max(0, order.deadlineAtMs - clock.now()),
-      run: () => this.giveUp(refusals.deadlineExceeded(this.started)),
+      delayMs: Math.max(0, task.deadlineAtMs - clock.now()),
+      run: () => this.fail(refusals.deadlineExceeded(this.started)),
     });
   }
 
   /** Starts the first attempt, or the next one after a loss. */
   start(): void {
-    if (this.isOver() || this.finishIfKnown()) return;
+    if (this.isEnded() || this.finishIfKnown()) return;
     const target = chooseTarget(this.createChoice());
     const attempt = target && this.createAttempt(target);
     if (attempt === undefined) {
       this.waitForTarget();
       return;
     }
-    this.begin(attempt);
+    this.beginAttempt(attempt);
     const {attemptId} = attempt.location;
-    if (!this.sendStart(attempt)) this.lose(attemptId, RetryReason.AGENT_GONE);
+    if (!this.sendStart(attempt))
+      this.handleLost(attemptId, RetryReason.AGENT_GONE);
   }
 
-  /** Goes on with an answer that others hold, from the first that can. */
+  /** Resumes an output that others hold, from the first usable source. */
   resumeFrom(sources: readonly OutputSource[]): void {
     this.sources = [...sources];
-    this.adoptNext();
+    this.attachToNextSource();
   }
 
-  /** Stops the work; nobody reads the answer any more. */
+  /** Cancels the attempts of an output that is no longer read. */
   abandon(): void {
-    if (this.isOver()) return;
-    this.dropAttempts();
-    this.copy.fail(refusals.outputDiscarded());
+    if (this.isEnded()) return;
+    this.cancelAttempts();
+    this.output.fail(refusals.outputDiscarded());
     this.finish();
   }
 
-  /** Takes note of a request that was found to crash engines. */
-  handlePoisonRequest(poisonKey: string, culprit: Culprit): void {
-    if (poisonKey === this.order.poisonFingerprint) {
-      this.giveUp(refusals.poisonRequestDetected());
+  /** Handles a newly quarantined request, which may be this one. */
+  handlePoisonRequest(poisonFingerprint: string, record: Culprit): void {
+    if (poisonFingerprint === this.task.poisonFingerprint) {
+      this.fail(refusals.poisonRequestDetected());
       return;
     }
-    this.history.removeExplainedCrashes(culprit);
+    this.history.removeExplainedCrashes(record);
   }
 
-  private adoptNext(): void {
+  private attachToNextSource(): void {
     const source = this.sources.shift();
     if (source === undefined) {
-      // Nobody has what the caller has: it must discard, never mix.
-      this.copy.restartReadersAhead();
+      // No source has the caller's tokens: it must discard them, because
+      // tokens of another attempt may differ.
+      this.output.restartReadersAhead();
       this.start();
       return;
     }
-    const {link, location: place, position} = source;
-    const {attemptId} = place;
+    const {link, location, position} = source;
+    const {attemptId} = location;
     this.current = source;
     this.started = true;
-    this.copy.resetLineage(place);
+    this.output.resetLineage(location);
     this.assembly.begin(attemptId);
-    const message = createAttach(this.order, {attemptId, position});
+    const message = createAttach(this.task, {attemptId, position});
     const handler = this.createHandler(attemptId);
     const opened = link.open({id: attemptId, message, handler});
-    if (!opened) this.lose(attemptId, RetryReason.AGENT_GONE);
+    if (!opened) this.handleLost(attemptId, RetryReason.AGENT_GONE);
   }
 
   private createAttempt(target: TargetView): OpenAttempt | undefined {
-    const link = this.parts.links.find(target.vm);
+    const link = this.deps.links.find(target.vm);
     if (link === undefined) return undefined;
-    const attemptId = this.parts.random.id();
+    const attemptId = this.deps.random.id();
     const {vm: agentVm, incarnation: agentIncarnation} = target;
     return {link, location: {attemptId, agentVm, agentIncarnation}};
   }
 
-  private begin(attempt: OpenAttempt): void {
+  private beginAttempt(attempt: OpenAttempt): void {
     this.current = attempt;
-    this.copy.beginAttempt(attempt.location);
+    this.output.beginAttempt(attempt.location);
     this.assembly.begin(attempt.location.attemptId);
   }
 
-  private sendStart({link, location: place}: OpenAttempt): boolean {
-    const {attemptId} = place;
-    const message = createStart(this.order, {
+  private sendStart({link, location}: OpenAttempt): boolean {
+    const {attemptId} = location;
+    const message = createStart(this.task, {
       attemptId,
-      resumeFrom: this.copy.log.slice({from: 0}),
-      deadlineMs: this.order.deadlineAtMs - this.parts.clock.now(),
+      resumeFrom: this.output.log.slice({from: 0}),
+      deadlineMs: this.task.deadlineAtMs - this.deps.clock.now(),
       crashes: this.history.crashes,
       mayShare: this.history.mayShare(),
     });
@@ -166,160 +168,158 @@
 
   private createHandler(attemptId: string): LinkHandler {
     return {
-      onTokens: (message) => this.takeTokens(attemptId, message),
-      onLineage: (message) => this.takeLineage(attemptId, message),
-      onEnd: (message) => this.takeEnd(attemptId, message),
-      onFailed: (message) => this.takeFailure(attemptId, message),
-      onRefused: (message) => this.takeRefusal(attemptId, message),
-      onLost: (reason) => this.lose(attemptId, reason),
-      onDraining: () => this.move(attemptId),
+      onTokens: (message) => this.handleTokens(attemptId, message),
+      onLineage: (message) => this.handleLineage(attemptId, message),
+      onEnd: (message) => this.handleEnd(attemptId, message),
+      onFailed: (message) => this.handleFailed(attemptId, message),
+      onRefused: (message) => this.handleRefused(attemptId, message),
+      onLost: (reason) => this.handleLost(attemptId, reason),
+      onDraining: () => this.migrate(attemptId),
       onHedgeDue: () => this.startHedge(attemptId),
     };
   }
 
-  private takeTokens(attemptId: string, message: TokensMessage): void {
+  private handleTokens(attemptId: string, message: TokensMessage): void {
     const tokens = readTokens(message);
     const {position} = message;
-    const isNew = position + tokens.length > this.copy.log.length;
+    const isNew = position + tokens.length > this.output.log.length;
     if (isNew && this.isHedge(attemptId)) this.promoteHedge();
     const step = this.assembly.takeTokens({attemptId, position, tokens});
-    this.follow(attemptId, step, RetryReason.ENGINE_DIED);
+    this.applyStep(attemptId, step, RetryReason.ENGINE_DIED);
     if (step.kind === StepKind.IGNORED && tokens.length > 0) {
-      this.parts.metrics.count(CounterName.TOKENS_DROPPED);
+      this.deps.metrics.count(CounterName.TOKENS_DROPPED);
     }
   }
 
-  private takeLineage(attemptId: string, message: LineageMessage): void {
+  private handleLineage(attemptId: string, message: LineageMessage): void {
     if (attemptId !== this.assembly.attemptId) return;
     const {writerId, agentVm, agentIncarnation, position} = message;
-    const place = {attemptId: writerId, agentVm, agentIncarnation};
-    if (position === 0) this.copy.resetLineage(place);
-    else this.copy.addLineageStep({location: place, position});
+    const location = {attemptId: writerId, agentVm, agentIncarnation};
+    if (position === 0) this.output.resetLineage(location);
+    else this.output.addLineageStep({location, position});
   }
 
-  private takeEnd(attemptId: string, message: EndMessage): void {
+  private handleEnd(attemptId: string, message: EndMessage): void {
     if (this.isHedge(attemptId)) this.promoteHedge();
     const {length, finishReason} = message;
     const step = this.assembly.takeEnd({attemptId, length, finishReason});
-    this.follow(attemptId, step, RetryReason.END_EARLY);
+    this.applyStep(attemptId, step, RetryReason.END_EARLY);
   }
 
-  private follow(attemptId: string, step: Step, reason: RetryReason): void {
+  private applyStep(attemptId: string, step: Step, reason: RetryReason): void {
     switch (step.kind) {
       case StepKind.APPENDED:
-        this.noteTokens(step.appended);
+        this.recordTokens(step.appended);
         return;
       case StepKind.FINISHED:
-        this.dropHedge();
+        this.cancelHedge();
         this.finish();
         return;
       case StepKind.BROKEN:
-        this.lose(attemptId, reason);
+        this.handleLost(attemptId, reason);
         return;
       case StepKind.UNCONFIRMED:
-        this.lose(attemptId, RetryReason.END_UNCONFIRMED);
+        this.handleLost(attemptId, RetryReason.END_UNCONFIRMED);
         return;
       case StepKind.IGNORED:
         return;
     }
   }
 
-  private noteTokens(count: number): void {
+  private recordTokens(count: number): void {
     this.meter.recordTokens(count);
     this.outcomes.record(this.current, false);
-    this.dropHedge();
+    this.cancelHedge();
     this.history.recordProgress();
   }
 
-  private takeFailure(attemptId: string, message: FailedMessage): void {
+  private handleFailed(attemptId: string, message: FailedMessage): void {
     const {crashId, isCulprit, reason} = message;
     if (!this.isHedge(attemptId)) this.outcomes.record(this.current, true);
     this.history.recordCrash(crashId);
     if (isCulprit === true) {
-      this.condemn();
+      this.quarantineRequest();
       return;
     }
-    this.lose(attemptId, reason);
+    this.handleLost(attemptId, reason);
   }
 
-  private condemn(): void {
-    const {clientAccount, poisonFingerprint: poisonKey} = this.order;
-    const culprit = {clientAccount, crashes: this.history.crashes};
-    this.giveUp(refusals.poisonRequestDetected());
-    this.parts.quarantine.add({fingerprint: poisonKey, culprit});
+  private quarantineRequest(): void {
+    const {clientAccount, poisonFingerprint} = this.task;
+    const record = {clientAccount, crashes: this.history.crashes};
+    this.fail(refusals.poisonRequestDetected());
+    this.deps.quarantine.add({fingerprint: poisonFingerprint, culprit: record});
   }
 
-  private takeRefusal(attemptId: string, message: RefusedMessage): void {
+  private handleRefused(attemptId: string, message: RefusedMessage): void {
     if (this.isHedge(attemptId)) {
-      this.dropHedge();
+      this.cancelHedge();
       return;
     }
     if (attemptId !== this.assembly.attemptId) return;
     if (message.reason === RefusalReason.POISON) {
-      this.giveUp(message);
+      this.fail(message);
       return;
     }
-    if (this.copy.hasReaderAhead()) {
-      this.lose(attemptId, RetryReason.TARGET_REFUSED);
+    if (this.output.hasReaderAhead()) {
+      this.handleLost(attemptId, RetryReason.TARGET_REFUSED);
       return;
     }
-    const {order, parts, history, copy} = this;
-    const begun = copy.log.length > 0 || history.hasLostAttempt;
-    if (!begun && !mayRetryRefused({message, order, parts})) {
-      this.giveUp(refusals.retryBudgetSpent());
+    const {task, deps, history, output} = this;
+    const hasBegun = output.log.length > 0 || history.hasLostAttempt;
+    if (!hasBegun && !mayRetryRefused({message, task, deps})) {
+      this.fail(refusals.retryBudgetSpent());
       return;
     }
-    this.parts.metrics.countRetry(RetryReason.TARGET_REFUSED);
+    this.deps.metrics.countRetry(RetryReason.TARGET_REFUSED);
     this.history.recordRefusal(this.current?.link.vm);
-    this.dropCurrent();
+    this.cancelCurrent();
     this.start();
   }
 
-  private lose(attemptId: string, reason: RetryReason): void {
-    if (this.isOver()) return;
+  private handleLost(attemptId: string, reason: RetryReason): void {
+    if (this.isEnded()) return;
     if (this.isHedge(attemptId)) {
-      this.dropHedge();
+      this.cancelHedge();
       return;
     }
     if (attemptId !== this.assembly.attemptId) return;
-    this.parts.metrics.countRetry(reason);
+    this.deps.metrics.countRetry(reason);
     this.meter.recordLoss();
     this.history.recordLoss(this.current?.link.vm);
     if (this.hedge !== undefined) {
       this.promoteHedge();
       return;
     }
-    this.dropCurrent();
-    if (this.copy.hasReaderAhead()) {
-      this.adoptNext();
+    this.cancelCurrent();
+    if (this.output.hasReaderAhead()) {
+      this.attachToNextSource();
       return;
     }
     if (this.history.isAttemptLimitReached()) {
-      this.giveUp(
-        refusals.tooManyAttempts(this.history.attemptsWithoutProgress),
-      );
+      this.fail(refusals.tooManyAttempts(this.history.attemptsWithoutProgress));
       return;
     }
     this.start();
   }
 
-  /** Moves off a leaving target as soon as there is another one. */
-  private move(attemptId: string): void {
-    if (this.isOver() || attemptId !== this.assembly.attemptId) return;
+  /** Moves off a draining target as soon as another one is usable. */
+  private migrate(attemptId: string): void {
+    if (this.isEnded() || attemptId !== this.assembly.attemptId) return;
     if (chooseTarget(this.createChoice()) !== undefined) {
-      this.lose(attemptId, RetryReason.TARGET_LEAVING);
+      this.handleLost(attemptId, RetryReason.TARGET_LEAVING);
       return;
     }
-    this.waiting = this.parts.clock.schedule({
+    this.retryTimer = this.deps.clock.schedule({
       delayMs: MIGRATION_RETRY_MS,
-      run: () => this.move(attemptId),
+      run: () => this.migrate(attemptId),
     });
   }
 
   private startHedge(attemptId: string): void {
-    if (this.isOver() || this.hedge !== undefined) return;
+    if (this.isEnded() || this.hedge !== undefined) return;
     if (attemptId !== this.assembly.attemptId) return;
-    if (this.copy.hasReaderAhead() || this.history.crashes.length > 0) return;
+    if (this.output.hasReaderAhead() || this.history.crashes.length > 0) return;
     const choice = this.createChoice();
     const vm = this.current?.link.vm ?? '';
     const query = {...choice.query, refusedBy: [...choice.query.refusedBy, vm]};
@@ -328,7 +328,7 @@
     if (attempt === undefined || !this.sendStart(attempt)) return;
     this.hedge = attempt;
     this.meter.recordLoss();
-    this.parts.metrics.countRetry(RetryReason.HEDGED);
+    this.deps.metrics.countRetry(RetryReason.HEDGED);
   }
 
   private isHedge(attemptId: string): boolean {
@@ -340,67 +340,67 @@
     if (hedge === undefined) return;
     this.hedge = undefined;
     this.meter.recordLoss();
-    this.dropCurrent();
-    this.begin(hedge);
+    this.cancelCurrent();
+    this.beginAttempt(hedge);
   }
 
-  private dropHedge(): void {
+  private cancelHedge(): void {
     if (this.hedge !== undefined) cancelAttempt(this.hedge);
     this.hedge = undefined;
   }
 
-  /** No word of the present attempt is taken from now on. */
-  private dropCurrent(): void {
+  /** Cancels the current attempt; its later messages are ignored. */
+  private cancelCurrent(): void {
     this.assembly.drop();
     if (this.current !== undefined) cancelAttempt(this.current);
     this.current = undefined;
   }
 
-  private dropAttempts(): void {
-    this.dropHedge();
-    this.dropCurrent();
+  private cancelAttempts(): void {
+    this.cancelHedge();
+    this.cancelCurrent();
   }
 
   private createChoice(): ChooseTargetOptions {
-    const {order, parts, history, copy} = this;
-    const resumes = copy.log.length > 0;
-    return createChoice({order, parts, history, isResume: resumes});
+    const {task, deps, history, output} = this;
+    const isResume = output.log.length > 0;
+    return createChoice({task, deps, history, isResume});
   }
 
   private finishIfKnown(): boolean {
-    const tokens = this.copy.log.slice({from: 0});
-    const {spec} = this.order;
+    const tokens = this.output.log.slice({from: 0});
+    const {spec} = this.task;
     const reason = resolveKnownFinish({spec, tokens});
     if (tokens.length === 0 || reason === undefined) return false;
-    this.copy.log.finish(reason);
+    this.output.log.finish(reason);
     this.finish();
     return true;
   }
 
   private waitForTarget(): void {
     this.history.refusedBy = [];
-    this.waiting?.cancel();
-    this.waiting = this.parts.clock.schedule({
+    this.retryTimer?.cancel();
+    this.retryTimer = this.deps.clock.schedule({
       delayMs: NO_TARGET_RETRY_MS,
       run: () => this.start(),
     });
   }
 
-  private giveUp(refusal: Refusal): void {
-    if (this.isOver()) return;
-    this.parts.metrics.countRefusal(refusal.reason);
-    this.dropAttempts();
-    this.copy.fail(refusal);
+  private fail(refusal: Refusal): void {
+    if (this.isEnded()) return;
+    this.deps.metrics.countRefusal(refusal.reason);
+    this.cancelAttempts();
+    this.output.fail(refusal);
     this.finish();
   }
 
-  private isOver(): boolean {
-    return this.copy.log.state !== LogState.RUNNING;
+  private isEnded(): boolean {
+    return this.output.log.state !== LogState.RUNNING;
   }
 
   private finish(): void {
     this.deadlineTimer.cancel();
-    this.waiting?.cancel();
+    this.retryTimer?.cancel();
     this.onDone();
   }
 }
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -1,4 +1,4 @@
-/** Serves generations: new ones, and ones that callers come back to. */
+/** Serves new generations, and those that callers resume. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, okAsync} from 'neverthrow';
 
@@ -37,26 +37,26 @@
 } from './run-types.js';
 import {GenerationRun} from './generation-run.js';
 
-/** A request whose account and service are known. */
+/** A request with its client account and service. */
 export interface ResolvedGeneration {
   readonly req: GenerationReq;
   readonly clientAccount: ClientAccountConfig;
   readonly service: ServiceConfig;
 }
 
-interface HeldAnswer {
-  readonly copy: OutputBuffer;
+interface ActiveGeneration {
+  readonly output: OutputBuffer;
   readonly run: GenerationRun;
 }
 
-/** Holds the copies of this entry's answers. */
+/** Holds the buffered outputs of this entry's generations. */
 export class GenerationService {
-  private readonly held = new Map<string, HeldAnswer>();
+  private readonly generations = new Map<string, ActiveGeneration>();
   private sweeper: TimerHandle | undefined;
 
   constructor(
     private readonly options: {
-      parts: GenerationDeps;
+      deps: GenerationDeps;
       admission: Admission;
       board: EntryBoard;
       hello: HelloMessage;
@@ -65,17 +65,17 @@
   ) {}
 
   open(): void {
-    const {parts, router} = this.options;
-    const {clock, quarantine} = parts;
-    const findCopy = (id: string): OutputBuffer | undefined =>
-      this.held.get(id)?.copy;
-    new OutputBufferServer({clock, findCopy}).register(router);
-    quarantine.subscribe((poisonKey, culprit) => {
-      for (const {run} of this.held.values()) {
-        run.handlePoisonRequest(poisonKey, culprit);
+    const {deps, router} = this.options;
+    const {clock, quarantine} = deps;
+    const findBuffer = (id: string): OutputBuffer | undefined =>
+      this.generations.get(id)?.output;
+    new OutputBufferServer({clock, findBuffer}).register(router);
+    quarantine.subscribe((poisonFingerprint, record) => {
+      for (const {run} of this.generations.values()) {
+        run.handlePoisonRequest(poisonFingerprint, record);
       }
     });
-    this.sweeper = this.options.parts.clock.repeat({
+    this.sweeper = this.options.deps.clock.repeat({
       periodMs: OUTPUT_SWEEP_PERIOD_MS,
       run: () => this.sweep(),
     });
@@ -85,108 +85,108 @@
     this.sweeper?.cancel();
   }
 
-  /** Answers that somebody reads or that still run. */
+  /** Counts the generations whose output a caller or another entry reads. */
   countRunning(): number {
     let running = 0;
-    for (const {copy} of this.held.values()) {
-      if (copy.unreadForMs() === 0) running++;
+    for (const {output} of this.generations.values()) {
+      if (output.unreadForMs() === 0) running++;
     }
     return running;
   }
 
   generate(request: ResolvedGeneration): ResultAsync<AnswerReader, Refusal> {
     const {lastEventId} = request.req;
-    const {poisonFingerprint: poisonKey} = this.createOrder(request, '');
-    if (this.options.parts.quarantine.has(poisonKey)) {
+    const {poisonFingerprint} = this.createTask(request, '');
+    if (this.options.deps.quarantine.has(poisonFingerprint)) {
       return errAsync(poisonRequestQuarantined());
     }
     if (lastEventId === '') return this.begin(request, false);
     return decodeEventId(lastEventId)
       .mapErr((e) => badEventId(e.detail))
-      .asyncAndThen((id) => this.goOn(request, id));
+      .asyncAndThen((id) => this.resume(request, id));
   }
 
   private begin(
     request: ResolvedGeneration,
     restarted: boolean,
   ): ResultAsync<AnswerReader, Refusal> {
-    const order = this.createOrder(request, this.options.parts.random.id());
+    const task = this.createTask(request, this.options.deps.random.id());
     const kind = restarted ? WorkKind.RESUME : WorkKind.NEW;
-    return this.admit({request, order, kind}).map((ticket) => {
-      this.options.parts.retryBudgets.of(request.service).noteFirstTry();
-      const {copy, run} = this.hold(order, ticket);
-      const reader = copy.read({position: 0, restarted});
+    return this.admit({request, task, kind}).map((ticket) => {
+      this.options.deps.retryBudgets.of(request.service).noteFirstTry();
+      const {output, run} = this.createGeneration(task, ticket);
+      const reader = output.read({position: 0, restarted});
       run.start();
       return reader;
     });
   }
 
-  private goOn(
+  private resume(
     request: ResolvedGeneration,
     id: EventId,
   ): ResultAsync<AnswerReader, Refusal> {
-    const order = this.createOrder(request, id.requestId);
-    const held = this.held.get(id.requestId);
-    if (held !== undefined) {
-      if (!held.copy.belongsTo(order)) {
+    const task = this.createTask(request, id.requestId);
+    const generation = this.generations.get(id.requestId);
+    if (generation !== undefined) {
+      if (!generation.output.belongsTo(task)) {
         return errAsync(badEventId('the answer is of another request'));
       }
-      if (held.copy.covers(id)) {
+      if (generation.output.covers(id)) {
         const {position} = id;
-        return okAsync(held.copy.read({position, restarted: false}));
+        return okAsync(generation.output.read({position, restarted: false}));
       }
     }
-    return this.adopt(request, order, id);
+    return this.takeOver(request, task, id);
   }
 
-  /** Takes over an answer that an agent or another entry has. */
-  private adopt(
+  /** Resumes an output that an agent or another entry holds. */
+  private takeOver(
     request: ResolvedGeneration,
-    order: GenerationTask,
+    task: GenerationTask,
     id: EventId,
   ): ResultAsync<AnswerReader, Refusal> {
     const sources = this.findSources(id);
     if (sources.length === 0) return this.begin(request, true);
     const kind = WorkKind.RUNNING;
-    return this.admit({request, order, kind}).map((ticket) => {
-      this.held.get(order.requestId)?.run.abandon();
-      const {copy, run} = this.hold(order, ticket);
+    return this.admit({request, task, kind}).map((ticket) => {
+      this.generations.get(task.requestId)?.run.abandon();
+      const {output, run} = this.createGeneration(task, ticket);
       const {position} = id;
-      const reader = copy.read({position, restarted: false});
+      const reader = output.read({position, restarted: false});
       run.resumeFrom(sources);
       return reader;
     });
   }
 
-  /** The agent that journals the attempt, then the entry with a copy. */
+  /** The agent that runs the attempt, then the entry that has its output. */
   private findSources(id: EventId): OutputSource[] {
-    const {parts, hello, board} = this.options;
-    const {clock} = parts;
+    const {deps, hello, board} = this.options;
+    const {clock} = deps;
     const sources: OutputSource[] = [];
-    const link = parts.links.find(id.agentVm);
-    const isSame = link?.view().incarnation === id.agentIncarnation;
-    if (link?.isConnected() === true && isSame) {
+    const link = deps.links.find(id.agentVm);
+    const isSameIncarnation = link?.view().incarnation === id.agentIncarnation;
+    if (link?.isConnected() === true && isSameIncarnation) {
       sources.push({link, location: id, position: 0});
     }
-    const isHolder = (vm: VmRecord): boolean =>
+    const isOutputHolder = (vm: VmRecord): boolean =>
       vm.role === VmRole.ENTRY && vm.name === id.entryVm;
-    const record = board.vms.get().find(isHolder);
+    const record = board.vms.get().find(isOutputHolder);
     if (record !== undefined && record.name !== hello.vm) {
       const {position} = id;
-      const copyLink = new RemoteOutputLink({record, hello, clock});
-      sources.push({link: copyLink, location: id, position});
+      const remoteLink = new RemoteOutputLink({record, hello, clock});
+      sources.push({link: remoteLink, location: id, position});
     }
     return sources;
   }
 
   private admit(options: {
     request: ResolvedGeneration;
-    order: GenerationTask;
+    task: GenerationTask;
     kind: WorkKind;
   }): ResultAsync<AdmissionTicket, Refusal> {
-    const {request, order, kind} = options;
+    const {request, task, kind} = options;
     const {clientAccount, service, req} = request;
-    const {deadlineAtMs, spec} = order;
+    const {deadlineAtMs, spec} = task;
     const {maxTokens} = spec;
     return this.options.admission.admit({
       clientAccount,
@@ -198,22 +198,28 @@
     });
   }
 
-  private hold(order: GenerationTask, ticket: AdmissionTicket): HeldAnswer {
-    const {parts, hello} = this.options;
-    const copy = new OutputBuffer({
-      requestId: order.requestId,
-      clientAccount: order.clientAccount,
-      fingerprint: order.fingerprint,
+  private createGeneration(
+    task: GenerationTask,
+    ticket: AdmissionTicket,
+  ): ActiveGeneration {
+    const {deps, hello} = this.options;
+    const output = new OutputBuffer({
+      requestId: task.requestId,
+      clientAccount: task.clientAccount,
+      fingerprint: task.fingerprint,
       entryVm: hello.vm,
-      now: () => parts.clock.now(),
+      now: () => deps.clock.now(),
     });
-    const onDone = (): void => ticket.release(outcomeOf(copy));
-    const held = {copy, run: new GenerationRun(order, copy, parts, onDone)};
-    this.held.set(order.requestId, held);
-    return held;
+    const onDone = (): void => ticket.release(ticketOutcomeOf(output));
+    const generation = {
+      output,
+      run: new GenerationRun(task, output, deps, onDone),
+    };
+    this.generations.set(task.requestId, generation);
+    return generation;
   }
 
-  private createOrder(
+  private createTask(
     request: ResolvedGeneration,
     requestId: string,
   ): GenerationTask {
@@ -233,22 +239,22 @@
       service: service.name,
       retryRatio: service.retryRatio,
       spec: req.spec,
-      deadlineAtMs: this.options.parts.clock.now() + allowedMs,
+      deadlineAtMs: this.options.deps.clock.now() + allowedMs,
     };
   }
 
   private sweep(): void {
-    for (const [id, {copy, run}] of this.held) {
-      if (copy.unreadForMs() <= OUTPUT_RETENTION_MS) continue;
+    for (const [id, {output, run}] of this.generations) {
+      if (output.unreadForMs() <= OUTPUT_RETENTION_MS) continue;
       run.abandon();
-      this.held.delete(id);
+      this.generations.delete(id);
     }
   }
 }
 
-function outcomeOf(copy: OutputBuffer): TicketOutcome {
-  if (copy.log.state === LogState.FINISHED) return TicketOutcome.SERVED;
-  return copy.refusal?.reason === RefusalReason.DEADLINE_EXCEEDED
+function ticketOutcomeOf(output: OutputBuffer): TicketOutcome {
+  if (output.log.state === LogState.FINISHED) return TicketOutcome.SERVED;
+  return output.refusal?.reason === RefusalReason.DEADLINE_EXCEEDED
     ? TicketOutcome.TIMED_OUT
     : TicketOutcome.FAILED;
 }
--- a/src/entry/generation/may-retry-refused.ts
+++ b/src/entry/generation/may-retry-refused.ts
@@ -1,19 +1,19 @@
-/** Whether a refused first attempt may be made elsewhere. */
+/** Whether a refused first attempt may be retried at another target. */
 import {RefusalReason} from '../../core/errors/index.js';
 import type {RefusedMessage} from '../../core/protocol/index.js';
 import type {GenerationTask, GenerationDeps} from './run-types.js';
 
 /**
- * Takes a retry from the service's budget. Targets that leave cost none:
- * each refuses a request once.
+ * Takes a retry from the service's budget. A refusal by a draining target is
+ * free, as each such target refuses a request only once.
  */
 export function mayRetryRefused(options: {
   message: RefusedMessage;
-  order: GenerationTask;
-  parts: GenerationDeps;
+  task: GenerationTask;
+  deps: GenerationDeps;
 }): boolean {
-  const {message, order, parts} = options;
+  const {message, task, deps} = options;
   if (message.reason === RefusalReason.LEAVING) return true;
-  const {service: name, retryRatio} = order;
-  return parts.retryBudgets.of({name, retryRatio}).tryRetry();
+  const {service: name, retryRatio} = task;
+  return deps.retryBudgets.of({name, retryRatio}).tryRetry();
 }
--- a/src/entry/generation/output-buffer-server.ts
+++ b/src/entry/generation/output-buffer-server.ts
@@ -1,4 +1,4 @@
-/** Sends this entry's copies to entries that ask for them. */
+/** Streams this entry's buffered outputs to entries that request them. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
 import {Ran, RefusalReason} from '../../core/errors/index.js';
 import {LogState} from '../../core/generation/index.js';
@@ -11,20 +11,20 @@
 import type {OutputBuffer} from './output-buffer.js';
 import {OUTPUT_KEEPALIVE_MS, MAX_TOKENS_PER_MESSAGE} from './consts.js';
 
-/** Finds the copy of a request's answer. */
+/** Finds the buffered output of a request. */
 export type OutputBufferLookup = (
   requestId: string,
 ) => OutputBuffer | undefined;
 
-/** Answers ATTACH of other entries. */
+/** Handles ATTACH messages of other entries. */
 export class OutputBufferServer {
-  private readonly senders = new Map<PeerConnection, Set<CopySender>>();
+  private readonly senders = new Map<PeerConnection, Set<OutputBufferSender>>();
 
   constructor(
-    private readonly options: {clock: Clock; findCopy: OutputBufferLookup},
+    private readonly options: {clock: Clock; findBuffer: OutputBufferLookup},
   ) {}
 
-  /** Takes part in what peers say to this entry. */
+  /** Subscribes to the messages of peers. */
   register(router: MessageRouter): void {
     router.on(MessageType.ATTACH, (message, connection) =>
       this.handleAttach(message, connection),
@@ -36,9 +36,9 @@
     attach: AttachMessage,
     connection: PeerConnection,
   ): void {
-    const copy = this.options.findCopy(attach.requestId);
-    const usable = copy?.belongsTo(attach) === true && copy.covers(attach);
-    if (copy === undefined || !usable) {
+    const buffer = this.options.findBuffer(attach.requestId);
+    const usable = buffer?.belongsTo(attach) === true && buffer.covers(attach);
+    if (buffer === undefined || !usable) {
       const reason = RefusalReason.ANSWER_LOST;
       const detail = 'this answer is not known here';
       const refusal = {reason, ran: Ran.UNKNOWN, detail};
@@ -47,10 +47,15 @@
     }
     const {clock} = this.options;
     const {attemptId} = attach;
-    const sender = new CopySender({copy, connection, clock, attemptId});
-    const known = this.senders.get(connection) ?? new Set();
-    known.add(sender);
-    this.senders.set(connection, known);
+    const sender = new OutputBufferSender({
+      buffer,
+      connection,
+      clock,
+      attemptId,
+    });
+    const connectionSenders = this.senders.get(connection) ?? new Set();
+    connectionSenders.add(sender);
+    this.senders.set(connection, connectionSenders);
   }
 
   private handleClose(connection: PeerConnection): void {
@@ -59,30 +64,30 @@
   }
 }
 
-/** A cursor into a copy and its lineage. */
-class CopySender {
+/** Sends one buffer and its lineage, and keeps the position sent so far. */
+class OutputBufferSender {
   private position = 0;
-  private steps = 0;
+  private sentSteps = 0;
   private closed = false;
   private readonly unsubscribe: () => void;
   private readonly timer: TimerHandle;
-  private readonly unhold: () => void;
+  private readonly releaseBuffer: () => void;
 
   constructor(
     private readonly options: {
-      copy: OutputBuffer;
+      buffer: OutputBuffer;
       connection: PeerConnection;
       clock: Clock;
-      /** The attempt that the other entry asked for. */
+      /** The attempt that the other entry requested. */
       attemptId: string;
     },
   ) {
-    const {copy, clock} = options;
-    this.unhold = copy.retain();
-    this.unsubscribe = copy.log.subscribe(() => this.flush());
+    const {buffer, clock} = options;
+    this.releaseBuffer = buffer.retain();
+    this.unsubscribe = buffer.log.subscribe(() => this.flush());
     this.timer = clock.repeat({
       periodMs: OUTPUT_KEEPALIVE_MS,
-      run: () => this.beat(),
+      run: () => this.sendKeepalive(),
     });
     this.flush();
   }
@@ -92,40 +97,40 @@
     this.closed = true;
     this.timer.cancel();
     this.unsubscribe();
-    this.unhold();
+    this.releaseBuffer();
   }
 
-  private beat(): void {
+  private sendKeepalive(): void {
     this.flush();
     if (!this.closed) this.sendTokens(0);
   }
 
   private flush(): void {
-    const {copy, connection} = this.options;
+    const {buffer, connection} = this.options;
     if (this.closed || connection.isClosed()) return this.close();
     for (;;) {
       if (connection.isCongested()) return;
       this.sendLineage();
-      const end = Math.min(copy.log.length, this.stepEnd());
+      const end = Math.min(buffer.log.length, this.currentStepEnd());
       if (this.position >= end) break;
       this.sendTokens(end - this.position);
     }
-    if (copy.log.state !== LogState.RUNNING) this.sendLast();
+    if (buffer.log.state !== LogState.RUNNING) this.sendEnd();
   }
 
-  /** Position up to which the tokens are of the step sent last. */
-  private stepEnd(): number {
-    const next = this.options.copy.lineageSteps()[this.steps];
+  /** Position before which all tokens belong to the lineage step sent last. */
+  private currentStepEnd(): number {
+    const next = this.options.buffer.lineageSteps()[this.sentSteps];
     return next?.beginPosition ?? Number.POSITIVE_INFINITY;
   }
 
   private sendLineage(): void {
-    const {copy, connection, attemptId} = this.options;
-    for (const step of copy.lineageSteps().slice(this.steps)) {
+    const {buffer, connection, attemptId} = this.options;
+    for (const step of buffer.lineageSteps().slice(this.sentSteps)) {
       if (step.beginPosition > this.position) return;
-      this.steps++;
-      const {location: place, beginPosition: position} = step;
-      const {attemptId: writerId, agentVm, agentIncarnation} = place;
+      this.sentSteps++;
+      const {location, beginPosition: position} = step;
+      const {attemptId: writerId, agentVm, agentIncarnation} = location;
       const type = MessageType.LINEAGE;
       const fields = {writerId, agentVm, agentIncarnation, position};
       connection.send({type, attemptId, ...fields});
@@ -133,10 +138,10 @@
   }
 
   private sendTokens(count: number): void {
-    const {copy, connection, attemptId} = this.options;
+    const {buffer, connection, attemptId} = this.options;
     const {position} = this;
     const limit = Math.min(count, MAX_TOKENS_PER_MESSAGE);
-    const tokens = copy.log.slice({from: position, limit});
+    const tokens = buffer.log.slice({from: position, limit});
     connection.send({
       type: MessageType.TOKENS,
       attemptId,
@@ -147,14 +152,14 @@
     this.position += tokens.length;
   }
 
-  private sendLast(): void {
-    const {copy, connection, attemptId} = this.options;
-    const {length, finishReason} = copy.log;
+  private sendEnd(): void {
+    const {buffer, connection, attemptId} = this.options;
+    const {length, finishReason} = buffer.log;
     if (finishReason !== undefined) {
       const type = MessageType.END;
       connection.send({type, attemptId, length, finishReason});
     } else {
-      const refusal = copy.refusal ?? {
+      const refusal = buffer.refusal ?? {
         reason: RefusalReason.ANSWER_LOST,
         ran: Ran.UNKNOWN,
         detail: 'the answer was abandoned',
--- a/src/entry/generation/output-buffer.ts
+++ b/src/entry/generation/output-buffer.ts
@@ -1,4 +1,4 @@
-/** An entry's copy of one answer, which callers read. */
+/** Buffers the output of one generation at an entry, for callers to read. */
 import type {AnswerPart, AnswerReader, Token} from '../../core/edges/index.js';
 import {AnswerPartKind} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
@@ -10,28 +10,28 @@
 } from '../../core/generation/index.js';
 import {MAX_TOKENS_PER_PART} from '../consts.js';
 
-/** Where an attempt runs. */
+/** The agent incarnation at which an attempt runs. */
 export interface AttemptLocation {
   readonly attemptId: string;
   readonly agentVm: string;
   readonly agentIncarnation: string;
 }
 
-/** An attempt of this answer, where it took over and where the next did. */
+/** An attempt that wrote part of the output, and the range that it wrote. */
 export interface LineageStep {
   readonly location: AttemptLocation;
   readonly beginPosition: number;
-  /** Positions below this came from this attempt or one before it. */
+  /** Positions below this were written by this attempt or an earlier one. */
   endPosition: number;
 }
 
-/** The answer so far, the attempts it came from and its readers. */
+/** The tokens so far, the attempts that generated them, and the readers. */
 export class OutputBuffer {
   readonly log: TokenLog;
   private readonly lineage: LineageStep[] = [];
-  private givenUp: Refusal | undefined;
-  private readonly readers = new Set<CopyReader>();
-  private holders = 0;
+  private failure: Refusal | undefined;
+  private readonly readers = new Set<BufferReader>();
+  private retainCount = 0;
   private unreadSinceMs: number;
 
   constructor(
@@ -53,17 +53,17 @@
   }
 
   get refusal(): Refusal | undefined {
-    return this.givenUp;
+    return this.failure;
   }
 
-  /** The attempt that writes now. */
+  /** The attempt that writes at present. */
   get location(): AttemptLocation | undefined {
     return this.lineage.at(-1)?.location;
   }
 
   /** Time without a reader in milliseconds; 0 while there is one. */
   unreadForMs(): number {
-    const inUse = this.readers.size + this.holders > 0;
+    const inUse = this.readers.size + this.retainCount > 0;
     return inUse ? 0 : this.options.now() - this.unreadSinceMs;
   }
 
@@ -74,24 +74,24 @@
     );
   }
 
-  /** A new attempt goes on from the end of the copy. */
-  beginAttempt(place: AttemptLocation): void {
-    this.addLineageStep({location: place, position: this.log.length});
+  /** Records a new attempt, which resumes from the end of the buffer. */
+  beginAttempt(location: AttemptLocation): void {
+    this.addLineageStep({location, position: this.log.length});
   }
 
-  /** What the copy holds and will hold is from this attempt on. */
-  resetLineage(place: AttemptLocation): void {
+  /** Attributes the tokens from position 0 on to this attempt alone. */
+  resetLineage(location: AttemptLocation): void {
     this.lineage.length = 0;
-    this.addLineageStep({location: place, position: 0});
+    this.addLineageStep({location, position: 0});
   }
 
-  /** An attempt that another entry recorded took over at a position. */
+  /** Records that an attempt took over at a position. */
   addLineageStep(options: {location: AttemptLocation; position: number}): void {
-    const {location: place, position} = options;
+    const {location, position} = options;
     const last = this.lineage.at(-1);
     if (last !== undefined) last.endPosition = position;
     const endPosition = Number.POSITIVE_INFINITY;
-    this.lineage.push({location: place, beginPosition: position, endPosition});
+    this.lineage.push({location, beginPosition: position, endPosition});
   }
 
   /** The attempts so far, in order. */
@@ -99,28 +99,28 @@
     return this.lineage;
   }
 
-  /** Keeps the copy in use until the result is called. */
+  /** Keeps the buffer in use until the returned function is called. */
   retain(): () => void {
-    this.holders++;
+    this.retainCount++;
     return () => {
-      this.holders--;
+      this.retainCount--;
       this.unreadSinceMs = this.options.now();
     };
   }
 
-  /** Whether a reader stands beyond what the copy holds. */
+  /** Whether a reader's position is beyond the end of the buffer. */
   hasReaderAhead(): boolean {
     return [...this.readers].some((reader) => reader.isAhead());
   }
 
-  /** Readers beyond the copy's end begin anew, told to discard. */
+  /** Restarts the readers beyond the end; their callers must discard. */
   restartReadersAhead(): void {
     for (const reader of this.readers) {
       if (reader.isAhead()) reader.restart();
     }
   }
 
-  /** Whether what a caller has of an attempt is the start of this copy. */
+  /** Whether the tokens that a caller received are a prefix of this buffer. */
   covers(options: {attemptId: string; position: number}): boolean {
     const {attemptId, position} = options;
     const step = this.lineage.findLast(
@@ -131,14 +131,14 @@
   }
 
   fail(refusal: Refusal): void {
-    this.givenUp = refusal;
+    this.failure = refusal;
     this.log.break();
   }
 
   /** Opens a reader that begins at a position. */
   read(options: {position: number; restarted: boolean}): AnswerReader {
-    const reader: CopyReader = new CopyReader({
-      copy: this,
+    const reader: BufferReader = new BufferReader({
+      buffer: this,
       ...options,
       onClose: () => {
         this.readers.delete(reader);
@@ -149,19 +149,19 @@
     return reader;
   }
 
-  /** The event identity of a position. */
+  /** Returns the event ID of a position. */
   eventIdAt(position: number): string {
     const {requestId, entryVm} = this.options;
-    const place = this.location ?? {
+    const location = this.location ?? {
       attemptId: 'none',
       agentVm: 'none',
       agentIncarnation: 'none',
     };
-    return encodeEventId({requestId, entryVm, position, ...place});
+    return encodeEventId({requestId, entryVm, position, ...location});
   }
 }
 
-/** What a reader that is closed reads. */
+/** The part that a closed reader returns. */
 const CLOSED_PART: AnswerPart = {
   kind: AnswerPartKind.REFUSED,
   refusal: {
@@ -171,7 +171,7 @@
   },
 };
 
-/** What a reader that claims more than the whole answer reads. */
+/** The part for a reader whose position is beyond the complete output. */
 const BEYOND_END_PART: AnswerPart = {
   kind: AnswerPartKind.REFUSED,
   refusal: {
@@ -181,7 +181,7 @@
   },
 };
 
-class CopyReader implements AnswerReader {
+class BufferReader implements AnswerReader {
   readonly requestId: string;
   private isRestarted: boolean;
   private position: number;
@@ -191,25 +191,25 @@
 
   constructor(
     private readonly options: {
-      copy: OutputBuffer;
+      buffer: OutputBuffer;
       restarted: boolean;
       position: number;
       onClose: () => void;
     },
   ) {
-    this.requestId = options.copy.requestId;
+    this.requestId = options.buffer.requestId;
     this.isRestarted = options.restarted;
     this.position = options.position;
-    this.unsubscribe = options.copy.log.subscribe(() => this.wake?.());
+    this.unsubscribe = options.buffer.log.subscribe(() => this.wake?.());
   }
 
   get restarted(): boolean {
     return this.isRestarted;
   }
 
-  /** Only before the first part: the copy never shrinks. */
+  /** True only before the first part is read, as the buffer never shrinks. */
   isAhead(): boolean {
-    return this.position > this.options.copy.log.length;
+    return this.position > this.options.buffer.log.length;
   }
 
   restart(): void {
@@ -238,8 +238,8 @@
   }
 
   private takePart(): AnswerPart | undefined {
-    const {copy} = this.options;
-    const {log} = copy;
+    const {buffer} = this.options;
+    const {log} = buffer;
     if (this.position < log.length) return this.takeTokens();
     if (log.state === LogState.RUNNING) return undefined;
     if (log.finishReason !== undefined) {
@@ -248,21 +248,21 @@
         kind: AnswerPartKind.FINISHED,
         finishReason: log.finishReason,
         completionTokens: log.length,
-        eventId: copy.eventIdAt(this.position),
+        eventId: buffer.eventIdAt(this.position),
       };
     }
-    if (copy.refusal === undefined) return undefined;
-    return {kind: AnswerPartKind.REFUSED, refusal: copy.refusal};
+    if (buffer.refusal === undefined) return undefined;
+    return {kind: AnswerPartKind.REFUSED, refusal: buffer.refusal};
   }
 
   private takeTokens(): AnswerPart {
-    const {copy} = this.options;
-    const tokens = copy.log.slice({
+    const {buffer} = this.options;
+    const tokens = buffer.log.slice({
       from: this.position,
       limit: MAX_TOKENS_PER_PART,
     });
     this.position += tokens.length;
-    const eventId = copy.eventIdAt(this.position);
+    const eventId = buffer.eventIdAt(this.position);
     return {kind: AnswerPartKind.TOKENS, tokens, eventId};
   }
 }
--- a/src/entry/generation/quarantine-sync.ts
+++ b/src/entry/generation/quarantine-sync.ts
@@ -1,4 +1,4 @@
-/** Shares requests that crash engines with all entries, over the store. */
+/** Shares quarantined requests with all entries through the object store. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
 import type {
   ObjectStore,
@@ -13,7 +13,7 @@
 
 const KIND = ObjectKind.QUARANTINE;
 
-/** Keeps this entry's quarantine and the store's the same. */
+/** Keeps this entry's quarantine and the store in sync. */
 export class QuarantineSync {
   private handle: WatchHandle | undefined;
   private closed = false;
@@ -31,11 +31,13 @@
   ) {}
 
   open(): void {
-    this.options.quarantine.subscribe((fingerprint, culprit) => {
-      this.options.logger.info('request quarantined', {fingerprint});
-      if (!this.stored.has(fingerprint)) this.share(fingerprint, culprit);
+    this.options.quarantine.subscribe((fingerprint, record) => {
+      this.options.logger.info('request quarantined: it crashed engines', {
+        fingerprint,
+      });
+      if (!this.stored.has(fingerprint)) this.upload(fingerprint, record);
     });
-    this.list();
+    this.load();
   }
 
   close(): void {
@@ -44,51 +46,51 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  private list(): void {
+  private load(): void {
     if (this.closed) return;
     void this.options.store.list({kind: KIND}).match(
-      (objects) => this.take(objects),
-      () => this.later(() => this.list()),
+      (objects) => this.applyList(objects),
+      () => this.scheduleRetry(() => this.load()),
     );
   }
 
-  private take(objects: readonly StoredObject[]): void {
-    for (const {name, value} of objects) this.learn(name, value);
+  private applyList(objects: readonly StoredObject[]): void {
+    for (const {name, value} of objects) this.applyObject(name, value);
     const since = Math.max(0, ...objects.map((object) => object.version));
     if (this.closed) return;
     this.handle = this.options.store.watch({
       kind: KIND,
       since,
-      onEvent: ({name, value}) => this.learn(name, value),
-      onClosed: () => this.later(() => this.list()),
+      onEvent: ({name, value}) => this.applyObject(name, value),
+      onClosed: () => this.scheduleRetry(() => this.load()),
     });
   }
 
-  private learn(fingerprint: string, value: unknown): void {
+  private applyObject(fingerprint: string, value: unknown): void {
     if (value === undefined) {
       this.stored.delete(fingerprint);
       this.options.quarantine.remove(fingerprint);
       return;
     }
     this.stored.add(fingerprint);
-    CULPRIT.decode(value).ifRight((culprit) =>
-      this.options.quarantine.add({fingerprint, culprit}),
+    CULPRIT.decode(value).ifRight((record) =>
+      this.options.quarantine.add({fingerprint, culprit: record}),
     );
   }
 
-  /** Writes until the store holds it; a lost answer is written again. */
-  private share(name: string, culprit: Culprit): void {
+  /** Retries until the store has the record, also after a lost response. */
+  private upload(name: string, record: Culprit): void {
     if (this.closed) return;
-    void this.options.store.create({kind: KIND, name, value: culprit}).match(
+    void this.options.store.create({kind: KIND, name, value: record}).match(
       () => void this.stored.add(name),
       (err) => {
         if (err.kind === StoreErrorKind.EXISTS) return;
-        this.later(() => this.share(name, culprit));
+        this.scheduleRetry(() => this.upload(name, record));
       },
     );
   }
 
-  private later(run: () => void): void {
+  private scheduleRetry(run: () => void): void {
     if (this.closed) return;
     const timer = this.options.clock.schedule({
       delayMs: QUARANTINE_RETRY_MS,
--- a/src/entry/generation/remote-output-link.ts
+++ b/src/entry/generation/remote-output-link.ts
@@ -1,4 +1,4 @@
-/** Follows the copy of one answer at another entry. */
+/** Reads the buffered output of one generation from another entry. */
 import {connect} from 'node:net';
 
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
@@ -14,7 +14,7 @@
 import type {AttemptLink} from './attempt-link.js';
 import {REMOTE_OUTPUT_TIMEOUT_MS} from './consts.js';
 
-/** A connection that is opened for one answer and closed with it. */
+/** A connection that serves one generation and is closed with it. */
 export class RemoteOutputLink implements AttemptLink, ConnectionListener {
   private connection: PeerConnection | undefined;
   private handler: LinkHandler | undefined;
@@ -44,18 +44,18 @@
       clock,
       listener: this,
     });
-    this.expectWord();
+    this.resetSilenceTimer();
     return true;
   }
 
   send(): void {
-    // The other entry needs no word: the connection's end tells it all.
+    // Nothing to send: the other entry stops when the connection closes.
   }
 
   release(): void {
     this.handler = undefined;
     this.timer?.cancel();
-    this.connection?.destroy('the copy is no longer needed');
+    this.connection?.destroy('the output is no longer needed');
   }
 
   onReady(): void {
@@ -65,7 +65,7 @@
   onMessage(message: Message): void {
     const {handler} = this;
     if (handler === undefined) return;
-    this.expectWord();
+    this.resetSilenceTimer();
     switch (message.type) {
       case MessageType.LINEAGE:
         handler.onLineage?.(message);
@@ -85,22 +85,22 @@
   }
 
   onDrain(): void {
-    // One small message is sent; nothing waits for a drain.
+    // Only one small message is sent, so no send waits for a drain.
   }
 
   onClose(): void {
-    this.lose(RetryReason.AGENT_GONE);
+    this.fail(RetryReason.AGENT_GONE);
   }
 
-  private expectWord(): void {
+  private resetSilenceTimer(): void {
     this.timer?.cancel();
     this.timer = this.options.clock.schedule({
       delayMs: REMOTE_OUTPUT_TIMEOUT_MS,
-      run: () => this.lose(RetryReason.AGENT_SILENT),
+      run: () => this.fail(RetryReason.AGENT_SILENT),
     });
   }
 
-  private lose(reason: RetryReason): void {
+  private fail(reason: RetryReason): void {
     const {handler} = this;
     this.release();
     handler?.onLost(reason);
--- a/src/entry/generation/run-refusals.ts
+++ b/src/entry/generation/run-refusals.ts
@@ -1,9 +1,9 @@
-/** What callers are told when a generation is given up. */
+/** Refusals that callers receive when a generation fails. */
 import type {Refusal} from '../../core/errors/index.js';
 import {Ran, RefusalReason} from '../../core/errors/index.js';
 import {RETRY_AFTER_MS} from '../consts.js';
 
-/** The deadline came before the end. */
+/** The deadline passed before the output was complete. */
 export function deadlineExceeded(started: boolean): Refusal {
   return {
     reason: RefusalReason.DEADLINE_EXCEEDED,
@@ -13,7 +13,7 @@
   };
 }
 
-/** Too many attempts in a row were lost without a new token. */
+/** Too many consecutive attempts produced no token. */
 export function tooManyAttempts(attempts: number): Refusal {
   return {
     reason: RefusalReason.TARGET_FAILED,
@@ -23,25 +23,25 @@
   };
 }
 
-/** The request crashed its engines. */
+/** The request crashed the engines that ran it. */
 export function poisonRequestDetected(): Refusal {
   const detail = 'this request crashed the engines that ran it';
   return {reason: RefusalReason.POISON, ran: Ran.YES, detail};
 }
 
-/** The request is known to crash engines, and was not sent to one. */
+/** The request is quarantined and was not sent to an engine. */
 export function poisonRequestQuarantined(): Refusal {
   const detail = 'this request is known to crash engines';
   return {reason: RefusalReason.POISON, ran: Ran.NO, detail};
 }
 
-/** Nobody reads the answer any more, or it is replaced. */
+/** The output has no reader any more, or was replaced by another buffer. */
 export function outputDiscarded(): Refusal {
   const detail = 'the answer is no longer kept here';
   return {reason: RefusalReason.ANSWER_LOST, ran: Ran.UNKNOWN, detail};
 }
 
-/** A target refused, and the service may not try again elsewhere. */
+/** A target refused and the service has no retry budget left. */
 export function retryBudgetSpent(): Refusal {
   return {
     reason: RefusalReason.RETRY_BUDGET_SPENT,
--- a/src/entry/generation/run-types.ts
+++ b/src/entry/generation/run-types.ts
@@ -1,4 +1,4 @@
-/** Shapes that the parts of a generation's run share. */
+/** Types shared by the modules that run a generation. */
 import type {RetryBudgets} from '../../core/admission/index.js';
 import type {Clock, RandomSource} from '../../core/clock/index.js';
 import type {GenerationSpec} from '../../core/edges/index.js';
@@ -9,7 +9,7 @@
 import type {AttemptLocation} from './output-buffer.js';
 import type {AttemptLink} from './attempt-link.js';
 
-/** What a run has to bring about. */
+/** A generation to run. */
 export interface GenerationTask {
   readonly requestId: string;
   readonly clientAccount: string;
@@ -19,11 +19,11 @@
   readonly service: string;
   readonly retryRatio: number;
   readonly spec: GenerationSpec;
-  /** On the process's clock. */
+  /** On the monotonic clock of this process. */
   readonly deadlineAtMs: number;
 }
 
-/** What runs need of their entry. */
+/** What a run uses of its entry. */
 export interface GenerationDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -36,16 +36,16 @@
   readonly quarantine: Quarantine;
 }
 
-/** An attempt and the link over which it is followed. */
+/** An attempt and the link that delivers its messages. */
 export interface OpenAttempt {
   readonly location: AttemptLocation;
   readonly link: AttemptLink;
 }
 
-/** Where the answer so far may be had from. */
+/** An agent or entry from which the output so far can be read. */
 export interface OutputSource {
   readonly link: AttemptLink;
   readonly location: AttemptLocation;
-  /** What the source is to have, or the position to send from. */
+  /** At an agent, the position to send from; at an entry, the least length. */
   readonly position: number;
 }
--- a/src/entry/generation/target-outcomes.ts
+++ b/src/entry/generation/target-outcomes.ts
@@ -1,18 +1,18 @@
-/** Tells the routing how attempts fare at their targets. */
+/** Reports the outcomes of attempts at their targets to the routing. */
 import type {FailureWatch} from '../../core/routing/index.js';
 import type {OpenAttempt} from './run-types.js';
 
-/** Each attempt counts once, by its first tokens or by having none. */
+/** Counts each attempt once, by its first tokens or its failure before any. */
 export class TargetOutcomes {
-  private notedId = '';
+  private recordedAttemptId = '';
 
   constructor(private readonly failures: FailureWatch) {}
 
   record(attempt: OpenAttempt | undefined, failed: boolean): void {
     if (attempt === undefined) return;
     const {attemptId} = attempt.location;
-    if (this.notedId === attemptId) return;
-    this.notedId = attemptId;
+    if (this.recordedAttemptId === attemptId) return;
+    this.recordedAttemptId = attemptId;
     this.failures.note({vm: attempt.link.vm, failed});
   }
 }
--- a/src/entry/generation/token-meter.ts
+++ b/src/entry/generation/token-meter.ts
@@ -1,4 +1,4 @@
-/** Measures the gaps between the tokens of one answer. */
+/** Measures the gaps between the tokens of one generation. */
 import type {Clock} from '../../core/clock/index.js';
 import type {Metrics} from '../../core/metrics/index.js';
 import {CounterName, LatencyName} from '../../core/metrics/index.js';
@@ -8,18 +8,18 @@
   private lastTokenAtMs: number;
   private lostAtMs: number | undefined;
   private placedAtMs = 0;
-  private any = false;
+  private hasTokens = false;
 
   constructor(private readonly options: {clock: Clock; metrics: Metrics}) {
     this.lastTokenAtMs = options.clock.now();
   }
 
-  /** The next token follows a loss; the first of several losses counts. */
+  /** Records that the attempt was lost; the first of several losses counts. */
   recordLoss(): void {
     this.lostAtMs ??= this.options.clock.now();
   }
 
-  /** A target was asked for the next token; the last one asked counts. */
+  /** Records that an attempt was sent to a target; the last one counts. */
   recordPlacement(): void {
     this.placedAtMs = this.options.clock.now();
   }
@@ -29,17 +29,17 @@
     const nowMs = clock.now();
     metrics.count(CounterName.TOKENS_RELAYED, {by: count});
     metrics.observe({name: this.latencyName(), ms: nowMs - this.lastTokenAtMs});
-    if (this.any && this.lostAtMs !== undefined) {
+    if (this.hasTokens && this.lostAtMs !== undefined) {
       this.observeResume(this.lostAtMs, nowMs);
     }
     this.lastTokenAtMs = nowMs;
     this.lostAtMs = undefined;
-    this.any = true;
+    this.hasTokens = true;
   }
 
   private observeResume(lostAtMs: number, nowMs: number): void {
     const {metrics} = this.options;
-    // A second attempt may have been placed before the loss was noticed.
+    // A hedged attempt may have been sent before the loss was detected.
     const placedAtMs = Math.max(lostAtMs, this.placedAtMs);
     metrics.observe({
       name: LatencyName.RESUME_DETECTION,
@@ -56,7 +56,7 @@
   }
 
   private latencyName(): LatencyName {
-    if (!this.any) return LatencyName.FIRST_TOKEN;
+    if (!this.hasTokens) return LatencyName.FIRST_TOKEN;
     return this.lostAtMs === undefined
       ? LatencyName.TOKEN_GAP
       : LatencyName.RESUME;
