--- a/src/entry/config/config-activator.ts
+++ b/src/entry/config/config-activator.ts
@@ -1,4 +1,4 @@
-/** Brings the highest version that this entry has met into force. */
+/** Activates the highest configuration version that this entry received. */
 import {Just} from 'purify-ts';
 
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
@@ -15,13 +15,13 @@
 import type {EntryBoard} from '../entry-board.js';
 
 /**
- * Holds the highest version and puts it on the board. What peers tell comes
- * into force once the platform has answered, or once a first look has given
- * several peers the time to tell theirs.
+ * Holds the highest version and writes it to the board. A version received
+ * from a peer is activated only after the platform has responded, or after
+ * `INITIAL_PEER_WAIT_MS`, in which several peers can send theirs.
  */
 export class ConfigActivator {
   readonly holder = new ConfigHolder();
-  private open = false;
+  private activationAllowed = false;
   private timer: TimerHandle | undefined;
 
   constructor(
@@ -37,7 +37,7 @@
   start(): void {
     this.timer = this.options.clock.schedule({
       delayMs: INITIAL_PEER_WAIT_MS,
-      run: () => this.openDoors(),
+      run: () => this.allowActivation(),
     });
   }
 
@@ -51,54 +51,59 @@
     return clock.now() - board.configConfirmedAtMs.get();
   }
 
-  /** The platform's word: it confirms what this entry holds. */
-  receiveFromPlatform(news: ConfigNews): void {
-    const isNew = this.holder.offer(news);
-    if (news.version >= this.holder.version) this.recordConfirmation(0);
-    this.openDoors();
-    if (isNew) this.bringIntoForce();
+  /** Handles a version read from the platform, which also confirms it. */
+  receiveFromPlatform(update: ConfigNews): void {
+    const isNew = this.holder.offer(update);
+    if (update.version >= this.holder.version) this.recordConfirmation(0);
+    this.allowActivation();
+    if (isNew) this.activate();
   }
 
-  /** A peer's word, and how old its own news is. */
-  receiveFromPeer(news: ConfigNews, ageMs: number): void {
-    const isNew = this.holder.offer(news);
-    if (news.version >= this.holder.version) this.recordConfirmation(ageMs);
-    if (isNew && this.open) this.bringIntoForce();
+  /** Handles a peer's version, which the platform confirmed `ageMs` ago. */
+  receiveFromPeer(update: ConfigNews, ageMs: number): void {
+    const isNew = this.holder.offer(update);
+    if (update.version >= this.holder.version) this.recordConfirmation(ageMs);
+    if (isNew && this.activationAllowed) this.activate();
   }
 
-  /** The platform still answers for the version that this entry holds. */
+  /** Records that the platform confirmed the held version `ageMs` ago. */
   recordConfirmation(ageMs: number): void {
     const {board, clock} = this.options;
-    const heardAtMs = clock.now() - ageMs;
+    const confirmedAtMs = clock.now() - ageMs;
     board.configConfirmedAtMs.set(
-      Math.max(board.configConfirmedAtMs.get(), heardAtMs),
+      Math.max(board.configConfirmedAtMs.get(), confirmedAtMs),
     );
   }
 
-  private openDoors(): void {
-    if (this.open) return;
-    this.open = true;
+  private allowActivation(): void {
+    if (this.activationAllowed) return;
+    this.activationAllowed = true;
     this.timer?.cancel();
-    this.bringIntoForce();
+    this.activate();
   }
 
-  private bringIntoForce(): void {
+  private activate(): void {
     const {board, site, logger, metrics} = this.options;
     const {version, value} = this.holder.news;
     const before = board.config.get().extract()?.version ?? 0;
     if (version <= before) return;
     const stored = resolveStoredConfig(value).extract();
     if (stored === undefined) {
-      logger.error('configuration of unknown shape', {version});
+      logger.error('stored configuration not activated: unknown format', {
+        version,
+      });
       return;
     }
     resolveSiteConfig({document: stored.document, site}).match(
       (cfg) => {
         board.config.set(Just({version, cfg}));
         metrics.count(CounterName.CONFIG_CHANGES);
-        logger.info('configuration in force', {version, before});
+        logger.info('configuration activated', {version, before});
       },
-      (err) => logger.error('configuration refused', {detail: err.detail}),
+      (err) =>
+        logger.error('configuration rejected: active version unchanged', {
+          detail: err.detail,
+        }),
     );
   }
 }
--- a/src/entry/config/config-controller.ts
+++ b/src/entry/config/config-controller.ts
@@ -1,4 +1,4 @@
-/** Ties together what brings configurations to an entry. */
+/** Connects the components that distribute the configuration to an entry. */
 import type {Clock, RandomSource} from '../../core/clock/index.js';
 import type {
   ConfigMember,
@@ -15,7 +15,7 @@
 import {ConfigSource} from './config-source.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** What the controllers are built of. */
+/** Dependencies of the configuration components. */
 export interface ConfigControllerOptions {
   readonly board: EntryBoard;
   readonly clock: Clock;
@@ -31,24 +31,28 @@
 
 /** Keeps the board's configuration at the highest accepted version. */
 export class ConfigController {
-  private readonly force: ConfigActivator;
+  private readonly activator: ConfigActivator;
   private readonly source: ConfigSource;
   private readonly exchange: ConfigExchange;
   private readonly peers: ConfigPeers;
   private readonly election: ConfigElection;
 
   constructor(options: ConfigControllerOptions) {
-    this.force = new ConfigActivator(options);
-    const {force} = this;
-    this.source = new ConfigSource({...options, force});
-    this.exchange = new ConfigExchange({...options, ...options.self, force});
+    this.activator = new ConfigActivator(options);
+    const {activator} = this;
+    this.source = new ConfigSource({...options, activator});
+    this.exchange = new ConfigExchange({
+      ...options,
+      ...options.self,
+      activator,
+    });
     this.peers = new ConfigPeers({...options, exchange: this.exchange});
     const {source, peers} = this;
-    this.election = new ConfigElection({...options, force, source, peers});
+    this.election = new ConfigElection({...options, activator, source, peers});
   }
 
   open(): void {
-    this.force.start();
+    this.activator.start();
     this.exchange.open();
     this.election.open();
   }
@@ -58,25 +62,25 @@
     this.peers.close();
     this.exchange.close();
     this.source.stop();
-    this.force.stop();
+    this.activator.stop();
   }
 
-  /** What an agent says it holds, over its link. */
-  receiveFromAgent(news: ConfigNews, ageMs: number): void {
-    this.force.receiveFromPeer(news, ageMs);
+  /** Handles the version that an agent sent over its link. */
+  receiveFromAgent(update: ConfigNews, ageMs: number): void {
+    this.activator.receiveFromPeer(update, ageMs);
   }
 
   /** The highest version that this entry holds. */
   latest(): ConfigNews {
-    return this.force.holder.news;
+    return this.activator.holder.news;
   }
 
   /** Time since the platform last confirmed it, in milliseconds. */
   ageMs(): number {
-    return this.force.ageMs();
+    return this.activator.ageMs();
   }
 
-  /** Entries that hear the configuration from this one. */
+  /** The entries that receive the configuration from this one. */
   subscriberStatuses(): PeerStatus[] {
     return this.exchange.subscriberStatuses();
   }
--- a/src/entry/config/config-election.ts
+++ b/src/entry/config/config-election.ts
@@ -1,4 +1,4 @@
-/** Decides whether this entry watches the platform, and whom it hears. */
+/** Decides whether this entry watches the platform and which peers it uses. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import type {ConfigMember} from '../../core/config/distribution/index.js';
 import {
@@ -19,7 +19,7 @@
 } from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** Elects again and again from the VM list and the peers that speak. */
+/** Periodically elects from the VM list and the peers that are not silent. */
 export class ConfigElection {
   private timer: TimerHandle | undefined;
   private electedAtMs = 0;
@@ -31,7 +31,7 @@
       clock: Clock;
       random: RandomSource;
       self: ConfigMember;
-      force: ConfigActivator;
+      activator: ConfigActivator;
       source: ConfigSource;
       peers: ConfigPeers;
     },
@@ -66,18 +66,18 @@
     const entries = board.vms.get().filter(isLiveEntry);
     const silent = peers.findSilent(SILENT_PEER_RETRY_MS);
     const others = entries.filter(({name}) => name !== self.vm);
-    const heard = others.filter(({name}) => !silent.has(name));
-    const members = [self, ...heard.map(toMember)];
+    const responsive = others.filter(({name}) => !silent.has(name));
+    const members = [self, ...responsive.map(toMember)];
     const watchers = electWatchers({dataCentre: self.dataCentre, members});
     source.setWatching(watchers.includes(self.vm));
     const chosen = new Set(selectConfigPeers({self, members}));
     peers.setPeers(others.filter(({name}) => chosen.has(name)));
   }
 
-  /** Where no watcher's word is fresh, this entry asks the platform itself. */
+  /** Reads from the platform itself if no watcher confirmed recently. */
   private readIfStale(): void {
-    const {force, source, random} = this.options;
-    if (force.ageMs() < CONFIG_STALE_MS) return;
+    const {activator, source, random} = this.options;
+    if (activator.ageMs() < CONFIG_STALE_MS) return;
     if (source.sinceReadMs() < this.readDelayMs) return;
     this.readDelayMs = MAX_CONFIG_READ_PERIOD_MS * (0.5 + random.float() / 2);
     source.refresh();
--- a/src/entry/config/config-exchange.ts
+++ b/src/entry/config/config-exchange.ts
@@ -1,4 +1,4 @@
-/** Passes configurations between entries, and hears what each runs. */
+/** Exchanges configurations, and reports of their versions, between entries. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
 import {ExchangeStep} from '../../core/config/distribution/index.js';
 import type {PeerStatus} from '../../core/edges/index.js';
@@ -13,12 +13,12 @@
 import {CONFIG_ANNOUNCE_PERIOD_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** A connection to a process that takes part. */
+/** A connection to a process that takes part in the exchange. */
 export interface ConfigPeer {
   send(message: Message): boolean;
 }
 
-/** Tells what this entry holds and answers what others tell. */
+/** Announces this entry's version and responds to those of peers. */
 export class ConfigExchange {
   private readonly subscribers = new Map<ConfigPeer, ConfigReportMessage>();
   private readonly publishers = new Set<ConfigPeer>();
@@ -29,16 +29,18 @@
       board: EntryBoard;
       clock: Clock;
       router: MessageRouter;
-      force: ConfigActivator;
+      activator: ConfigActivator;
       vm: string;
       dataCentre: string;
     },
   ) {
     const {router, board} = options;
     router.on(MessageType.CONFIG, (m, peer) => this.handleConfig(m, peer));
-    router.on(MessageType.CONFIG_REPORT, (m, peer) => this.hearReport(m, peer));
+    router.on(MessageType.CONFIG_REPORT, (m, peer) =>
+      this.handleReport(m, peer),
+    );
     router.onClose((peer) => void this.subscribers.delete(peer));
-    board.config.subscribe(() => this.spread());
+    board.config.subscribe(() => this.propagate());
   }
 
   open(): void {
@@ -52,7 +54,7 @@
     this.timer?.cancel();
   }
 
-  /** Begins to hear the configuration from a peer. */
+  /** Starts to receive the configuration from a peer. */
   subscribeTo(peer: ConfigPeer): void {
     this.publishers.add(peer);
     peer.send(this.createReport());
@@ -62,12 +64,12 @@
     this.publishers.delete(peer);
   }
 
-  /** What a peer says it holds; sent whole where it is newer. */
+  /** Handles a peer's version; sends back this entry's if that is newer. */
   handleConfig(message: ConfigMessage, peer: ConfigPeer): void {
-    const {force} = this.options;
+    const {activator} = this.options;
     const {version, value, ageMs} = message;
-    const step = force.holder.resolveStep({version, value});
-    force.receiveFromPeer({version, value}, ageMs);
+    const step = activator.holder.resolveStep({version, value});
+    activator.receiveFromPeer({version, value}, ageMs);
     if (step === ExchangeStep.SEND) peer.send(this.createConfig());
     if (step === ExchangeStep.ASK) peer.send(this.createReport());
   }
@@ -82,15 +84,15 @@
     }));
   }
 
-  private hearReport(report: ConfigReportMessage, peer: ConfigPeer): void {
+  private handleReport(report: ConfigReportMessage, peer: ConfigPeer): void {
     this.subscribers.set(peer, report);
-    const {version: held} = this.options.force.holder;
-    if (report.version < held) peer.send(this.createConfig());
+    const {version: heldVersion} = this.options.activator.holder;
+    if (report.version < heldVersion) peer.send(this.createConfig());
     else peer.send(this.createAnnouncement());
   }
 
-  /** Sends a new version down and reports it up. */
-  private spread(): void {
+  /** Sends a new version to subscribers and reports it to publishers. */
+  private propagate(): void {
     const config = this.createConfig();
     for (const [peer, {version}] of this.subscribers) {
       if (version < config.version) peer.send(config);
@@ -105,8 +107,8 @@
   }
 
   private createConfig(): ConfigMessage {
-    const {version, value} = this.options.force.holder.news;
-    const ageMs = this.options.force.ageMs();
+    const {version, value} = this.options.activator.holder.news;
+    const ageMs = this.options.activator.ageMs();
     return {type: MessageType.CONFIG, version, value, ageMs};
   }
 
@@ -115,8 +117,8 @@
   }
 
   private createReport(): ConfigReportMessage {
-    const {vm, dataCentre, force} = this.options;
+    const {vm, dataCentre, activator} = this.options;
     const type = MessageType.CONFIG_REPORT;
-    return {type, vm, dataCentre, version: force.holder.version};
+    return {type, vm, dataCentre, version: activator.holder.version};
   }
 }
--- a/src/entry/config/config-peers.ts
+++ b/src/entry/config/config-peers.ts
@@ -1,4 +1,4 @@
-/** Links to the entries from which this one hears the configuration. */
+/** Links to the entries from which this one receives the configuration. */
 import type {Clock, RandomSource} from '../../core/clock/index.js';
 import type {VmRecord} from '../../core/edges/index.js';
 import type {HelloMessage, Message} from '../../core/protocol/index.js';
@@ -9,14 +9,14 @@
 interface PeerLink {
   readonly record: VmRecord;
   readonly client: PeerClient;
-  /** When it last spoke, or when the link was made. */
+  /** Time of its last message, or of the creation of the link. */
   lastReceivedAtMs: number;
 }
 
-/** Follows a set of peers and tells which of them are silent. */
+/** Keeps links to a set of peers and detects which of them are silent. */
 export class ConfigPeers {
   private readonly links = new Map<string, PeerLink>();
-  /** When a peer was found silent; it is tried again later. */
+  /** When a peer was last found silent; it is retried later. */
   private readonly silentAtMs = new Map<string, number>();
 
   constructor(
@@ -35,8 +35,8 @@
   /** Peers that were silent within the last `withinMs`. */
   findSilent(withinMs: number): ReadonlySet<string> {
     const nowMs = this.options.clock.now();
-    for (const [vm, {lastReceivedAtMs: heardAtMs}] of this.links) {
-      if (nowMs - heardAtMs > PEER_SILENCE_TIMEOUT_MS)
+    for (const [vm, {lastReceivedAtMs}] of this.links) {
+      if (nowMs - lastReceivedAtMs > PEER_SILENCE_TIMEOUT_MS)
         this.silentAtMs.set(vm, nowMs);
     }
     for (const [vm, atMs] of this.silentAtMs) {
@@ -45,7 +45,7 @@
     return new Set(this.silentAtMs.keys());
   }
 
-  /** Starts the measure of silence anew, after a pause of this process. */
+  /** Restarts the silence timers after a pause of this process. */
   resetSilence(): void {
     const nowMs = this.options.clock.now();
     for (const link of this.links.values()) link.lastReceivedAtMs = nowMs;
@@ -56,7 +56,7 @@
     const wanted = new Map(records.map((record) => [record.name, record]));
     for (const [vm, link] of this.links) {
       const record = wanted.get(vm);
-      if (record !== undefined && isSamePlace(record, link.record)) continue;
+      if (record !== undefined && isSameAddress(record, link.record)) continue;
       link.client.stop();
       this.links.delete(vm);
     }
@@ -91,6 +91,6 @@
   }
 }
 
-function isSamePlace(a: VmRecord, b: VmRecord): boolean {
+function isSameAddress(a: VmRecord, b: VmRecord): boolean {
   return a.address === b.address && a.peerPort === b.peerPort;
 }
--- a/src/entry/config/config-source.ts
+++ b/src/entry/config/config-source.ts
@@ -1,11 +1,11 @@
-/** Hears the platform's configuration: by a watch, or by reading now and then. */
+/** Gets the configuration from the platform, by a watch or by single reads. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import {CONFIG_OBJECT} from '../../core/config/index.js';
 import type {ObjectStore, WatchHandle} from '../../core/edges/index.js';
 import type {ConfigActivator} from './config-activator.js';
 import {CONFIG_RETRY_MS} from '../consts.js';
 
-/** Reads at the start; watches while it is elected to. */
+/** Reads once at the start, and watches while this entry is elected. */
 export class ConfigSource {
   private watch: WatchHandle | undefined;
   private retryTimer: TimerHandle | undefined;
@@ -19,13 +19,13 @@
       clock: Clock;
       random: RandomSource;
       store: ObjectStore;
-      force: ConfigActivator;
+      activator: ConfigActivator;
     },
   ) {}
 
   stop(): void {
     this.stopped = true;
-    this.endWatch();
+    this.stopWatch();
   }
 
   /** Time since the last read began, in milliseconds. */
@@ -33,15 +33,15 @@
     return this.options.clock.now() - this.readAtMs;
   }
 
-  /** Begins or ends to watch. */
+  /** Starts or stops the watch. */
   setWatching(watching: boolean): void {
     if (watching === this.watching) return;
     this.watching = watching;
     if (watching) this.refresh();
-    else this.endWatch();
+    else this.stopWatch();
   }
 
-  /** Reads once, and watches from there on where it should. */
+  /** Reads once, and then watches from that version if elected. */
   refresh(): void {
     if (this.reading || this.stopped) return;
     const {clock, store} = this.options;
@@ -53,8 +53,8 @@
         (found) => {
           const version = found.map((object) => object.version).orDefault(0);
           const value = found.map((object) => object.value).orDefault(null);
-          this.options.force.receiveFromPlatform({version, value});
-          this.follow(version);
+          this.options.activator.receiveFromPlatform({version, value});
+          this.startWatch(version);
         },
         () => this.retry(),
       )
@@ -63,18 +63,19 @@
       });
   }
 
-  private follow(since: number): void {
+  private startWatch(since: number): void {
     if (!this.watching || this.stopped) return;
-    this.endWatch();
+    this.stopWatch();
     this.watch = this.options.store.watch({
       kind: CONFIG_OBJECT.kind,
       since,
       onEvent: ({name, version, value}) => {
         if (name !== CONFIG_OBJECT.name || value === undefined) return;
-        this.options.force.receiveFromPlatform({version, value});
+        this.options.activator.receiveFromPlatform({version, value});
       },
-      onAlive: () => this.options.force.recordConfirmation(0),
-      // Closed or compacted: what was missed is found by reading again.
+      onAlive: () => this.options.activator.recordConfirmation(0),
+      // The watch closed or its history was compacted: read again, as
+      // changes may have been missed.
       onClosed: () => this.retry(),
     });
   }
@@ -89,7 +90,7 @@
     });
   }
 
-  private endWatch(): void {
+  private stopWatch(): void {
     this.retryTimer?.cancel();
     this.watch?.close();
     this.watch = undefined;
