--- a/src/entry/calls/agent-call.ts
+++ b/src/entry/calls/agent-call.ts
@@ -1,4 +1,4 @@
-/** One question to one agent, and its answer. */
+/** One request to one agent, and its response. */
 import {err, ok, ResultAsync} from 'neverthrow';
 import type {Result} from 'neverthrow';
 
@@ -12,15 +12,15 @@
 } from '../../core/protocol/index.js';
 import type {AgentLink} from '../links/agent-link.js';
 
-/** Why a question got no answer. */
+/** Why a request got no response. */
 export enum CallErrorKind {
   /** Nothing was sent. */
   NOT_SENT = 'not_sent',
-  /** The agent refused; `refusal` tells whether it ran. */
+  /** The agent refused; `refusal.ran` states whether the call ran. */
   REFUSED = 'refused',
-  /** Sent; the connection was lost before an answer. */
+  /** Sent; the connection was lost before a response. */
   LOST = 'lost',
-  /** Sent; no answer in time. */
+  /** Sent; no response in time. */
   TIMEOUT = 'timeout',
 }
 
@@ -30,19 +30,19 @@
   readonly refusal?: Refusal;
 }
 
-/** An agent's answer: an outcome, or what it knows of a key. */
+/** An agent's response: the target's response, or the state of a key. */
 export interface AgentCallResult {
   readonly response?: PlainResponse;
   readonly keyPhase?: KeyPhase;
-  /** Incarnation that speaks of the key. */
+  /** Incarnation that reported the state of the key. */
   readonly incarnation?: string;
 }
 
 /**
- * Asks an agent and waits for its answer.
+ * Sends a call or a key query to an agent and waits for the response.
  *
  * @example
- * askAgent({link, message: call, timeoutMs: 500, clock}).map(use);
+ * callAgent({link, message: call, timeoutMs: 500, clock}).map(use);
  */
 export function callAgent(options: {
   link: AgentLink;
@@ -50,10 +50,12 @@
   timeoutMs: number;
   clock: Clock;
 }): ResultAsync<AgentCallResult, CallError> {
-  return new ResultAsync(new Promise((resolve) => ask(options, resolve)));
+  return new ResultAsync(
+    new Promise((resolve) => sendAndWait(options, resolve)),
+  );
 }
 
-function ask(
+function sendAndWait(
   options: Parameters<typeof callAgent>[0],
   resolve: (result: Result<AgentCallResult, CallError>) => void,
 ): void {
--- a/src/entry/calls/booking-agents.ts
+++ b/src/entry/calls/booking-agents.ts
@@ -1,4 +1,4 @@
-/** Words with agents about one booking. */
+/** Calls and key queries of one booking. */
 import type {
   AgentPlace,
   AgentResult,
@@ -15,16 +15,16 @@
 import {createCall} from './plain-request.js';
 import type {PlainCallDeps} from './plain-service.js';
 
-/** Sends a booking and asks for it. */
+/** Sends a booking to an agent, and queries the state of its key. */
 export class BookingAgents {
   constructor(
     private readonly request: ResolvedPlain,
-    private readonly parts: PlainCallDeps,
+    private readonly deps: PlainCallDeps,
   ) {}
 
-  /** The target that a new claim would name; never the VM `except`. */
+  /** Chooses the target of a new claim; never the VM `except`. */
   choose(except: string | undefined): AgentPlace | undefined {
-    const {chooser, links, dataCentre} = this.parts;
+    const {chooser, links, dataCentre} = this.deps;
     const service = this.request.service.name;
     const exclude = except === undefined ? [] : [except];
     const query = {service, exclude, dataCentre, prefix: ''};
@@ -39,9 +39,9 @@
     timeoutMs: number;
   }): Promise<AgentResult> {
     const {place, claimedAtMs, timeoutMs} = options;
-    const {links, random, clock} = this.parts;
+    const {links, random, clock} = this.deps;
     const link = links.find(place.vm);
-    if (link === undefined || !speaksAs(link, place)) {
+    if (link === undefined || !hasIncarnation(link, place)) {
       return {word: AgentWord.NOT_SENT};
     }
     const call = createCall({
@@ -52,8 +52,8 @@
       deadlineMs: timeoutMs,
     });
     const message = {...call, claimedAtMs};
-    const answer = await callAgent({link, message, timeoutMs, clock});
-    return answer.match((value) => wordOfAnswer(value, place), toResult);
+    const result = await callAgent({link, message, timeoutMs, clock});
+    return result.match((value) => toAgentResult(value, place), toErrorResult);
   }
 
   async queryKey(options: {
@@ -61,11 +61,11 @@
     timeoutMs: number;
   }): Promise<AgentResult> {
     const {place, timeoutMs} = options;
-    const {links, random, clock} = this.parts;
+    const {links, random, clock} = this.deps;
     const link = links.find(place.vm);
     if (link === undefined) return {word: AgentWord.GONE};
     if (!link.isConnected()) return {word: AgentWord.NOT_SENT};
-    if (!speaksAs(link, place)) return {word: AgentWord.GONE};
+    if (!hasIncarnation(link, place)) return {word: AgentWord.GONE};
     const waitMs = Math.max(0, timeoutMs - KEY_QUERY_RESPONSE_MARGIN_MS);
     const message = {
       type: MessageType.ASK_KEY as const,
@@ -76,32 +76,35 @@
       promiseNever: false,
       waitMs,
     };
-    const answer = await callAgent({link, message, timeoutMs, clock});
-    return answer.match((value) => wordOfAnswer(value, place), toResult);
+    const result = await callAgent({link, message, timeoutMs, clock});
+    return result.match((value) => toAgentResult(value, place), toErrorResult);
   }
 }
 
-function speaksAs(link: AgentLink, place: AgentPlace): boolean {
+function hasIncarnation(link: AgentLink, place: AgentPlace): boolean {
   return link.view().incarnation === place.incarnation;
 }
 
-function wordOfAnswer(answer: AgentCallResult, place: AgentPlace): AgentResult {
-  const {response, keyPhase, incarnation} = answer;
+function toAgentResult(
+  result: AgentCallResult,
+  place: AgentPlace,
+): AgentResult {
+  const {response, keyPhase, incarnation} = result;
   if (response !== undefined) return {word: AgentWord.RESPONSE, response};
   if (incarnation !== place.incarnation) return {word: AgentWord.GONE};
-  return {word: PHASE_WORDS[keyPhase!]};
+  return {word: PHASE_RESULTS[keyPhase!]};
 }
 
-const PHASE_WORDS: Readonly<Record<KeyPhase, AgentWord>> = {
+const PHASE_RESULTS: Readonly<Record<KeyPhase, AgentWord>> = {
   [KeyPhase.UNSEEN]: AgentWord.UNSEEN,
   [KeyPhase.PROMISED_NEVER]: AgentWord.PROMISED_NEVER,
   [KeyPhase.RUNNING]: AgentWord.TIMEOUT,
-  // The outcome comes as a response.
+  // The outcome of a key that is done arrives as a response instead.
   [KeyPhase.DONE]: AgentWord.TIMEOUT,
   [KeyPhase.UNCERTAIN]: AgentWord.UNCERTAIN,
 };
 
-function toResult(error: CallError): AgentResult {
+function toErrorResult(error: CallError): AgentResult {
   switch (error.kind) {
     case CallErrorKind.NOT_SENT:
       return {word: AgentWord.NOT_SENT};
@@ -110,11 +113,11 @@
     case CallErrorKind.TIMEOUT:
       return {word: AgentWord.TIMEOUT};
     case CallErrorKind.REFUSED:
-      return {word: wordOfRefusal(error.refusal?.reason)};
+      return {word: classifyRefusal(error.refusal?.reason)};
   }
 }
 
-function wordOfRefusal(reason: RefusalReason | undefined): AgentWord {
+function classifyRefusal(reason: RefusalReason | undefined): AgentWord {
   switch (reason) {
     case RefusalReason.CLAIM_VOIDED:
       return AgentWord.PROMISED_NEVER;
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -1,4 +1,4 @@
-/** One booking at this entry: carries out what the decisions ask for. */
+/** Runs one booking: performs the effects of its state machine. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
@@ -45,7 +45,7 @@
 import type {PlainCallDeps} from './plain-service.js';
 import {isFirstUse} from './key-uncertainty.js';
 
-/** What bookings need of their entry. */
+/** What bookings use of their entry. */
 export interface BookingDeps {
   readonly callDeps: PlainCallDeps;
   readonly claims: ClaimStore;
@@ -53,16 +53,16 @@
   readonly incarnation: string;
 }
 
-type Answer = Result<PlainResponse, Refusal>;
+type BookingResult = Result<PlainResponse, Refusal>;
 
-/** Holds a booking's state and answers its caller once. */
+/** Holds a booking's state and resolves its result once. */
 export class BookingRun {
   private state: BookingState;
-  private readonly name: string;
+  private readonly claimName: string;
   private readonly agents: BookingAgents;
-  private askDelayMs = KEY_QUERY_RETRY_MIN_MS;
+  private keyQueryDelayMs = KEY_QUERY_RETRY_MIN_MS;
   private timer: TimerHandle | undefined;
-  private resolve: (answer: Answer) => void = () => undefined;
+  private resolve: (result: BookingResult) => void = () => undefined;
 
   constructor(
     private readonly request: ResolvedPlain,
@@ -73,7 +73,7 @@
       entryIncarnation: options.incarnation,
       firstUse: isFirstUse(request.req),
     });
-    this.name = claimNameOf({
+    this.claimName = claimNameOf({
       clientAccount: request.clientAccount.name,
       key: request.req.idempotencyKey,
     });
@@ -81,15 +81,15 @@
   }
 
   /** Settles at the deadline at the latest. */
-  run(): Promise<Answer> {
+  run(): Promise<BookingResult> {
     const {clock} = this.options.callDeps;
     return new Promise((resolve) => {
       this.resolve = resolve;
       this.timer = clock.schedule({
         delayMs: Math.max(0, this.leftMs()),
-        run: () => this.take({kind: EventKind.GIVE_UP}),
+        run: () => this.handleEvent({kind: EventKind.GIVE_UP}),
       });
-      this.take({kind: EventKind.BEGIN});
+      this.handleEvent({kind: EventKind.BEGIN});
     });
   }
 
@@ -97,7 +97,7 @@
     return this.request.deadlineAtMs - this.options.callDeps.clock.now();
   }
 
-  private take(event: BookingEvent): void {
+  private handleEvent(event: BookingEvent): void {
     const {state, effect} = stepBooking(
       this.state,
       event,
@@ -107,7 +107,7 @@
     if (effect !== undefined) this.perform(effect);
   }
 
-  /** Read anew at each step: this process may have been paused. */
+  /** Read again at each step, as this process may have been paused. */
   private readContext(event: BookingEvent): StepContext {
     const {random, clock} = this.options.callDeps;
     return {
@@ -118,7 +118,7 @@
     };
   }
 
-  /** A first target is free; another one draws on the retry budget. */
+  /** The first target is free; each further one takes a retry of the budget. */
   private chooseTarget(event: BookingEvent): AgentPlace | undefined {
     const {request, options} = this;
     const budget = options.callDeps.retryBudgets.of(request.service);
@@ -143,7 +143,7 @@
         void this.call(effect);
         return;
       case EffectKind.ASK:
-        void this.ask(effect);
+        void this.queryKey(effect);
         return;
       case EffectKind.LOOK_UP:
         void this.lookUp(effect);
@@ -154,76 +154,81 @@
   }
 
   private async create({claim, again}: CreateEffect): Promise<void> {
-    const {callDeps: parts, claims} = this.options;
-    await this.waitIfAgain(again);
-    const startedAtMs = parts.clock.now();
-    const result = await claims.create({name: this.name, claim});
-    const ms = parts.clock.now() - startedAtMs;
-    parts.metrics.observe({name: LatencyName.BOOKING_CLAIM, ms});
-    this.takeWrite(result);
+    const {callDeps, claims} = this.options;
+    await this.waitBeforeRetry(again);
+    const startedAtMs = callDeps.clock.now();
+    const result = await claims.create({name: this.claimName, claim});
+    const ms = callDeps.clock.now() - startedAtMs;
+    callDeps.metrics.observe({name: LatencyName.BOOKING_CLAIM, ms});
+    this.handleWrite(result);
   }
 
   private async swap({expected, claim, again}: SwapEffect): Promise<void> {
-    await this.waitIfAgain(again);
-    const {name} = this;
+    await this.waitBeforeRetry(again);
+    const {claimName: name} = this;
     const result = await this.options.claims.swap({name, expected, claim});
     if (result.outcome === WriteOutcome.MET) {
       this.countRetry(RetryReason.STORE_CONFLICT);
     }
-    this.takeWrite(result);
+    this.handleWrite(result);
   }
 
-  private async waitIfAgain(again: boolean): Promise<void> {
-    if (!again) return;
+  private async waitBeforeRetry(isRetry: boolean): Promise<void> {
+    if (!isRetry) return;
     this.countRetry(RetryReason.STORE_ANSWER_LOST);
     await sleep(this.options.callDeps.clock, WRITE_RETRY_MS);
   }
 
-  private takeWrite(result: WriteResult): void {
-    this.take({kind: EventKind.WRITE, result});
+  private handleWrite(result: WriteResult): void {
+    this.handleEvent({kind: EventKind.WRITE, result});
   }
 
   private async call({place, claimedAtMs}: CallEffect): Promise<void> {
     const timeoutMs = this.leftMs();
     const result = await this.agents.call({place, claimedAtMs, timeoutMs});
-    this.take({kind: EventKind.AGENT, result});
+    this.handleEvent({kind: EventKind.AGENT, result});
   }
 
-  private async ask(
+  private async queryKey(
     effect: Extract<BookingEffect, {kind: EffectKind.ASK}>,
   ): Promise<void> {
-    if (effect.again) await this.waitToAsk();
+    if (effect.again) await this.waitBeforeKeyQuery();
     const {place} = effect;
     const result = await this.agents.queryKey({
       place,
       timeoutMs: this.leftMs(),
     });
-    this.take({kind: EventKind.AGENT, result});
+    this.handleEvent({kind: EventKind.AGENT, result});
   }
 
-  private async waitToAsk(): Promise<void> {
+  private async waitBeforeKeyQuery(): Promise<void> {
     this.countRetry(RetryReason.CALL_LOST);
-    await sleep(this.options.callDeps.clock, this.askDelayMs);
-    this.askDelayMs = Math.min(this.askDelayMs * 2, KEY_QUERY_RETRY_MAX_MS);
+    await sleep(this.options.callDeps.clock, this.keyQueryDelayMs);
+    this.keyQueryDelayMs = Math.min(
+      this.keyQueryDelayMs * 2,
+      KEY_QUERY_RETRY_MAX_MS,
+    );
   }
 
   private async lookUp({claim}: LookUpEffect): Promise<void> {
     const response = await this.options.outcomes.find({
-      name: this.name,
+      name: this.claimName,
       incarnation: claim.agentIncarnation,
       claimedAtMs: claim.claimedAtMs,
     });
-    this.take({kind: EventKind.LOOK_UP, response});
+    this.handleEvent({kind: EventKind.LOOK_UP, response});
   }
 
   private finish({response, evidence}: FinishEffect): void {
     this.timer?.cancel();
-    const answer: Answer =
-      response === undefined ? err(this.refuse(evidence!)) : ok(response);
-    this.resolve(answer);
+    const result: BookingResult =
+      response === undefined
+        ? err(this.createRefusal(evidence!))
+        : ok(response);
+    this.resolve(result);
   }
 
-  private refuse(evidence: Evidence): Refusal {
+  private createRefusal(evidence: Evidence): Refusal {
     const {ran, reason, detail, comeBack} = decideRan(evidence);
     const label = evidence.kind;
     this.options.callDeps.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
--- a/src/entry/calls/booking-service.ts
+++ b/src/entry/calls/booking-service.ts
@@ -1,4 +1,4 @@
-/** Calls that may run at most once: claimed in the platform, then sent. */
+/** Calls that run at most once: claimed in the object store, then sent. */
 import {ResultAsync} from 'neverthrow';
 
 import type {PlainResponse} from '../../core/edges/index.js';
@@ -7,7 +7,7 @@
 import {BookingRun} from './booking-run.js';
 import type {ResolvedPlain} from './plain-request.js';
 
-/** Runs each booking to its one answer. */
+/** Runs each booking to its one result. */
 export class BookingService {
   constructor(private readonly options: BookingDeps) {}
 
--- a/src/entry/calls/key-uncertainty.ts
+++ b/src/entry/calls/key-uncertainty.ts
@@ -1,11 +1,11 @@
-/** Refusals of bookings whose key has not been looked up. */
+/** Refusals of bookings whose key was not looked up. */
 import type {RequestHead} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
 import {Ran, RefusalReason} from '../../core/errors/index.js';
 import {FIRST_USE_HEADER} from '../consts.js';
 
-/** Reasons that say nothing of an earlier request with the same key. */
-const SPEAKS_OF_REQUEST: ReadonlySet<RefusalReason> = new Set([
+/** Reasons decided without a look-up of the key's earlier requests. */
+const PRE_LOOKUP_REASONS: ReadonlySet<RefusalReason> = new Set([
   RefusalReason.LEAVING,
   RefusalReason.NOT_READY,
   RefusalReason.NO_TARGET,
@@ -15,7 +15,7 @@
   RefusalReason.DEADLINE_EXCEEDED,
 ]);
 
-/** Whether the caller vouches that it has not used the key before. */
+/** Whether the caller states that it has not used the key before. */
 export function isFirstUse(req: RequestHead): boolean {
   return req.headers.some(
     ({name, value}) =>
@@ -24,17 +24,18 @@
 }
 
 /**
- * Says `unknown` in place of `no` where an earlier request with the key may
- * have run and nobody has looked.
+ * Sets `ran` to `unknown` if an earlier request with the same key may have
+ * run and the key was not looked up.
  *
  * @example
- * return tellOfKey(req, {reason: RefusalReason.OVERLOADED, ran: Ran.NO, detail});
+ * return applyKeyUncertainty(req, {reason, ran: Ran.NO, detail});
  */
 export function applyKeyUncertainty(
   req: RequestHead,
   refusal: Refusal,
 ): Refusal {
-  const looked = !SPEAKS_OF_REQUEST.has(refusal.reason);
-  if (req.idempotencyKey === '' || looked || isFirstUse(req)) return refusal;
+  const afterLookup = !PRE_LOOKUP_REASONS.has(refusal.reason);
+  if (req.idempotencyKey === '' || afterLookup || isFirstUse(req))
+    return refusal;
   return {...refusal, ran: Ran.UNKNOWN};
 }
--- a/src/entry/calls/plain-request.ts
+++ b/src/entry/calls/plain-request.ts
@@ -6,17 +6,17 @@
 import type {CallMessage} from '../../core/protocol/index.js';
 import {MessageType} from '../../core/protocol/index.js';
 
-/** A plain request whose account and service are known. */
+/** A plain request with its client account and service. */
 export interface ResolvedPlain {
   readonly req: PlainReq;
   readonly clientAccount: ClientAccountConfig;
   readonly service: ServiceConfig;
   readonly fingerprint: string;
-  /** On the process's clock. */
+  /** On the monotonic clock of this process. */
   readonly deadlineAtMs: number;
 }
 
-/** Builds the call that an agent runs. */
+/** Creates the message that an agent runs as a call. */
 export function createCall(options: {
   request: ResolvedPlain;
   callId: string;
--- a/src/entry/calls/plain-service.ts
+++ b/src/entry/calls/plain-service.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services that may be repeated freely. */
+/** Calls to idempotent plain services, which can be retried safely. */
 import type {Result} from 'neverthrow';
 import {err, ok, ResultAsync} from 'neverthrow';
 
@@ -21,13 +21,13 @@
 import type {ResolvedPlain} from './plain-request.js';
 import {createCall} from './plain-request.js';
 
-/** Tries of one call, at most. */
-const MAX_TRIES = 3;
+/** Maximum attempts of one call. */
+const MAX_ATTEMPTS = 3;
 
-/** Statuses from here on are failures of the target itself. */
+/** Lowest status that counts as a failure of the target itself. */
 const SERVER_ERROR = 500;
 
-/** What plain calls need of their entry. */
+/** What plain calls use of their entry. */
 export interface PlainCallDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -39,9 +39,9 @@
   readonly dataCentre: string;
 }
 
-/** Sends a call, and sends it elsewhere when its target fails. */
+/** Sends a call, and retries it at other targets if its target fails. */
 export class PlainService {
-  constructor(private readonly parts: PlainCallDeps) {}
+  constructor(private readonly deps: PlainCallDeps) {}
 
   call(request: ResolvedPlain): ResultAsync<PlainResponse, Refusal> {
     return new ResultAsync(this.tryTargets(request));
@@ -51,30 +51,34 @@
     request: ResolvedPlain,
   ): Promise<Result<PlainResponse, Refusal>> {
     const tried: string[] = [];
-    const budget = this.parts.retryBudgets.of(request.service);
+    const budget = this.deps.retryBudgets.of(request.service);
     budget.noteFirstTry();
     let ran = Ran.NO;
-    while (tried.length < MAX_TRIES) {
-      const leftMs = request.deadlineAtMs - this.parts.clock.now();
+    while (tried.length < MAX_ATTEMPTS) {
+      const leftMs = request.deadlineAtMs - this.deps.clock.now();
       if (leftMs <= 0) return err(deadlineExceeded(ran));
       const target = this.choose(request, tried);
       if (target === undefined) {
-        await sleep(this.parts.clock, NO_TARGET_RETRY_MS);
+        await sleep(this.deps.clock, NO_TARGET_RETRY_MS);
         continue;
       }
-      const triesLeft = MAX_TRIES - tried.length;
-      const answer = await this.askTarget(request, target, leftMs / triesLeft);
-      this.noteOutcome(target.vm, answer);
-      if (answer.isOk() && answer.value.response !== undefined) {
-        return ok(answer.value.response);
+      const attemptsLeft = MAX_ATTEMPTS - tried.length;
+      const result = await this.callTarget(
+        request,
+        target,
+        leftMs / attemptsLeft,
+      );
+      this.recordOutcome(target.vm, result);
+      if (result.isOk() && result.value.response !== undefined) {
+        return ok(result.value.response);
       }
-      const refusal = answer.isErr() ? answer.error.refusal : undefined;
+      const refusal = result.isErr() ? result.error.refusal : undefined;
       if (refusal?.ran === Ran.YES) return err(refusal);
-      if (answer.isErr() && mayHaveRun(answer.error)) ran = Ran.UNKNOWN;
+      if (result.isErr() && mayHaveRun(result.error)) ran = Ran.UNKNOWN;
       tried.push(target.vm);
-      if (tried.length === MAX_TRIES) break;
+      if (tried.length === MAX_ATTEMPTS) break;
       if (!budget.tryRetry()) return err(budgetSpent(ran));
-      if (answer.isErr()) this.countRetry(answer.error);
+      if (result.isErr()) this.countRetry(result.error);
     }
     return err(targetsFailed(ran));
   }
@@ -83,41 +87,41 @@
     request: ResolvedPlain,
     exclude: readonly string[],
   ): TargetView | undefined {
-    const {chooser, links, dataCentre} = this.parts;
+    const {chooser, links, dataCentre} = this.deps;
     const service = request.service.name;
     const query = {service, exclude, dataCentre, prefix: ''};
     return chooser.choose({query, targets: links.views()}).extract();
   }
 
-  private async askTarget(
+  private async callTarget(
     request: ResolvedPlain,
     target: TargetView,
     timeoutMs: number,
   ): Promise<Result<AgentCallResult, CallError>> {
-    const link = this.parts.links.find(target.vm);
+    const link = this.deps.links.find(target.vm);
     if (link === undefined) return err({kind: CallErrorKind.NOT_SENT});
     const message = createCall({
       request,
-      callId: this.parts.random.id(),
+      callId: this.deps.random.id(),
       key: '',
       incarnation: target.incarnation,
       deadlineMs: timeoutMs,
     });
-    const {clock} = this.parts;
+    const {clock} = this.deps;
     return callAgent({link, message, timeoutMs, clock});
   }
 
-  private noteOutcome(
+  private recordOutcome(
     vm: string,
-    answer: Result<AgentCallResult, CallError>,
+    result: Result<AgentCallResult, CallError>,
   ): void {
-    const status = answer.isOk() ? (answer.value.response?.status ?? 0) : 0;
-    const failed = answer.isErr() || status >= SERVER_ERROR;
-    this.parts.failures.note({vm, failed});
+    const status = result.isOk() ? (result.value.response?.status ?? 0) : 0;
+    const failed = result.isErr() || status >= SERVER_ERROR;
+    this.deps.failures.note({vm, failed});
   }
 
   private countRetry(error: CallError): void {
-    this.parts.metrics.countRetry(RETRY_REASONS[error.kind]);
+    this.deps.metrics.countRetry(RETRY_REASONS[error.kind]);
   }
 }
 
