--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -38,26 +38,29 @@
 import type {AttemptLink} from '../generation/attempt-link.js';
 import type {AgentConfigSource, LinkHandler} from './link-handler.js';
 
-/** Speaks to one agent and keeps the view of its target. */
+/** Exchanges messages with one agent and keeps the view of its target. */
 export class AgentLink implements AttemptLink, ConnectionListener {
   private readonly client: PeerClient;
   private readonly handlers = new Map<string, LinkHandler>();
   private incarnation = '';
   private heartbeat: HeartbeatMessage | undefined;
-  private heardAtMs: number;
-  /** An idle agent speaks less often, so its silence before says little. */
+  private lastReceivedAtMs: number;
+  /**
+   * When the link became busy. Idle agents send less often, so silence from
+   * before that does not count against a busy one.
+   */
   private busySinceMs = 0;
   private suspected = false;
   private unlisted = false;
-  private toldLeave = false;
+  private leaveSent = false;
   private readonly busyGaps = new GapThreshold(BUSY_BOUNDS[Weigh.LATENCY]);
   private readonly idleGaps = new GapThreshold(IDLE_BOUNDS);
-  private offeredVersion = 0;
+  private scheduledConfigVersion = 0;
   private configDueAtMs = 0;
-  /** Incarnation that was connected while the VM list called it live. */
-  private liveIncarnation = '';
-  private quiet = false;
-  /** Attempts to cancel once the agent is back. */
+  /** Incarnation that was connected while the VM list had its VM as live. */
+  private listedLiveIncarnation = '';
+  private hedgeNotified = false;
+  /** Attempts to cancel once the agent has reconnected. */
   private readonly pendingCancels = new Set<string>();
   private readonly ownCounts = new OwnCounts({keepMs: OWN_COUNTS_KEEP_MS});
   private ownAtReport = 0;
@@ -74,7 +77,7 @@
     },
   ) {
     const {hello, clock, random} = options;
-    this.heardAtMs = clock.now();
+    this.lastReceivedAtMs = clock.now();
     const peer = {address: record.address, port: record.peerPort};
     this.client = new PeerClient({peer, hello, clock, random, listener: this});
   }
@@ -91,19 +94,19 @@
     this.client.stop();
   }
 
-  /** Takes over what the deployment weighs in recovery. */
-  setRecoveryGoal(weigh: Weigh): void {
-    this.busyGaps.setBounds(BUSY_BOUNDS[weigh]);
+  /** Applies the recovery goal of the deployment. */
+  setRecoveryGoal(goal: Weigh): void {
+    this.busyGaps.setBounds(BUSY_BOUNDS[goal]);
   }
 
-  /** Takes over what the VM list now says. */
+  /** Applies the target's present record in the VM list. */
   updateRecord(record: VmRecord): void {
     this.record = record;
     this.unlisted = false;
-    this.noteListed();
+    this.applyListedState();
   }
 
-  /** The VM list no longer has this target. */
+  /** Records that the VM list no longer has this target. */
   markUnlisted(): void {
     this.unlisted = true;
   }
@@ -113,81 +116,83 @@
     return this.heartbeat?.configVersion ?? 0;
   }
 
-  /** Tells the agent the configuration when that is due. */
+  /** Sends the configuration, or its version alone, to the agent if due. */
   sendConfigIfDue(): void {
     if (!this.client.isReady() || this.heartbeat === undefined) return;
     const {clock, config, random} = this.options;
     const nowMs = clock.now();
-    const held = config.latest();
-    if (this.offeredVersion !== held.version) {
-      // Several entries may be about to tell; the first one is enough.
-      this.offeredVersion = held.version;
+    const latest = config.latest();
+    if (this.scheduledConfigVersion !== latest.version) {
+      // Several entries may be about to send it and one is enough, so the
+      // delay is random.
+      this.scheduledConfigVersion = latest.version;
       this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_JITTER_MS);
     }
     if (nowMs < this.configDueAtMs) return;
     this.configDueAtMs = nowMs + AGENT_CONFIG_ANNOUNCE_PERIOD_MS;
-    const {version} = held;
-    const value = this.configVersion < version ? held.value : null;
+    const {version} = latest;
+    const value = this.configVersion < version ? latest.value : null;
     const ageMs = config.ageMs();
     this.client.send({type: MessageType.CONFIG, version, value, ageMs});
   }
 
-  /** Whether the agent listens where a record says. */
+  /** Whether the agent listens at the address of a record. */
   hasAddress({address, peerPort}: VmRecord): boolean {
     return this.record.address === address && this.record.peerPort === peerPort;
   }
 
-  /** Whether an attempt or call still waits for this agent. */
+  /** Whether attempts or calls are in flight at this agent. */
   isBusy(): boolean {
     return this.handlers.size > 0;
   }
 
-  /** What the entry knows of this target. */
+  /** Returns the present state of the target as this entry sees it. */
   view(): TargetView {
     const {name, dataCentre, service} = this.record;
-    const beat = this.heartbeat;
-    const leaving = this.isLeaving();
-    const healthy = beat?.phase === TargetPhase.HEALTHY;
+    const heartbeat = this.heartbeat;
+    const draining = this.isDraining();
+    const healthy = heartbeat?.phase === TargetPhase.HEALTHY;
     const connected = this.client.isReady() && !this.suspected;
-    const usable = connected && healthy && !leaving;
+    const usable = connected && healthy && !draining;
     return {
       vm: name,
       dataCentre,
       service,
       incarnation: this.incarnation,
       usable,
-      leaving,
+      leaving: draining,
       ownInFlight: this.handlers.size,
-      running: beat?.running ?? 0,
-      waiting: beat?.waiting ?? 0,
-      capacity: beat?.capacity ?? 0,
-      cachedPrefixes: beat?.cachedPrefixes ?? [],
+      running: heartbeat?.running ?? 0,
+      waiting: heartbeat?.waiting ?? 0,
+      capacity: heartbeat?.capacity ?? 0,
+      cachedPrefixes: heartbeat?.cachedPrefixes ?? [],
       ownAtReport: this.ownAtReport,
-      usableForMs: this.noteUsable(usable),
+      usableForMs: this.updateUsableForMs(usable),
     };
   }
 
-  /** Whether the agent speaks and is not suspected. */
+  /** Whether the agent is connected and not suspected to have failed. */
   isConnected(): boolean {
     return this.client.isReady() && !this.suspected;
   }
 
   /**
-   * Sends the first message of an attempt or call. Returns false when the
-   * agent is not connected, in which case nothing was sent.
+   * Sends the first message of an attempt or call. Returns false, with
+   * nothing sent, if the agent is not connected or if it drains and the
+   * message would start an attempt.
    */
   open(options: {id: string; message: Message; handler: LinkHandler}): boolean {
     const {id, message, handler} = options;
     if (!this.isConnected()) return false;
-    if (message.type === MessageType.START && this.isLeaving()) return false;
+    if (message.type === MessageType.START && this.isDraining()) return false;
     if (this.handlers.size === 0) this.busySinceMs = this.options.clock.now();
     this.handlers.set(id, handler);
-    this.noteCount();
+    this.recordCount();
     this.client.send(message);
     return true;
   }
 
-  /** Sends a message that needs no answer. */
+  /** Sends a message that needs no response. */
   send(message: Message): void {
     if (this.client.isReady()) {
       this.client.send(message);
@@ -198,60 +203,60 @@
     this.pendingCancels.add(message.attemptId);
   }
 
-  /** Forgets an attempt or call; later words of it are dropped. */
+  /** Removes the handler of an attempt or call; later messages are dropped. */
   release(id: string): void {
     this.handlers.delete(id);
-    this.noteCount();
+    this.recordCount();
   }
 
-  /** Suspects the agent if it has been silent for too long. */
+  /** Marks the agent as suspected if it has been silent for too long. */
   checkSilence(policy: RecoveryPolicy): void {
     if (!this.client.isReady() || this.suspected) return;
     const busy = this.handlers.size > 0;
     const silentMs = this.silentForMs(busy);
     const allowedMs = (busy ? this.busyGaps : this.idleGaps).allowedMs();
-    if (busy) this.checkQuiet(silentMs, allowedMs * policy.hedgeShare);
+    if (busy) this.notifyHedgeDue(silentMs, allowedMs * policy.hedgeShare);
     if (silentMs <= allowedMs) return;
     this.suspected = true;
     this.options.metrics.count(CounterName.TARGETS_SUSPECTED);
-    this.loseAll(RetryReason.AGENT_SILENT);
+    this.failAll(RetryReason.AGENT_SILENT);
   }
 
-  /** Tells once of a silence that is long, but not yet suspect. */
-  private checkQuiet(silentMs: number, quietMs: number): void {
-    if (this.quiet || silentMs < quietMs) return;
-    this.quiet = true;
+  /** Notifies the handlers once per silence that a hedged attempt is due. */
+  private notifyHedgeDue(silentMs: number, hedgeAfterMs: number): void {
+    if (this.hedgeNotified || silentMs < hedgeAfterMs) return;
+    this.hedgeNotified = true;
     for (const handler of [...this.handlers.values()]) handler.onHedgeDue?.();
   }
 
   private silentForMs(busy: boolean): number {
     const sinceMs = busy
-      ? Math.max(this.heardAtMs, this.busySinceMs)
-      : this.heardAtMs;
+      ? Math.max(this.lastReceivedAtMs, this.busySinceMs)
+      : this.lastReceivedAtMs;
     return this.options.clock.now() - sinceMs;
   }
 
-  /** Starts the measure of silence anew, after a pause of this process. */
+  /** Restarts the silence timer after a pause of this process. */
   resetSilence(): void {
-    this.heardAtMs = this.options.clock.now();
+    this.lastReceivedAtMs = this.options.clock.now();
   }
 
   onReady(hello: HelloMessage): void {
     this.incarnation = hello.incarnation;
-    this.heardAtMs = this.options.clock.now();
+    this.lastReceivedAtMs = this.options.clock.now();
     this.suspected = false;
-    this.quiet = false;
+    this.hedgeNotified = false;
     for (const attemptId of this.pendingCancels) {
       this.client.send({type: MessageType.CANCEL, attemptId});
     }
     this.pendingCancels.clear();
-    this.toldLeave = false;
+    this.leaveSent = false;
     this.configDueAtMs = this.options.clock.now();
-    this.noteListed();
+    this.applyListedState();
   }
 
   onMessage(message: Message): void {
-    this.noteHeard();
+    this.recordReceived();
     switch (message.type) {
       case MessageType.HEARTBEAT:
         this.handleHeartbeat(message);
@@ -260,40 +265,40 @@
         this.handlers.get(message.attemptId)?.onTokens?.(message);
         return;
       case MessageType.END:
-        this.take(message.attemptId)?.onEnd?.(message);
+        this.takeHandler(message.attemptId)?.onEnd?.(message);
         return;
       case MessageType.FAILED:
-        this.take(message.attemptId)?.onFailed?.(message);
+        this.takeHandler(message.attemptId)?.onFailed?.(message);
         return;
       case MessageType.REFUSED:
-        this.take(message.id)?.onRefused(message);
+        this.takeHandler(message.id)?.onRefused(message);
         return;
       case MessageType.REPLY:
-        this.take(message.callId)?.onReply?.(message);
+        this.takeHandler(message.callId)?.onReply?.(message);
         return;
       case MessageType.CONFIG:
         this.options.config.receiveFromAgent(message, message.ageMs);
         return;
       case MessageType.KEY_STATE:
-        this.take(message.callId)?.onKeyState?.(message);
+        this.takeHandler(message.callId)?.onKeyState?.(message);
         return;
       default:
         return;
     }
   }
 
-  /** Any message is a sign of life; the gap before it is learned from. */
-  private noteHeard(): void {
+  /** Records a message, which clears a suspicion, and the gap before it. */
+  private recordReceived(): void {
     const nowMs = this.options.clock.now();
     const busy = this.handlers.size > 0;
     (busy ? this.busyGaps : this.idleGaps).note(this.silentForMs(busy));
-    this.heardAtMs = nowMs;
+    this.lastReceivedAtMs = nowMs;
     this.suspected = false;
-    this.quiet = false;
+    this.hedgeNotified = false;
   }
 
   onDrain(): void {
-    // An entry's own messages are few and small; nothing waits for a drain.
+    // Messages of an entry are few and small, so no send waits for a drain.
   }
 
   onClose(err: TransportError): void {
@@ -301,69 +306,70 @@
       label: err.kind,
     });
     this.heartbeat = undefined;
-    this.loseAll(RetryReason.AGENT_GONE);
+    this.failAll(RetryReason.AGENT_GONE);
   }
 
-  private handleHeartbeat(beat: HeartbeatMessage): void {
-    const wasLeaving = this.heartbeat?.leaving ?? false;
-    this.heartbeat = beat;
+  private handleHeartbeat(heartbeat: HeartbeatMessage): void {
+    const wasDraining = this.heartbeat?.leaving ?? false;
+    this.heartbeat = heartbeat;
     const nowMs = this.options.clock.now();
     this.ownAtReport = this.ownCounts.countAt(nowMs - REPORT_ROUND_TRIP_MS);
     this.options.metrics.count(CounterName.HEARTBEATS);
-    if (beat.leaving) this.tellLeave();
-    if (!beat.leaving || wasLeaving) return;
+    if (heartbeat.leaving) this.sendLeave();
+    if (!heartbeat.leaving || wasDraining) return;
     for (const handler of [...this.handlers.values()]) handler.onDraining?.();
   }
 
-  private isLeaving(): boolean {
+  private isDraining(): boolean {
     const listed = this.record.state === VmState.LIVE && !this.unlisted;
     return !listed || (this.heartbeat?.leaving ?? false);
   }
 
   /**
-   * Hands on what the VM list says. The list lags, so a process that was
-   * never seen while its VM was live may be the successor of the one meant.
+   * Sends LEAVE to the agent if the VM list has its VM as leaving. The list
+   * lags, so that record may refer to an earlier process of the VM: only an
+   * incarnation that was connected while its VM was live receives LEAVE.
    */
-  private noteListed(): void {
+  private applyListedState(): void {
     if (!this.client.isReady()) return;
     if (this.record.state === VmState.LIVE) {
-      this.liveIncarnation = this.incarnation;
+      this.listedLiveIncarnation = this.incarnation;
       return;
     }
-    if (this.liveIncarnation === this.incarnation) this.tellLeave();
+    if (this.listedLiveIncarnation === this.incarnation) this.sendLeave();
   }
 
-  /** Promises the agent that no new work follows. */
-  private tellLeave(): void {
-    if (this.toldLeave) return;
-    this.toldLeave = true;
+  /** Promises the agent, once per connection, that no new work follows. */
+  private sendLeave(): void {
+    if (this.leaveSent) return;
+    this.leaveSent = true;
     this.client.send({type: MessageType.LEAVE});
   }
 
-  private noteCount(): void {
+  private recordCount(): void {
     const nowMs = this.options.clock.now();
     this.ownCounts.note({nowMs, count: this.handlers.size});
   }
 
-  /** Time since the target became usable; 0 while it is not. */
-  private noteUsable(usable: boolean): number {
+  /** Updates and returns the time since the target became usable; else 0. */
+  private updateUsableForMs(usable: boolean): number {
     const nowMs = this.options.clock.now();
     if (!usable) this.usableSinceMs = undefined;
     else this.usableSinceMs ??= nowMs;
     return nowMs - (this.usableSinceMs ?? nowMs);
   }
 
-  private take(id: string): LinkHandler | undefined {
+  private takeHandler(id: string): LinkHandler | undefined {
     const handler = this.handlers.get(id);
     this.handlers.delete(id);
-    this.noteCount();
+    this.recordCount();
     return handler;
   }
 
-  private loseAll(reason: RetryReason): void {
+  private failAll(reason: RetryReason): void {
     const handlers = [...this.handlers.values()];
     this.handlers.clear();
-    this.noteCount();
+    this.recordCount();
     for (const handler of handlers) handler.onLost(reason);
   }
 }
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -17,10 +17,10 @@
 import {PAUSE_DETECTION_MS, LINK_PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** Follows the VM list and watches every link for silence. */
+/** Updates the links from the VM list and checks each of them for silence. */
 export class AgentLinks {
   private readonly links = new Map<string, AgentLink>();
-  /** Links to earlier addresses of a VM, until their work has ended. */
+  /** Links to former addresses of a VM, kept until their work has ended. */
   private readonly retired = new Set<AgentLink>();
   private readonly pinnedUntilMs = new Map<string, number>();
   private readonly timers: TimerHandle[] = [];
@@ -45,10 +45,10 @@
       clock.repeat({periodMs: SILENCE_CHECK_MS, run: () => this.check()}),
     );
     const {board} = this.options;
-    board.vms.subscribe((records) => this.follow(records));
+    board.vms.subscribe((records) => this.reconcile(records));
     board.config.subscribe(() => {
-      this.weigh().ifJust((weigh) => {
-        for (const link of this.links.values()) link.setRecoveryGoal(weigh);
+      this.recoveryGoal().ifJust((goal) => {
+        for (const link of this.links.values()) link.setRecoveryGoal(goal);
       });
     });
   }
@@ -63,7 +63,7 @@
     return this.links.get(vm) ?? this.pin(vm);
   }
 
-  /** The targets as operators see them. */
+  /** The states of the targets, for the status document. */
   statuses(): PeerStatus[] {
     return [...this.links.values()].map((link) => {
       const view = link.view();
@@ -78,17 +78,17 @@
     return [...this.links.values()].map((link) => link.view());
   }
 
-  /** The policy of the configuration in force. */
+  /** The recovery policy of the active configuration. */
   policy(): RecoveryPolicy {
-    return resolveRecoveryPolicy(this.weigh().orDefault(Weigh.LATENCY));
+    return resolveRecoveryPolicy(this.recoveryGoal().orDefault(Weigh.LATENCY));
   }
 
-  private weigh(): Maybe<Weigh> {
-    const inForce = this.options.board.config.get();
-    return inForce.map(({cfg}) => cfg.recovery.weigh);
+  private recoveryGoal(): Maybe<Weigh> {
+    const active = this.options.board.config.get();
+    return active.map(({cfg}) => cfg.recovery.weigh);
   }
 
-  private follow(records: readonly VmRecord[]): void {
+  private reconcile(records: readonly VmRecord[]): void {
     const targets = records.filter((vm) => vm.role === VmRole.TARGET);
     const names = new Set(targets.map((vm) => vm.name));
     const subset = this.selectSubset(records, targets);
@@ -98,12 +98,15 @@
     }
     for (const [name, link] of this.links) {
       if (names.has(name)) continue;
-      // What it runs may end, but it gets no new work.
+      // Its running work may finish, but it receives no new work.
       link.markUnlisted();
       if (link.isConnected()) continue;
       link.stop();
       this.links.delete(name);
-      this.options.logger.info('target removed', {target: name});
+      this.options.logger.info(
+        'target removed: not in the VM list and not connected',
+        {target: name},
+      );
     }
   }
 
@@ -120,7 +123,7 @@
     });
   }
 
-  /** Whether a link out of the subset is still of use. */
+  /** Whether a link outside the subset is still needed. */
   private isNeeded(vm: string): boolean {
     if (this.links.get(vm)?.isBusy() === true) return true;
     return (this.pinnedUntilMs.get(vm) ?? 0) > this.options.clock.now();
@@ -132,7 +135,7 @@
     this.links.delete(vm);
   }
 
-  /** Links to a target out of the subset, for a claim or journal there. */
+  /** Opens a link outside the subset, to a target with a claim or an output. */
   private pin(vm: string): AgentLink | undefined {
     const record = this.options.board.vms
       .get()
@@ -144,17 +147,19 @@
   }
 
   private addOrUpdate(record: VmRecord): void {
-    const known = this.links.get(record.name);
-    if (known?.hasAddress(record) === true) {
-      known.updateRecord(record);
+    const existing = this.links.get(record.name);
+    if (existing?.hasAddress(record) === true) {
+      existing.updateRecord(record);
       return;
     }
-    if (known !== undefined) this.retire(known);
+    if (existing !== undefined) this.retire(existing);
     const link = new AgentLink(record, this.options);
-    this.weigh().ifJust((weigh) => link.setRecoveryGoal(weigh));
+    this.recoveryGoal().ifJust((goal) => link.setRecoveryGoal(goal));
     this.links.set(record.name, link);
     link.start();
-    this.options.logger.info('target added', {target: record.name});
+    this.options.logger.info('target added: connecting to its agent', {
+      target: record.name,
+    });
   }
 
   private retire(link: AgentLink): void {
@@ -174,12 +179,12 @@
     const nowMs = this.options.clock.now();
     const lateMs = nowMs - this.checkedAtMs - SILENCE_CHECK_MS;
     this.checkedAtMs = nowMs;
-    const paused = lateMs > PAUSE_DETECTION_MS;
+    const wasPaused = lateMs > PAUSE_DETECTION_MS;
     const policy = this.policy();
     this.dropRetired();
     for (const link of [...this.links.values(), ...this.retired]) {
-      // After a pause of this process, silence says nothing of the others.
-      if (paused) link.resetSilence();
+      // After a pause of this process, silence is no evidence of a failure.
+      if (wasPaused) link.resetSilence();
       else link.checkSilence(policy);
       link.sendConfigIfDue();
     }
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -1,4 +1,4 @@
-/** What an agent's connection tells to those who use it. */
+/** Callbacks of a link to an agent, and the configuration it exchanges. */
 import type {ConfigNews} from '../../core/config/distribution/index.js';
 import type {RetryReason} from '../../core/errors/index.js';
 import type {
@@ -11,27 +11,27 @@
   TokensMessage,
 } from '../../core/protocol/index.js';
 
-/** Hears what becomes of one attempt or call at an agent. */
+/** Receives the messages of one attempt or call at an agent. */
 export interface LinkHandler {
   onTokens?(message: TokensMessage): void;
-  /** Another entry tells which attempt the next tokens are of. */
+  /** Another entry reports which attempt generated the tokens that follow. */
   onLineage?(message: LineageMessage): void;
   onEnd?(message: EndMessage): void;
   onFailed?(message: FailedMessage): void;
   onReply?(message: ReplyMessage): void;
   onKeyState?(message: KeyStateMessage): void;
   onRefused(message: RefusedMessage): void;
-  /** The agent is gone or silent; no other word comes. */
+  /** The agent is disconnected or silent; no other callback follows. */
   onLost(reason: RetryReason): void;
-  /** The agent has begun to leave. */
+  /** The agent has started to drain. */
   onDraining?(): void;
-  /** The agent has been silent for a while, but is not suspected yet. */
+  /** The agent has been silent long enough for a hedged attempt. */
   onHedgeDue?(): void;
 }
 
-/** The configuration that an entry shares with its agents. */
+/** The configuration that an entry exchanges with its agents. */
 export interface AgentConfigSource {
   latest(): ConfigNews;
   ageMs(): number;
-  receiveFromAgent(news: ConfigNews, ageMs: number): void;
+  receiveFromAgent(update: ConfigNews, ageMs: number): void;
 }
--- a/src/entry/links/own-vm-watch.ts
+++ b/src/entry/links/own-vm-watch.ts
@@ -1,12 +1,12 @@
-/** Begins the drain of an entry whose VM leaves by the platform's list. */
+/** Starts the drain of an entry when the VM list has its VM as leaving. */
 import type {VmRecord} from '../../core/edges/index.js';
 import {VmState} from '../../core/edges/index.js';
 import type {EntryBoard} from '../entry-board.js';
 
 /**
  * Watches the record of the entry's own VM. The list lags and may still show
- * an earlier process of the same VM, so only a record that was live during
- * this process's life can begin its drain.
+ * an earlier process of the same VM, so the drain starts only if the VM was
+ * listed as live before in this process's lifetime.
  */
 export class OwnVmWatch {
   private wasLive = false;
--- a/src/entry/links/peer-session.ts
+++ b/src/entry/links/peer-session.ts
@@ -9,7 +9,7 @@
   TransportError,
 } from '../../core/protocol/index.js';
 
-/** Hands what a peer says to the entry's router. */
+/** Passes the messages of a peer to the entry's router. */
 export class PeerSession implements ConnectionListener {
   constructor(
     private readonly options: {router: MessageRouter; metrics: Metrics},
@@ -17,7 +17,7 @@
   ) {}
 
   onReady(): void {
-    // A peer speaks first; there is nothing to tell it unasked.
+    // The peer sends the first message; this side only responds.
   }
 
   onMessage(message: Message): void {
@@ -25,7 +25,7 @@
   }
 
   onDrain(): void {
-    // Answers to peers are bounded by the send buffer of the connection.
+    // Responses are bounded by the connection's send buffer.
   }
 
   onClose(err: TransportError): void {
--- a/src/entry/links/vm-directory.ts
+++ b/src/entry/links/vm-directory.ts
@@ -1,11 +1,11 @@
-/** Reads the platform's VM list onto the board. */
+/** Copies the platform's VM list to the board. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
 import type {VmList, VmRecord} from '../../core/edges/index.js';
 import {VmRole} from '../../core/edges/index.js';
 import {VM_LIST_PERIOD_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** Keeps the last list that could be read. */
+/** Reads the list periodically and keeps the last one that was read. */
 export class VmDirectory {
   private timer: TimerHandle | undefined;
   private reading = false;
@@ -30,10 +30,11 @@
     this.timer?.cancel();
   }
 
-  private take(records: readonly VmRecord[]): void {
+  private update(records: readonly VmRecord[]): void {
     const {vms} = this.options.board;
     const hadTargets = vms.get().some(isTarget);
-    // A list that lost every target at once is not believed: the links tell.
+    // Ignore a list that lost all its targets at once: it is probably wrong,
+    // and the links detect failed targets themselves.
     if (hadTargets && !records.some(isTarget)) return;
     vms.set(records);
   }
@@ -44,8 +45,8 @@
     void this.options.vmList
       .read()
       .match(
-        (records) => this.take(records),
-        // The last list stays in use; links tell what is alive.
+        (records) => this.update(records),
+        // The last list stays in use; the links detect failed targets.
         () => undefined,
       )
       .then(() => {
