--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -1,78 +1,78 @@
-/** A link out of the subset is kept for this long once it was needed. */
+/** A link outside the subset is kept this long after use, in milliseconds. */
 export const LINK_PIN_MS = 60_000;
 
-/** How often silence is looked for, in milliseconds. */
+/** Period of the check for silent agents, in milliseconds. */
 export const SILENCE_CHECK_MS = 50;
 
-/** A check that comes this late shows that this process was paused. */
+/** A check this late shows that the process was paused, in milliseconds. */
 export const PAUSE_DETECTION_MS = 250;
 
 /** How often the VM list is read, in milliseconds. */
 export const VM_LIST_PERIOD_MS = 500;
 
-/** Wait before another target is looked for, in milliseconds. */
+/** Wait before the next attempt to choose a target, in milliseconds. */
 export const NO_TARGET_RETRY_MS = 50;
 
-/** Attempts on one answer before it is given up. */
+/** Consecutive attempts without a new token before a generation fails. */
 export const MAX_ATTEMPTS_WITHOUT_PROGRESS = 12;
 
-/** An answer without a reader is kept for this long, in milliseconds. */
+/** An output without a reader is kept for this long, in milliseconds. */
 export const OUTPUT_RETENTION_MS = 10_000;
 
-/** How often copies are swept, in milliseconds. */
+/** Period at which unread outputs are removed, in milliseconds. */
 export const OUTPUT_SWEEP_PERIOD_MS = 1_000;
 
-/** Most tokens that a caller reads in one part. */
+/** Most tokens that a reader returns in one part. */
 export const MAX_TOKENS_PER_PART = 256;
 
-/** A refusal for want of targets asks to come back after this. */
+/** Retry delay that refusals send to callers, in milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 
 /** Wait before the configuration is read again, in milliseconds. */
 export const CONFIG_RETRY_MS = 500;
 
-/** Cancels that a link keeps for an agent that is away. */
+/** Most cancellations that a link keeps for a disconnected agent. */
 export const MAX_PENDING_CANCELS = 1_000;
 
-/** Bounds of the wait before an agent is asked again, in milliseconds. */
+/** Bounds of the wait before a key query is retried, in milliseconds. */
 export const KEY_QUERY_RETRY_MIN_MS = 100;
 export const KEY_QUERY_RETRY_MAX_MS = 1_000;
 
-/** An agent says what it knows this long before the deadline. */
+/** An agent responds to a key query this long before the deadline, in ms. */
 export const KEY_QUERY_RESPONSE_MARGIN_MS = 50;
 
-/** Wait before a write that is in doubt is tried again, in milliseconds. */
+/** Wait before a write of unknown outcome is retried, in milliseconds. */
 export const WRITE_RETRY_MS = 20;
 
-/** `true` where the caller vouches that it has not used the key before. */
+/** Header: `true` if the caller states that it has not used the key before. */
 export const FIRST_USE_HEADER = 'idempotency-first-use';
 
 /**
- * Without an answer of the platform, an entry serves by what its peers hold
- * only after it has heard them for this long, in milliseconds.
+ * If the platform does not respond, an entry waits this long after its start
+ * before it activates a configuration received from peers, in milliseconds.
  */
 export const INITIAL_PEER_WAIT_MS = 2_000;
 
-/** How often an entry tells its subscribers what it holds. */
+/** Period at which an entry announces its version, in milliseconds. */
 export const CONFIG_ANNOUNCE_PERIOD_MS = 1_000;
 
-/** How often the watchers are elected anew, in milliseconds. */
+/** Period of the election of watchers, in milliseconds. */
 export const ELECTION_PERIOD_MS = 500;
 
-/** A peer that is silent for longer is passed over, in milliseconds. */
+/** A peer that is silent for longer is not elected, in milliseconds. */
 export const PEER_SILENCE_TIMEOUT_MS = 2_500;
 
-/** A silent peer is tried again after this, in milliseconds. */
+/** Wait before a silent peer is retried, in milliseconds. */
 export const SILENT_PEER_RETRY_MS = 10_000;
 
-/** News older than this is looked after by reading, in milliseconds. */
+/** A configuration confirmed longer ago is read again, in milliseconds. */
 export const CONFIG_STALE_MS = 3_000;
 
 /** Longest time between such reads, in milliseconds. */
 export const MAX_CONFIG_READ_PERIOD_MS = 2_000;
 
-/** How often an entry tells its agents how old its news is. */
+/** Period at which agents receive the version and its age, in milliseconds. */
 export const AGENT_CONFIG_ANNOUNCE_PERIOD_MS = 5_000;
 
-/** Entries tell one agent a new version spread over this, in milliseconds. */
+/** Longest random delay before agents receive a new version, in ms. */
 export const AGENT_CONFIG_JITTER_MS = 300;
--- a/src/entry/entry-board.ts
+++ b/src/entry/entry-board.ts
@@ -6,7 +6,7 @@
 import type {SiteConfig} from '../core/config/types.js';
 import type {VmRecord} from '../core/edges/index.js';
 
-/** A configuration in force at this process. */
+/** The configuration that this process applies. */
 export interface ActiveConfig {
   readonly version: number;
   readonly cfg: SiteConfig;
@@ -17,7 +17,7 @@
   readonly config = new Cell<Maybe<ActiveConfig>>(Nothing);
   /** When the platform last confirmed the configuration. */
   readonly configConfirmedAtMs = new Cell(Number.NEGATIVE_INFINITY);
-  /** The VM list as last read; it lags. */
+  /** The VM list as last read, which lags behind the VMs. */
   readonly vms = new Cell<readonly VmRecord[]>([]);
   readonly draining = new Cell(false);
   /** This entry's share of the targets' capacity. */
--- a/src/entry/load-controller.ts
+++ b/src/entry/load-controller.ts
@@ -1,4 +1,4 @@
-/** Works out this entry's share of the targets' capacity. */
+/** Computes this entry's share of the targets' capacity. */
 import type {EntryLoad, ServiceSlots} from '../core/admission/index.js';
 import {resolveSlots, RESUME_SHARE} from '../core/admission/index.js';
 import type {Clock, TimerHandle} from '../core/clock/index.js';
@@ -13,7 +13,7 @@
 import type {TargetView} from '../core/routing/index.js';
 import type {EntryBoard} from './entry-board.js';
 
-/** How often the share is worked out anew, in milliseconds. */
+/** Period at which the share is computed, in milliseconds. */
 export const LOAD_PERIOD_MS = 100;
 
 /** Writes the entry's load to the board from the views and the VM list. */
@@ -49,7 +49,7 @@
 }
 
 /**
- * Gives an entry its slots for each service.
+ * Computes an entry's slots for each service.
  *
  * @example
  * resolveLoad({cfg, vms, views});
@@ -65,13 +65,17 @@
   return {
     liveEntries,
     services: services.map((service) => {
-      const ofService = views.filter((view) => view.service === service.name);
-      const listed = vms.filter((vm) => vm.service === service.name).length;
+      const serviceViews = views.filter(
+        (view) => view.service === service.name,
+      );
+      const listedTargets = vms.filter(
+        (vm) => vm.service === service.name,
+      ).length;
       const resumeShare = resumeShareOf({service, recovery});
       return resolveService({
         service,
-        views: ofService,
-        listed,
+        views: serviceViews,
+        listedTargets,
         liveEntries,
         resumeShare,
       });
@@ -82,13 +86,14 @@
 function resolveService(options: {
   service: ServiceConfig;
   views: readonly TargetView[];
-  listed: number;
+  listedTargets: number;
   liveEntries: number;
   resumeShare: number;
 }): ServiceSlots {
-  const {service, views, listed, liveEntries, resumeShare} = options;
-  // Where each entry watches a part of the targets, fewer entries share one.
-  const watchedShare = listed === 0 ? 1 : Math.min(1, views.length / listed);
+  const {service, views, listedTargets, liveEntries, resumeShare} = options;
+  // If each entry watches a subset of the targets, fewer entries share each.
+  const watchedShare =
+    listedTargets === 0 ? 1 : Math.min(1, views.length / listedTargets);
   const sharers = Math.max(1, liveEntries * watchedShare);
   const slots = resolveSlots({views, sharers});
   const resumeSlots = Math.floor(slots * resumeShare);
@@ -96,8 +101,9 @@
 }
 
 /**
- * Plain calls are never resumed, and a deployment that weighs resources
- * leaves no engine idle: there a resume takes the next slot that comes free.
+ * Share of the slots that is reserved for resumes. Plain calls are never
+ * resumed. A deployment that optimizes for resources leaves no engine idle,
+ * so there a resume takes the next free slot.
  */
 function resumeShareOf(options: {
   service: ServiceConfig;
--- a/src/entry/request-dispatcher.ts
+++ b/src/entry/request-dispatcher.ts
@@ -1,4 +1,4 @@
-/** What callers ask of an entry, from the key to the answer. */
+/** Serves callers' requests, from the check of the key to the response. */
 import {createHash} from 'node:crypto';
 
 import type {Result} from 'neverthrow';
@@ -37,7 +37,7 @@
 
 const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
-/** What the gate hands requests on to. */
+/** Dependencies of the dispatcher. */
 export interface RequestDispatcherOptions {
   readonly board: EntryBoard;
   readonly clock: Clock;
@@ -48,61 +48,65 @@
   readonly plain: PlainService;
 }
 
-interface KnownCaller {
+interface AuthenticatedCaller {
   readonly cfg: SiteConfig;
   readonly clientAccount: ClientAccountConfig;
 }
 
-/** Checks requests against the configuration and hands them on. */
+/** Checks requests against the configuration and dispatches them. */
 export class RequestDispatcher implements CallerHandler {
   private inFlight = 0;
 
-  constructor(private readonly parts: RequestDispatcherOptions) {}
+  constructor(private readonly options: RequestDispatcherOptions) {}
 
-  /** Plain calls that have no answer yet. */
+  /** Counts plain calls without a response yet. */
   countRunning(): number {
     return this.inFlight;
   }
 
   limits(): LimitsConfig {
-    const inForce = this.parts.board.config.get().extract();
-    return inForce?.cfg.limits ?? DEFAULT_LIMITS;
+    const active = this.options.board.config.get().extract();
+    return active?.cfg.limits ?? DEFAULT_LIMITS;
   }
 
   authenticate(head: RequestHead): Result<void, Refusal> {
     return this.identify(head.bearer)
       .map(() => undefined)
-      .mapErr((refusal) => this.counted(applyKeyUncertainty(head, refusal)));
+      .mapErr((refusal) =>
+        this.countAndReturn(applyKeyUncertainty(head, refusal)),
+      );
   }
 
   countRefusal(refusal: Refusal): void {
-    this.parts.metrics.countRefusal(refusal.reason);
+    this.options.metrics.countRefusal(refusal.reason);
   }
 
   generate(req: GenerationReq): ResultAsync<AnswerReader, Refusal> {
-    this.parts.metrics.count(CounterName.REQUESTS, {label: 'generation'});
+    this.options.metrics.count(CounterName.REQUESTS, {label: 'generation'});
     return this.identify(req.bearer)
       .andThen((caller) => this.resolveGeneration(caller, req))
-      .asyncAndThen((request) => this.parts.generations.generate(request))
-      .mapErr((refusal) => this.counted(refusal));
+      .asyncAndThen((request) => this.options.generations.generate(request))
+      .mapErr((refusal) => this.countAndReturn(refusal));
   }
 
   call(req: PlainReq): ResultAsync<PlainResponse, Refusal> {
-    this.parts.metrics.count(CounterName.REQUESTS, {label: 'plain'});
+    this.options.metrics.count(CounterName.REQUESTS, {label: 'plain'});
     const resolved = this.identify(req.bearer).andThen((caller) =>
       this.resolvePlain(caller, req),
     );
     if (resolved.isErr()) {
-      return errAsync(this.counted(applyKeyUncertainty(req, resolved.error)));
+      return errAsync(
+        this.countAndReturn(applyKeyUncertainty(req, resolved.error)),
+      );
     }
-    const startedAtMs = this.parts.clock.now();
+    const startedAtMs = this.options.clock.now();
     this.inFlight++;
     return new ResultAsync(
       this.admitAndCall(resolved.value).then((result) => {
         this.inFlight--;
-        const ms = this.parts.clock.now() - startedAtMs;
-        this.parts.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
-        return result.mapErr((refusal) => this.counted(refusal));
+        const ms = this.options.clock.now() - startedAtMs;
+        this.options.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
+        return result.mapErr((refusal) => this.countAndReturn(refusal));
       }),
     );
   }
@@ -111,52 +115,52 @@
     request: ResolvedPlain,
   ): Promise<Result<PlainResponse, Refusal>> {
     const {req, clientAccount, service, deadlineAtMs} = request;
-    const ticket = await this.parts.admission.admit({
+    const ticket = await this.options.admission.admit({
       clientAccount,
       service,
       deadlineAtMs,
       maxTokens: 0,
       signal: req.signal,
     });
-    if (ticket.isErr()) return this.afterNoTicket(request, ticket.error);
-    const answering = service.idempotent
-      ? this.parts.plain.call(request)
-      : this.parts.bookings.call(request);
-    const result = await answering;
-    ticket.value.release(outcomeOf(result));
+    if (ticket.isErr()) return this.handleNoTicket(request, ticket.error);
+    const pending = service.idempotent
+      ? this.options.plain.call(request)
+      : this.options.bookings.call(request);
+    const result = await pending;
+    ticket.value.release(ticketOutcomeOf(result));
     return result;
   }
 
-  /** A repeat is answered with the first outcome, also with no target. */
-  private async afterNoTicket(
+  /** A retried booking gets its first outcome even if no target is usable. */
+  private async handleNoTicket(
     request: ResolvedPlain,
     refusal: Refusal,
   ): Promise<Result<PlainResponse, Refusal>> {
     if (request.service.idempotent) return err(refusal);
     if (refusal.reason === RefusalReason.NO_TARGET) {
-      return this.parts.bookings.call(request);
+      return this.options.bookings.call(request);
     }
     return err(applyKeyUncertainty(request.req, refusal));
   }
 
-  private identify(bearer: string): Result<KnownCaller, Refusal> {
-    const {board} = this.parts;
-    if (board.draining.get()) return err(leaving());
-    const inForce = board.config.get().extract();
-    if (inForce === undefined) return err(notReady());
-    const {cfg} = inForce;
+  private identify(bearer: string): Result<AuthenticatedCaller, Refusal> {
+    const {board} = this.options;
+    if (board.draining.get()) return err(drainingRefusal());
+    const active = board.config.get().extract();
+    if (active === undefined) return err(notReadyRefusal());
+    const {cfg} = active;
     const digest = createHash('sha256').update(bearer).digest('hex');
     const clientAccount = cfg.clientAccounts.find(
       (account) => account.keySha256 === digest,
     );
     if (bearer === '' || clientAccount === undefined) {
-      return err(refuse(RefusalReason.UNAUTHENTICATED, 'unknown key'));
+      return err(createRefusal(RefusalReason.UNAUTHENTICATED, 'unknown key'));
     }
     return ok({cfg, clientAccount});
   }
 
   private resolveGeneration(
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     req: GenerationReq,
   ): Result<
     {
@@ -173,17 +177,17 @@
     );
     if (service === undefined) {
       const detail = `no service serves the model "${model}"`;
-      return err(refuse(RefusalReason.UNKNOWN_SERVICE, detail));
+      return err(createRefusal(RefusalReason.UNKNOWN_SERVICE, detail));
     }
     if (maxTokens > cfg.limits.maxTokens) {
       const detail = `max_tokens is at most ${cfg.limits.maxTokens}`;
-      return err(refuse(RefusalReason.BAD_REQUEST, detail));
+      return err(createRefusal(RefusalReason.BAD_REQUEST, detail));
     }
     return ok({req, clientAccount, service});
   }
 
   private resolvePlain(
-    caller: KnownCaller,
+    caller: AuthenticatedCaller,
     req: PlainReq,
   ): Result<ResolvedPlain, Refusal> {
     const {cfg, clientAccount} = caller;
@@ -192,7 +196,7 @@
     );
     if (service === undefined) {
       const detail = `there is no service "${req.service}"`;
-      return err(refuse(RefusalReason.UNKNOWN_SERVICE, detail));
+      return err(createRefusal(RefusalReason.UNKNOWN_SERVICE, detail));
     }
     const keyRefusal = checkKey(service, req.idempotencyKey);
     if (keyRefusal !== undefined) return err(keyRefusal);
@@ -201,17 +205,19 @@
       parts: [req.service, req.method, req.path, req.body],
     });
     const allowedMs = req.deadlineMs ?? service.deadlineMs;
-    const deadlineAtMs = this.parts.clock.now() + allowedMs;
+    const deadlineAtMs = this.options.clock.now() + allowedMs;
     return ok({req, clientAccount, service, fingerprint, deadlineAtMs});
   }
 
-  private counted(refusal: Refusal): Refusal {
+  private countAndReturn(refusal: Refusal): Refusal {
     this.countRefusal(refusal);
     return refusal;
   }
 }
 
-function outcomeOf(result: Result<PlainResponse, Refusal>): TicketOutcome {
+function ticketOutcomeOf(
+  result: Result<PlainResponse, Refusal>,
+): TicketOutcome {
   if (result.isOk()) return TicketOutcome.SERVED;
   return result.error.reason === RefusalReason.DEADLINE_EXCEEDED
     ? TicketOutcome.TIMED_OUT
@@ -222,25 +228,25 @@
   if (service.idempotent) return undefined;
   if (key === '') {
     const detail = 'this service needs an Idempotency-Key';
-    return refuse(RefusalReason.KEY_MISSING, detail);
+    return createRefusal(RefusalReason.KEY_MISSING, detail);
   }
   if (KEY_PATTERN.test(key)) return undefined;
   const detail = 'the Idempotency-Key is 1 to 128 visible ASCII characters';
-  return refuse(RefusalReason.KEY_INVALID, detail);
+  return createRefusal(RefusalReason.KEY_INVALID, detail);
 }
 
-function leaving(): Refusal {
+function drainingRefusal(): Refusal {
   const reason = RefusalReason.LEAVING;
   const detail = 'this entry is leaving';
   return {reason, ran: Ran.NO, detail, retryAfterMs: RETRY_AFTER_MS};
 }
 
-function notReady(): Refusal {
+function notReadyRefusal(): Refusal {
   const reason = RefusalReason.NOT_READY;
   const detail = 'no configuration is in force yet';
   return {reason, ran: Ran.NO, detail, retryAfterMs: RETRY_AFTER_MS};
 }
 
-function refuse(reason: RefusalReason, detail: string): Refusal {
+function createRefusal(reason: RefusalReason, detail: string): Refusal {
   return {reason, ran: Ran.NO, detail};
 }
