--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -101,11 +101,12 @@
   }
 
   private addStored(
-    fingerprint: string, record: QuarantineRecord | undefined,
+    fingerprint: string,
+    record: QuarantineRecord | undefined,
   ): void {
     if (record === undefined || this.stored.has(fingerprint)) return;
     this.stored.add(fingerprint);
-    this.options.quarantine.add({fingerprint, record: culprit: record});
+    this.options.quarantine.add({fingerprint, record});
     // The entry that wrote the record may have stopped before the expiry.
     void this.removeAfter(fingerprint, QUARANTINE_MS * REMOTE_EXPIRY_FACTOR);
   }
@@ -116,7 +117,8 @@
   }
 
   private async store(
-    fingerprint: string, record: QuarantineRecord,
+    fingerprint: string,
+    record: QuarantineRecord,
   ): Promise<void> {
     const {records} = this.options;
     await this.retryUntilWritten(() =>
--- a/src/entry/calls/booking-agents.ts
+++ b/src/entry/calls/booking-agents.ts
@@ -85,9 +85,7 @@
   return link.view().incarnation === place.incarnation;
 }
 
-function toAgentResult(
-  result: AgentCallResult,
-  place: AgentId): AgentResult {
+function toAgentResult(result: AgentCallResult, place: AgentId): AgentResult {
   const {response, keyPhase, incarnation} = result;
   if (response !== undefined) return {kind: AgentResultKind.RESPONSE, response};
   if (incarnation !== place.incarnation) return {kind: AgentResultKind.GONE};
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -107,7 +107,10 @@
   }
 
   /** Handles a newly quarantined request, which may be this one. */
-  handlePoisonRequest(poisonFingerprint: string, record: QuarantineRecord): void {
+  handlePoisonRequest(
+    poisonFingerprint: string,
+    record: QuarantineRecord,
+  ): void {
     if (poisonFingerprint === this.task.poisonFingerprint) {
       this.fail(refusals.poisonRequestDetected());
       return;
@@ -248,7 +251,7 @@
     const {clientAccount, poisonFingerprint} = this.task;
     const record = {clientAccount, crashes: this.history.crashes};
     this.fail(refusals.poisonRequestDetected());
-    this.deps.quarantine.add({fingerprint: poisonFingerprint, record: culprit: record});
+    this.deps.quarantine.add({fingerprint: poisonFingerprint, record});
   }
 
   private handleRefused(attemptId: string, message: RefusedMessage): void {
--- a/src/entry/generation/quarantine-sync.ts
+++ b/src/entry/generation/quarantine-sync.ts
@@ -74,7 +74,7 @@
     }
     this.stored.add(fingerprint);
     QUARANTINE_RECORD.decode(value).ifRight((record) =>
-      this.options.quarantine.add({fingerprint, record: culprit: record}),
+      this.options.quarantine.add({fingerprint, record}),
     );
   }
 
--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -164,7 +164,7 @@
       service,
       incarnation: this.incarnation,
       usable,
-      draining: leaving: draining,
+      draining,
       ownInFlight: this.handlers.size,
       running: heartbeat?.running ?? 0,
       waiting: heartbeat?.waiting ?? 0,
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -80,7 +80,9 @@
 
   /** The recovery policy of the active configuration. */
   policy(): RecoveryPolicy {
-    return resolveRecoveryPolicy(this.recoveryGoal().orDefault(RecoveryGoal.LATENCY));
+    return resolveRecoveryPolicy(
+      this.recoveryGoal().orDefault(RecoveryGoal.LATENCY),
+    );
   }
 
   private recoveryGoal(): Maybe<RecoveryGoal> {
--- a/test/core/booking/schedules.test.ts
+++ b/test/core/booking/schedules.test.ts
@@ -53,7 +53,11 @@
   return world;
 }
 
-function search(decisions: Decisions, numRuns: number, reported?: Set<Executed>) {
+function search(
+  decisions: Decisions,
+  numRuns: number,
+  reported?: Set<Executed>,
+) {
   const schedule = fc.array(fc.nat(MAX_PICK), {
     minLength: 4,
     maxLength: MAX_STEPS,
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -95,8 +95,8 @@
   });
 
   const recordLoss = (incarnation: string) => {
-    ledger.recordLoss({request: REQUEST, incarnation: life: incarnation});
-    ledger.confirm({request: REQUEST, incarnation: life: incarnation});
+    ledger.recordLoss({request: REQUEST, incarnation});
+    ledger.confirm({request: REQUEST, incarnation});
     sync.publish();
   };
 
