--- a/src/adapters/callers/completion-codec.ts
+++ b/src/adapters/callers/completion-codec.ts
@@ -53,7 +53,7 @@
 type SharedBody = Omit<GetType<typeof COMPLETION_BODY>, 'prompt'>;
 
 /** What a completion request asks for. */
-export interface CompletionAsk {
+export interface CompletionRequest {
   readonly spec: GenerationSpec;
   readonly stream: boolean;
   readonly includeUsage: boolean;
@@ -67,10 +67,12 @@
  */
 export function decodeCompletion(
   body: unknown,
-): Result<CompletionAsk, Refusal> {
-  return COMPLETION_BODY.decode(body).caseOf<Result<CompletionAsk, Refusal>>({
+): Result<CompletionRequest, Refusal> {
+  return COMPLETION_BODY.decode(body).caseOf<
+    Result<CompletionRequest, Refusal>
+  >({
     Left: (detail) => err(badRequest(detail)),
-    Right: (fields) => createAsk(fields, fields.prompt, fields.max_tokens),
+    Right: (fields) => createRequest(fields, fields.prompt, fields.max_tokens),
   });
 }
 
@@ -80,15 +82,15 @@
  * @example
  * decodeChat({model: 'm', messages: [{role: 'user', content: 'hoops?'}]});
  */
-export function decodeChat(body: unknown): Result<CompletionAsk, Refusal> {
-  return CHAT_BODY.decode(body).caseOf<Result<CompletionAsk, Refusal>>({
+export function decodeChat(body: unknown): Result<CompletionRequest, Refusal> {
+  return CHAT_BODY.decode(body).caseOf<Result<CompletionRequest, Refusal>>({
     Left: (detail) => err(badRequest(detail)),
     Right: (fields) => {
       if (fields.messages.length === 0) {
         return err(badRequest('messages holds at least one message'));
       }
       const maxTokens = fields.max_completion_tokens ?? fields.max_tokens;
-      return createAsk(fields, renderChat(fields.messages), maxTokens);
+      return createRequest(fields, renderChat(fields.messages), maxTokens);
     },
   });
 }
@@ -108,11 +110,11 @@
   return content.map(({text}) => text).join('');
 }
 
-function createAsk(
+function createRequest(
   fields: SharedBody,
   prompt: string,
   asked: number | null | undefined,
-): Result<CompletionAsk, Refusal> {
+): Result<CompletionRequest, Refusal> {
   const maxTokens = asked ?? DEFAULT_MAX_TOKENS;
   const stop = stopStrings(fields.stop);
   if (!Number.isInteger(maxTokens) || maxTokens < 1) {
--- a/src/adapters/callers/answer-stream.ts
+++ b/src/adapters/callers/completion-response.ts
@@ -3,7 +3,7 @@
 
 import type {OutputPart, OutputReader} from '../../core/edges/index.js';
 import {OutputPartKind} from '../../core/edges/index.js';
-import {EventOutput} from './event-output.js';
+import {EventStreamWriter} from './event-stream-writer.js';
 import {createProblem, createProblemResponse} from './problem.js';
 import type {CompletionWriter} from './completion-writer.js';
 
@@ -14,7 +14,7 @@
 }
 
 /** How an answer is written. */
-export interface AnswerOptions {
+export interface CompletionResponseOptions {
   readonly ctx: Context;
   readonly reader: OutputReader;
   readonly writer: CompletionWriter;
@@ -22,7 +22,9 @@
 }
 
 /** Answers with events, one for each part; a refusal at once is a problem. */
-export async function streamAnswer(options: AnswerOptions): Promise<Response> {
+export async function streamCompletion(
+  options: CompletionResponseOptions,
+): Promise<Response> {
   const {ctx, reader} = options;
   const signal = ctx.req.raw.signal;
   signal.addEventListener('abort', () => reader.close());
@@ -31,7 +33,7 @@
     reader.close();
     return createProblemResponse(first.refusal);
   }
-  const out = new EventOutput(ctx, () => reader.close());
+  const out = new EventStreamWriter(ctx, () => reader.close());
   if (reader.restarted) {
     const data = JSON.stringify({discard: true});
     await out.write(formatEvent({event: 'restart', data}));
@@ -47,7 +49,9 @@
 }
 
 /** Answers with one document once the answer is whole. */
-export async function sendAnswer(options: AnswerOptions): Promise<Response> {
+export async function sendCompletion(
+  options: CompletionResponseOptions,
+): Promise<Response> {
   const {ctx, reader, writer} = options;
   ctx.req.raw.signal.addEventListener('abort', () => reader.close());
   let text = '';
@@ -63,11 +67,14 @@
     }
     const {finishReason: reason, completionTokens} = part;
     const usage = {completionTokens};
-    return ctx.json(writer.whole({text, reason, usage}) as object);
+    return ctx.json(writer.completion({text, reason, usage}) as object);
   }
 }
 
-function formatPart(part: OutputPart, options: AnswerOptions): string {
+function formatPart(
+  part: OutputPart,
+  options: CompletionResponseOptions,
+): string {
   const {writer, includeUsage} = options;
   switch (part.kind) {
     case OutputPartKind.TOKENS: {
--- a/src/adapters/callers/completion-writer.ts
+++ b/src/adapters/callers/completion-writer.ts
@@ -17,11 +17,15 @@
   /** The usage, as the data of one event. */
   usage(usage: Usage): unknown;
   /** The whole answer. */
-  whole(options: {text: string; reason: FinishReason; usage: Usage}): unknown;
+  completion(options: {
+    text: string;
+    reason: FinishReason;
+    usage: Usage;
+  }): unknown;
 }
 
 /** What every object of one answer carries. */
-export interface AnswerHead {
+export interface CompletionMetadata {
   readonly requestId: string;
   readonly model: string;
   readonly createdMs: number;
@@ -29,7 +33,7 @@
 
 /** Shape of `/v1/completions`. */
 export class TextCompletionWriter implements CompletionWriter {
-  constructor(private readonly head: AnswerHead) {}
+  constructor(private readonly metadata: CompletionMetadata) {}
 
   delta(text: string): unknown {
     return {...this.fields(), choices: [createTextChoice(text, null)]};
@@ -43,7 +47,11 @@
     return {...this.fields(), choices: [], usage: createUsage(usage)};
   }
 
-  whole(options: {text: string; reason: FinishReason; usage: Usage}): unknown {
+  completion(options: {
+    text: string;
+    reason: FinishReason;
+    usage: Usage;
+  }): unknown {
     return {
       ...this.fields(),
       choices: [createTextChoice(options.text, options.reason)],
@@ -52,7 +60,7 @@
   }
 
   private fields() {
-    const {requestId, model, createdMs} = this.head;
+    const {requestId, model, createdMs} = this.metadata;
     const created = Math.floor(createdMs / MS_PER_SECOND);
     return {id: `cmpl-${requestId}`, object: 'text_completion', created, model};
   }
@@ -60,13 +68,13 @@
 
 /** Shape of `/v1/chat/completions`. */
 export class ChatCompletionWriter implements CompletionWriter {
-  private begun = false;
+  private hasStarted = false;
 
-  constructor(private readonly head: AnswerHead) {}
+  constructor(private readonly metadata: CompletionMetadata) {}
 
   delta(text: string): unknown {
-    const role = this.begun ? {} : {role: 'assistant'};
-    this.begun = true;
+    const role = this.hasStarted ? {} : {role: 'assistant'};
+    this.hasStarted = true;
     const delta = {...role, content: text};
     return this.chunk([{index: 0, delta, finish_reason: null}]);
   }
@@ -79,7 +87,11 @@
     return {...this.chunk([]), usage: createUsage(usage)};
   }
 
-  whole(options: {text: string; reason: FinishReason; usage: Usage}): unknown {
+  completion(options: {
+    text: string;
+    reason: FinishReason;
+    usage: Usage;
+  }): unknown {
     const {text, reason, usage} = options;
     const message = {role: 'assistant', content: text};
     return {
@@ -94,7 +106,7 @@
   }
 
   private fields(object: string) {
-    const {requestId, model, createdMs} = this.head;
+    const {requestId, model, createdMs} = this.metadata;
     const created = Math.floor(createdMs / MS_PER_SECOND);
     return {id: `chatcmpl-${requestId}`, object, created, model};
   }
--- a/src/adapters/callers/event-output.ts
+++ b/src/adapters/callers/event-stream-writer.ts
@@ -17,7 +17,7 @@
  * One event stream. Streams of the web platform would cost more per event
  * than all else that an entry does for a token.
  */
-export class EventOutput {
+export class EventStreamWriter {
   private readonly res: ServerResponse;
 
   constructor(ctx: Context, onClose: () => void) {
--- a/src/adapters/callers/read-body.ts
+++ b/src/adapters/callers/read-body.ts
@@ -21,7 +21,7 @@
   if (declared > limits.bodyBytes) return err(tooLarge(limits));
   const reader = req.body?.getReader();
   if (reader === undefined) return ok(new Uint8Array());
-  const expiry = createExpiry(limits.bodyTimeoutMs);
+  const expiry = createTimeout(limits.bodyTimeoutMs);
   const chunks: Uint8Array[] = [];
   let size = 0;
   try {
@@ -58,7 +58,7 @@
   }
 }
 
-function createExpiry(timeoutMs: number) {
+function createTimeout(timeoutMs: number) {
   let timer: NodeJS.Timeout | undefined;
   const expired = new Promise<undefined>((resolve) => {
     timer = setTimeout(() => resolve(undefined), timeoutMs);
--- a/src/adapters/callers/service-path.ts
+++ b/src/adapters/callers/service-path.ts
@@ -16,7 +16,7 @@
  * Returns path and query as they were sent. A URL parser would resolve dot
  * segments first, and so turn a path of one service into one of another.
  */
-export function readTarget(ctx: Context): string {
+export function readRequestTarget(ctx: Context): string {
   const bindings = ctx.env as ServerBindings | undefined;
   const target = bindings?.incoming?.url ?? ctx.req.url;
   return target.replace(ORIGIN, '');
@@ -29,7 +29,7 @@
  * @example
  * isPlainTarget('/services/orders/%2e%2e/stock'); // false
  */
-export function isPlainTarget(target: string): boolean {
+export function isSafeRequestTarget(target: string): boolean {
   const [path = ''] = target.split(/[?#]/, 1);
   const once = decodeOnce(path);
   if (once === undefined) return false;
@@ -43,7 +43,7 @@
  * @example
  * cutServicePrefix('/services/stock/items/7?unit=bag'); // '/items/7?unit=bag'
  */
-export function cutServicePrefix(target: string): string {
+export function stripServicePrefix(target: string): string {
   return target.replace(SERVICE_PREFIX, '');
 }
 
--- a/src/adapters/driver-probe.ts
+++ b/src/adapters/driver-probe.ts
@@ -8,7 +8,7 @@
 import type {DriverError} from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
 import {driverError, toDriverError} from './driver-errors.js';
-import type {HttpAnswer} from './http-call.js';
+import type {HttpResponse} from './http-call.js';
 import {callHttp, FIRST_ERROR_STATUS, parseJson} from './http-call.js';
 
 /**
@@ -39,8 +39,8 @@
  * callHttp(options).mapErr(toDriverError).andThen(checkStatus);
  */
 export function checkStatus(
-  answer: HttpAnswer,
-): Result<HttpAnswer, DriverError> {
+  answer: HttpResponse,
+): Result<HttpResponse, DriverError> {
   if (answer.status < FIRST_ERROR_STATUS) return ok(answer);
   const detail = `status ${answer.status}`;
   return err(driverError(DriverErrorKind.REFUSED, detail));
@@ -48,7 +48,7 @@
 
 function decode<T>(
   codec: Codec<T>,
-  {body}: HttpAnswer,
+  {body}: HttpResponse,
 ): Result<T, DriverError> {
   return decodeValue(codec, parseJson(body)).mapErr((detail) =>
     driverError(DriverErrorKind.MALFORMED, detail),
--- a/src/adapters/engine-http-stream.ts
+++ b/src/adapters/engine-http-stream.ts
@@ -59,7 +59,7 @@
     onEvent: (event) => this.onEvent(event),
   });
   private position: number;
-  private isOver = false;
+  private isClosed = false;
 
   constructor(private readonly options: EngineHttpStreamOptions) {
     this.position = options.position;
@@ -73,7 +73,7 @@
   }
 
   cancel(): void {
-    this.isOver = true;
+    this.isClosed = true;
     this.abort.abort();
   }
 
@@ -87,26 +87,27 @@
       signal: this.abort.signal,
     });
     if (res.statusCode >= FIRST_ERROR_STATUS) {
-      return this.refuse(res.statusCode);
+      return this.failRefused(res.statusCode);
     }
     for await (const text of textOf(res.body)) {
-      if (this.isOver) return;
+      if (this.isClosed) return;
       this.parser.feed(text);
     }
-    this.lose('the stream ended without a finish reason');
+    this.failLost('the stream ended without a finish reason');
   }
 
   private onEvent({data}: EventSourceMessage): void {
-    if (this.isOver) return;
-    if (data === DONE) return this.lose('done without a finish reason');
+    if (this.isClosed) return;
+    if (data === DONE) return this.failLost('done without a finish reason');
     CHUNK.decode(parseJson(data)).caseOf({
       Left: (detail) =>
         this.fail(driverError(DriverErrorKind.MALFORMED, detail)),
-      Right: ({choices}) => choices.forEach((choice) => this.take(choice)),
+      Right: ({choices}) =>
+        choices.forEach((choice) => this.handleChoice(choice)),
     });
   }
 
-  private take(choice: {
+  private handleChoice(choice: {
     text: string;
     token_ids: number[];
     finish_reason: FinishReason | null;
@@ -121,21 +122,21 @@
 
   private finish(reason: FinishReason): void {
     // The sink may have cancelled the stream when it took the last tokens.
-    if (this.isOver) return;
+    if (this.isClosed) return;
     this.cancel();
     this.options.sink.onFinish(reason);
   }
 
-  private refuse(status: number): void {
+  private failRefused(status: number): void {
     this.fail(driverError(DriverErrorKind.REFUSED, `status ${status}`));
   }
 
-  private lose(detail: string): void {
+  private failLost(detail: string): void {
     this.fail(driverError(DriverErrorKind.LOST, detail));
   }
 
   private fail(err: DriverError): void {
-    if (this.isOver) return;
+    if (this.isClosed) return;
     this.cancel();
     this.options.sink.onFailure(err);
   }
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -46,7 +46,7 @@
 }
 
 /** A whole answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
@@ -95,7 +95,7 @@
  */
 export function callHttp(
   options: HttpCallOptions,
-): ResultAsync<HttpAnswer, HttpFailure> {
+): ResultAsync<HttpResponse, HttpFailure> {
   return ResultAsync.fromPromise(exchange(options), toHttpFailure);
 }
 
@@ -139,7 +139,7 @@
   for await (const chunk of body) yield decoder.decode(chunk, {stream: true});
 }
 
-async function exchange(options: HttpCallOptions): Promise<HttpAnswer> {
+async function exchange(options: HttpCallOptions): Promise<HttpResponse> {
   const {dispatcher, url, method, body, timeoutMs} = options;
   // A signal's time is whole milliseconds; a fraction would throw.
   const signal = AbortSignal.timeout(Math.ceil(timeoutMs));
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -12,11 +12,14 @@
 } from '../core/edges/index.js';
 import type {Refusal} from '../core/errors/index.js';
 import {Executed, RefusalReason} from '../core/errors/index.js';
-import {sendAnswer, streamAnswer} from './callers/answer-stream.js';
-import type {CompletionAsk} from './callers/completion-codec.js';
+import {
+  sendCompletion,
+  streamCompletion,
+} from './callers/completion-response.js';
+import type {CompletionRequest} from './callers/completion-codec.js';
 import {decodeChat, decodeCompletion} from './callers/completion-codec.js';
 import type {
-  AnswerHead,
+  CompletionMetadata,
   CompletionWriter,
 } from './callers/completion-writer.js';
 import {
@@ -26,9 +29,9 @@
 import {createProblemResponse} from './callers/problem.js';
 import {readBody, readJson} from './callers/read-body.js';
 import {
-  cutServicePrefix,
-  isPlainTarget,
-  readTarget,
+  stripServicePrefix,
+  isSafeRequestTarget,
+  readRequestTarget,
 } from './callers/service-path.js';
 
 const BEARER_PREFIX = 'Bearer ';
@@ -51,11 +54,11 @@
 ]);
 
 /** Statuses whose answers have no body. */
-const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 205, 304]);
+const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 205, 304]);
 
 interface Endpoint {
-  decode(body: unknown): Result<CompletionAsk, Refusal>;
-  createWriter(head: AnswerHead): CompletionWriter;
+  decode(body: unknown): Result<CompletionRequest, Refusal>;
+  createWriter(head: CompletionMetadata): CompletionWriter;
 }
 
 const COMPLETIONS: Endpoint = {
@@ -77,7 +80,7 @@
 export function createCallersApp(options: {handler: CallerHandler}): Hono {
   const {handler} = options;
   const app = new Hono();
-  app.use(checkTarget(handler));
+  app.use(checkRequestTarget(handler));
   app.use('/v1/*', checkHead(handler));
   app.use('/services/*', checkHead(handler));
   app.post('/v1/completions', (ctx) => complete(ctx, handler, COMPLETIONS));
@@ -87,14 +90,14 @@
     const detail = `nothing is served under ${ctx.req.path}`;
     return refuse(handler, RefusalReason.UNKNOWN_SERVICE, detail);
   });
-  app.onError((err) => sendRefusal(handler, unservable(err)));
+  app.onError((err) => sendRefusal(handler, invalidResponse(err)));
   return app;
 }
 
 /** Refuses targets that could leave the root of their service. */
-function checkTarget(handler: CallerHandler) {
+function checkRequestTarget(handler: CallerHandler) {
   return createMiddleware(async (ctx, next) => {
-    if (isPlainTarget(readTarget(ctx))) return next();
+    if (isSafeRequestTarget(readRequestTarget(ctx))) return next();
     const detail = 'the path has dot segments, backslashes or broken escapes';
     return refuse(handler, RefusalReason.BAD_REQUEST, detail);
   });
@@ -142,7 +145,7 @@
     createdMs: Date.now(),
   });
   const parts = {ctx, reader, writer, includeUsage};
-  return stream ? streamAnswer(parts) : sendAnswer(parts);
+  return stream ? streamCompletion(parts) : sendCompletion(parts);
 }
 
 async function callService(
@@ -157,7 +160,7 @@
     bearer: readBearer(ctx),
     service,
     method: ctx.req.method,
-    path: cutServicePrefix(readTarget(ctx)),
+    path: stripServicePrefix(readRequestTarget(ctx)),
     headers: forwardedHeaders(ctx),
     body: body.value,
     idempotencyKey: ctx.req.header(IDEMPOTENCY_KEY_HEADER) ?? '',
@@ -177,7 +180,7 @@
 }
 
 function hasBody(status: number): boolean {
-  return !BODILESS_STATUSES.has(status);
+  return !STATUSES_WITHOUT_BODY.has(status);
 }
 
 function forwardedHeaders(ctx: Context): HeaderField[] {
@@ -210,7 +213,7 @@
 }
 
 /** An answer of a service that HTTP cannot carry on. */
-function unservable(err: Error): Refusal {
+function invalidResponse(err: Error): Refusal {
   const detail = `the answer cannot be passed on: ${err.message}`;
   return {reason: RefusalReason.TARGET_FAILED, ran: Executed.UNKNOWN, detail};
 }
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -25,7 +25,7 @@
   WatchHandle,
 } from '../core/edges/index.js';
 import {ObjectKind, StoreErrorKind} from '../core/edges/index.js';
-import type {HttpAnswer} from './http-call.js';
+import type {HttpResponse} from './http-call.js';
 import {
   callHttp,
   createPool,
@@ -112,7 +112,7 @@
       (answer): Result<Maybe<StoredObject>, StoreError> =>
         answer.status === 404
           ? ok(Nothing)
-          : decodeAnswer({call, answer, codec: STORED_OBJECT}).map(Just),
+          : decodeResponse({call, answer, codec: STORED_OBJECT}).map(Just),
     );
   }
 
@@ -124,7 +124,7 @@
     const prefix = encodeURIComponent(options.prefix ?? '');
     const path = `/objects/${options.kind}?prefix=${prefix}`;
     return this.send({call, method: 'GET', path})
-      .andThen((answer) => decodeAnswer({call, answer, codec: OBJECT_LIST}))
+      .andThen((answer) => decodeResponse({call, answer, codec: OBJECT_LIST}))
       .map(({objects}) => objects);
   }
 
@@ -158,11 +158,11 @@
     const body = toJson(value);
     if (body.isErr()) return errAsync(body.error);
     return this.send({...req, body: body.value}).andThen((answer) =>
-      decodeAnswer({call, answer, codec: STORED_OBJECT}),
+      decodeResponse({call, answer, codec: STORED_OBJECT}),
     );
   }
 
-  private send(req: StoreRequest): ResultAsync<HttpAnswer, StoreError> {
+  private send(req: StoreRequest): ResultAsync<HttpResponse, StoreError> {
     const {call, method, path, headers = [], body} = req;
     const json = {name: 'content-type', value: 'application/json'};
     return callHttp({
@@ -197,15 +197,15 @@
 
 function checkStatus(
   call: StoreCall,
-  answer: HttpAnswer,
-): Result<HttpAnswer, StoreError> {
+  answer: HttpResponse,
+): Result<HttpResponse, StoreError> {
   if (answer.status < FIRST_ERROR_STATUS) return ok(answer);
   return err(fromStatus(call, answer.status));
 }
 
-function decodeAnswer<T>(options: {
+function decodeResponse<T>(options: {
   call: StoreCall;
-  answer: HttpAnswer;
+  answer: HttpResponse;
   codec: Codec<T>;
 }): Result<T, StoreError> {
   const {call, answer, codec} = options;
--- a/src/adapters/http-server.ts
+++ b/src/adapters/http-server.ts
@@ -74,7 +74,7 @@
 }): Promise<HttpListener> {
   const {app, address, port, counter, keepsAlive = () => true} = options;
   const listener = getRequestListener(app.fetch, {
-    errorHandler: () => refuseTarget(counter),
+    errorHandler: () => refuseMalformedTarget(counter),
   });
   const server = createServer(SERVER_OPTIONS, (req, res) => {
     void listener(req, res);
@@ -82,7 +82,7 @@
   server.on('clientError', (err: ClientError, socket: Socket) =>
     refuseSocket({err, socket, counter}),
   );
-  const open = followAnswers(server, keepsAlive);
+  const open = trackResponses(server, keepsAlive);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, address, () => {
@@ -103,7 +103,7 @@
 type RequestSocket = Socket & {readonly _httpMessage?: object};
 
 /** The request line or its host cannot be made a URL. */
-function refuseTarget(counter: RefusalCounter | undefined): Response {
+function refuseMalformedTarget(counter: RefusalCounter | undefined): Response {
   const detail = 'the request target or its Host header is malformed';
   const refusal = createRefusal(RefusalReason.BAD_REQUEST, detail);
   counter?.countRefusal(refusal);
@@ -122,12 +122,12 @@
     socket.destroy();
     return;
   }
-  const refusal = resolveClientError(err);
+  const refusal = toRefusal(err);
   counter?.countRefusal(refusal);
   socket.end(formatProblem(refusal));
 }
 
-function resolveClientError({code = '', message}: ClientError): Refusal {
+function toRefusal({code = '', message}: ClientError): Refusal {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW': {
       const detail = `request line and headers are at most ${MAX_HEADER_BYTES} bytes`;
@@ -164,7 +164,7 @@
 }
 
 /** Keeps the answers that have not wholly left. */
-function followAnswers(
+function trackResponses(
   server: Server,
   keepsAlive: () => boolean,
 ): ReadonlySet<ServerResponse> {
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -63,7 +63,7 @@
   }): ResultAsync<PlainResponse, DriverError> {
     const {req, timeoutMs} = options;
     const url = urlOf(this.baseUrl, req.path);
-    if (!staysBelow(this.baseUrl, url)) {
+    if (!isBelowRoot(this.baseUrl, url)) {
       const detail = 'the path leaves the root of the service';
       return errAsync(driverError(DriverErrorKind.NOT_SENT, detail));
     }
@@ -96,7 +96,7 @@
 }
 
 /** Dot segments, which URL parsers resolve, could lead out of the root. */
-function staysBelow(baseUrl: string, url: string): boolean {
+function isBelowRoot(baseUrl: string, url: string): boolean {
   if (!URL.canParse(url)) return false;
   const root = new URL(baseUrl);
   const parsed = new URL(url);
--- a/src/adapters/http-vm-list.ts
+++ b/src/adapters/http-vm-list.ts
@@ -8,7 +8,7 @@
 import type {VmList, VmListError, VmRecord} from '../core/edges/index.js';
 import {VmListErrorKind, VmRole, VmState} from '../core/edges/index.js';
 import {Layer} from '../core/errors/types.js';
-import type {HttpAnswer} from './http-call.js';
+import type {HttpResponse} from './http-call.js';
 import {callHttp, createPool, parseJson} from './http-call.js';
 
 /** Time to read the list, in milliseconds. */
@@ -59,7 +59,7 @@
   }
 }
 
-function decode({status, body}: HttpAnswer): Result<VmRecord[], VmListError> {
+function decode({status, body}: HttpResponse): Result<VmRecord[], VmListError> {
   if (status !== STATUS_OK) {
     const detail = `status ${status}`;
     return err(vmListError(VmListErrorKind.UNAVAILABLE, detail));
--- a/src/adapters/http-watch.ts
+++ b/src/adapters/http-watch.ts
@@ -14,7 +14,7 @@
 } from './store-errors.js';
 
 /** A watch that is silent for longer is taken for broken, in milliseconds. */
-export const WATCH_SILENCE_MS = 15_000;
+export const WATCH_IDLE_TIMEOUT_MS = 15_000;
 
 const STATUS_OK = 200;
 
@@ -40,7 +40,7 @@
 export class HttpWatch implements WatchHandle {
   private readonly abort = new AbortController();
   private pending = '';
-  private isOver = false;
+  private isClosed = false;
 
   constructor(private readonly options: HttpWatchOptions) {}
 
@@ -52,7 +52,7 @@
   }
 
   close(): void {
-    this.isOver = true;
+    this.isClosed = true;
     this.abort.abort();
   }
 
@@ -61,28 +61,28 @@
     const res = await request(url, {
       dispatcher,
       headersTimeout: timeoutMs,
-      bodyTimeout: WATCH_SILENCE_MS,
+      bodyTimeout: WATCH_IDLE_TIMEOUT_MS,
       signal: this.abort.signal,
     });
     if (res.statusCode !== STATUS_OK) {
       return this.end(fromStatus(StoreCall.READ, res.statusCode));
     }
     for await (const text of textOf(res.body)) {
-      this.take(text);
+      this.handleText(text);
     }
     this.end(storeError(StoreErrorKind.UNAVAILABLE, 'the watch ended'));
   }
 
-  private take(text: string): void {
-    if (!this.isOver) this.options.onAlive?.();
+  private handleText(text: string): void {
+    if (!this.isClosed) this.options.onAlive?.();
     const lines = (this.pending + text).split('\n');
     this.pending = lines.pop() ?? '';
     for (const line of lines) {
-      if (!this.isOver && line !== '') this.takeLine(line);
+      if (!this.isClosed && line !== '') this.handleLine(line);
     }
   }
 
-  private takeLine(line: string): void {
+  private handleLine(line: string): void {
     WATCH_EVENT.decode(parseJson(line)).caseOf({
       Left: (detail) => this.end(storeError(StoreErrorKind.INVALID, detail)),
       Right: (event) => this.options.onEvent(event),
@@ -90,7 +90,7 @@
   }
 
   private end(err: StoreError): void {
-    if (this.isOver) return;
+    if (this.isClosed) return;
     this.close();
     this.options.onClosed(err);
   }
--- a/src/agent/agent-board.ts
+++ b/src/agent/agent-board.ts
@@ -22,6 +22,6 @@
 export class AgentBoard {
   readonly phase = new Cell<TargetPhase>(TargetPhase.DOWN);
   readonly report = new Cell<TargetReport>(NO_REPORT);
-  readonly leaving = new Cell(false);
+  readonly draining = new Cell(false);
   readonly configVersion = new Cell(0);
 }
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -25,10 +25,10 @@
 import {CallRunner} from './call-runner.js';
 import {MAX_KEYS} from './consts.js';
 import {ConfigReceiver} from './config-receiver.js';
-import {LeavePeers} from './drain-peers.js';
+import {DrainPeers} from './drain-peers.js';
 import type {TargetProbe} from './engine-monitor.js';
 import {EngineMonitor} from './engine-monitor.js';
-import type {SessionParts} from './entry-session.js';
+import type {SessionDeps} from './entry-session.js';
 import {EntrySession} from './entry-session.js';
 import {KeyTable} from './key-table.js';
 import {OutcomeRecorder} from './outcome-recorder.js';
@@ -61,7 +61,9 @@
   private readonly calls: CallRunner | undefined;
   private readonly monitor: EngineMonitor;
   private readonly server: PeerServer;
-  private readonly peers = new LeavePeers({onLeave: () => this.drain()});
+  private readonly peers = new DrainPeers({
+    onDrainRequested: () => this.drain(),
+  });
   private readonly drainer: DrainController;
   private readonly config: ConfigReceiver;
 
@@ -108,7 +110,7 @@
       dataCentre: settings.dataCentre,
       incarnation: this.incarnation,
       ready: this.isReady(),
-      leaving: this.board.leaving.get(),
+      leaving: this.board.draining.get(),
       configVersion: this.board.configVersion.get(),
       configAgeMs: this.configAgeMs(),
       running: this.countRunning(),
@@ -123,7 +125,7 @@
   }
 
   isReady(): boolean {
-    return !this.board.leaving.get();
+    return !this.board.draining.get();
   }
 
   metrics(): Promise<string> {
@@ -137,7 +139,7 @@
   private createDrainer(): DrainController {
     return new DrainController({
       ...this.options,
-      draining: this.board.leaving,
+      draining: this.board.draining,
       limits: AGENT_DRAIN_LIMITS,
       work: {
         countRunning: () => this.countUnfinished(),
@@ -185,7 +187,7 @@
 
   private createServer(): PeerServer {
     const {clock, metrics} = this.options;
-    const parts: SessionParts = {
+    const parts: SessionDeps = {
       board: this.board,
       clock,
       metrics,
--- a/src/agent/attempt-reader.ts
+++ b/src/agent/attempt-reader.ts
@@ -10,7 +10,7 @@
 /** A cursor into a journal; it sends only what the connection takes. */
 export class AttemptReader {
   private readonly unsubscribe: () => void;
-  private flushing = false;
+  private flushScheduled = false;
   private done = false;
 
   constructor(
@@ -29,7 +29,7 @@
 
   /** Sends what is new, unless the connection is congested. */
   flush(): void {
-    this.flushing = false;
+    this.flushScheduled = false;
     if (this.done) return;
     const {attempt, connection} = this.options;
     while (this.position < attempt.journal.length) {
@@ -51,8 +51,8 @@
   }
 
   private schedule(): void {
-    if (this.flushing) return;
-    this.flushing = true;
+    if (this.flushScheduled) return;
+    this.flushScheduled = true;
     setImmediate(() => this.flush());
   }
 
@@ -64,7 +64,7 @@
     });
     connection.send({
       type: MessageType.TOKENS,
-      attemptId: attempt.order.attemptId,
+      attemptId: attempt.request.attemptId,
       position: this.position,
       ids: tokens.map((token) => token.id),
       texts: tokens.map((token) => token.text),
@@ -74,7 +74,7 @@
 
   private createLastMessage(): Message {
     const {attempt} = this.options;
-    const attemptId = attempt.order.attemptId;
+    const attemptId = attempt.request.attemptId;
     const {finishReason, length} = attempt.journal;
     if (finishReason !== undefined) {
       return {type: MessageType.END, attemptId, length, finishReason};
@@ -85,7 +85,7 @@
         ? RetryReason.ENGINE_STALLED
         : RetryReason.ENGINE_DIED;
     const detail = failure?.detail ?? 'cancelled';
-    const {id: crashId, isCulprit} = attempt.engineCrash ?? {};
+    const {id: crashId, isCause: isCulprit} = attempt.engineCrash ?? {};
     const type = MessageType.FAILED;
     return {type, attemptId, reason, detail, crashId, isCulprit};
   }
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -18,7 +18,7 @@
 import type {AgentBoard} from './agent-board.js';
 import {Attempt} from './attempt.js';
 import {
-  CRASH_PROBE_MS,
+  CRASH_DETECTION_MS,
   JOURNAL_RETENTION_MS,
   ORPHAN_GRACE_MS,
   SWEEP_PERIOD_MS,
@@ -27,7 +27,7 @@
 /** Starts, finds and forgets attempts. */
 export class AttemptTable {
   private readonly attempts = new Map<string, Attempt>();
-  private tokenAtMs = Number.NEGATIVE_INFINITY;
+  private latestTokenAtMs = Number.NEGATIVE_INFINITY;
   private sweeper: TimerHandle | undefined;
 
   constructor(
@@ -67,7 +67,7 @@
 
   /** When an engine's stream last brought a token; long ago for never. */
   lastTokenAtMs(): number {
-    return this.tokenAtMs;
+    return this.latestTokenAtMs;
   }
 
   /** Why a new attempt would be refused now; undefined if it would not. */
@@ -75,7 +75,7 @@
     order: Pick<StartMessage, 'crashes' | 'mayShare'>,
   ): Refusal | undefined {
     const {board} = this.options;
-    if (board.leaving.get()) {
+    if (board.draining.get()) {
       return refuse(RefusalReason.LEAVING, 'this target is leaving');
     }
     if (board.phase.get() !== TargetPhase.HEALTHY) {
@@ -110,8 +110,8 @@
   private createSink(attempt: Attempt): EngineSink {
     return {
       onTokens: (part) => {
-        attempt.noteToken();
-        this.tokenAtMs = attempt.lastTokenAtMs;
+        attempt.recordToken();
+        this.latestTokenAtMs = attempt.lastTokenAtMs;
         const result = attempt.journal.append(part);
         if (result.gap) attempt.fail(gapError());
       },
@@ -129,7 +129,7 @@
     const fail = () => attempt.fail(err);
     // A crash that the probe finds has failed the attempt before.
     void this.options.probeNow().then(fail);
-    this.options.clock.schedule({delayMs: CRASH_PROBE_MS, run: fail});
+    this.options.clock.schedule({delayMs: CRASH_DETECTION_MS, run: fail});
   }
 
   private handlePhase(phase: TargetPhase): void {
@@ -138,10 +138,10 @@
     const kind = isCrash ? DriverErrorKind.LOST : DriverErrorKind.TIMEOUT;
     const detail = `the engine is ${phase}`;
     const id = this.options.random.id();
-    const culprits = isCrash ? findCrashCauses(this.suspects()) : [];
+    const causes = isCrash ? findCrashCauses(this.suspects()) : [];
     for (const attempt of this.running()) {
-      const isCulprit = culprits.includes(attempt.order.attemptId);
-      const crash = isCrash ? {id, isCulprit} : undefined;
+      const isCause = causes.includes(attempt.request.attemptId);
+      const crash = isCrash ? {id, isCause} : undefined;
       attempt.fail({layer: Layer.DRIVER, kind, detail}, crash);
     }
   }
@@ -153,7 +153,7 @@
   }
 
   private suspects(): Suspect[] {
-    return this.running().map(({order}) => ({
+    return this.running().map(({request: order}) => ({
       id: order.attemptId,
       crashes: order.crashes ?? [],
     }));
@@ -180,7 +180,7 @@
 
 /** An engine that stops at a length which was not reached is not believed. */
 function finish(attempt: Attempt, reason: FinishReason): void {
-  const {journal, order} = attempt;
+  const {journal, request: order} = attempt;
   const isShort = journal.length < order.spec.maxTokens;
   if (reason === FinishReason.LENGTH && isShort) {
     const detail = 'the engine ended the answer early';
--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -8,7 +8,7 @@
 export interface EngineCrash {
   readonly id: string;
   /** This attempt's request alone can have caused it. */
-  readonly isCulprit: boolean;
+  readonly isCause: boolean;
 }
 
 /** An attempt with its journal. */
@@ -24,10 +24,10 @@
   private lastTokenMs: number;
 
   constructor(
-    readonly order: StartMessage,
+    readonly request: StartMessage,
     private readonly clock: Clock,
   ) {
-    this.journal = new TokenLog(order.resumeFrom);
+    this.journal = new TokenLog(request.resumeFrom);
     this.unreadSinceMs = clock.now();
     this.lastTokenMs = clock.now();
   }
@@ -59,7 +59,7 @@
     this.stream = stream;
   }
 
-  noteToken(): void {
+  recordToken(): void {
     this.lastTokenMs = this.clock.now();
   }
 
--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -59,23 +59,24 @@
       fingerprint: call.fingerprint,
       incarnation: call.incarnation,
       ownIncarnation: incarnation,
-      takesWork: !board.leaving.get() && board.phase.get() !== TargetPhase.DOWN,
+      takesWork:
+        !board.draining.get() && board.phase.get() !== TargetPhase.DOWN,
       isFull: keys.isFull(),
     });
-    this.carryOut({action, call, known, respond});
+    this.performAction({action, call, known, respond});
   }
 
-  handleAskKey(ask: AskKeyMessage, respond: Respond): void {
+  handleKeyQuery(ask: AskKeyMessage, respond: Respond): void {
     const {keys} = this.options;
     const known = keys.find(ask);
     const {promiseNever} = ask;
     const action = decideKeyQuery({known, promiseNever, isFull: keys.isFull()});
     switch (action) {
       case KeyAction.RETURN_FIRST_OUTCOME:
-        this.answerWhenSettled(ask, known!, respond);
+        this.respondWhenSettled(ask, known!, respond);
         return;
       case KeyAction.PROMISE_NEVER:
-        keys.admit(ask).markNever();
+        keys.admit(ask).markPromisedNever();
         respond(this.keyState(ask, KeyPhase.PROMISED_NEVER));
         return;
       default:
@@ -83,7 +84,7 @@
     }
   }
 
-  private carryOut(options: {
+  private performAction(options: {
     action: KeyAction;
     call: CallMessage;
     known: KeyRecord | undefined;
@@ -97,13 +98,13 @@
         return;
       case KeyAction.RETURN_FIRST_OUTCOME:
         known!.whenSettled(() =>
-          this.answerRecord({callId, record: known!, respond}),
+          this.respondFromRecord({callId, record: known!, respond}),
         );
         return;
       case KeyAction.PROMISE_NEVER: {
         const record = this.options.keys.admit(call);
-        record.markNever();
-        this.answerRecord({callId, record, respond});
+        record.markPromisedNever();
+        this.respondFromRecord({callId, record, respond});
         return;
       }
       default:
@@ -112,7 +113,7 @@
   }
 
   /** Waits while the call runs, at most for as long as was asked. */
-  private answerWhenSettled(
+  private respondWhenSettled(
     ask: AskKeyMessage,
     record: KeyRecord,
     respond: Respond,
@@ -123,7 +124,7 @@
       answered = true;
       timer.cancel();
       if (record.phase === KeyPhase.DONE) {
-        this.answerRecord({callId: ask.callId, record, respond});
+        this.respondFromRecord({callId: ask.callId, record, respond});
         return;
       }
       respond(this.keyState(ask, record.phase));
@@ -142,7 +143,7 @@
   }
 
   private runIdempotent(call: CallMessage, respond: Respond): void {
-    if (this.options.board.leaving.get()) {
+    if (this.options.board.draining.get()) {
       const detail = 'this target is leaving';
       const refusal = refuse(RefusalReason.LEAVING, Executed.NO, detail);
       respond(refused(call.callId, refusal));
@@ -158,7 +159,7 @@
   private runOnce(call: CallMessage, respond: Respond): void {
     const record = this.options.keys.admit(call);
     record.whenSettled(() =>
-      this.answerRecord({callId: call.callId, record, respond}),
+      this.respondFromRecord({callId: call.callId, record, respond}),
     );
     this.send({
       call,
@@ -187,7 +188,7 @@
       });
   }
 
-  private answerRecord(options: {
+  private respondFromRecord(options: {
     callId: string;
     record: KeyRecord;
     respond: Respond;
@@ -215,7 +216,7 @@
 
 function settleFailed(record: KeyRecord, err: DriverError): void {
   if (err.kind === DriverErrorKind.NOT_SENT) {
-    record.markNever();
+    record.markPromisedNever();
     return;
   }
   record.markUncertain();
--- a/src/agent/config-receiver.ts
+++ b/src/agent/config-receiver.ts
@@ -11,24 +11,24 @@
  */
 export class ConfigReceiver {
   private readonly holder = new ConfigHolder();
-  private heardAtMs = Number.NEGATIVE_INFINITY;
+  private confirmedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: {board: AgentBoard; clock: Clock}) {}
 
   /** Time since the platform last confirmed the version, in milliseconds. */
   ageMs(): number {
-    return this.options.clock.now() - this.heardAtMs;
+    return this.options.clock.now() - this.confirmedAtMs;
   }
 
   /** Takes an entry's word; the answer is for an entry that knows less. */
-  hear(message: ConfigMessage): Message | undefined {
+  handleMessage(message: ConfigMessage): Message | undefined {
     const {version, value, ageMs} = message;
     const step = this.holder.resolveStep({version, value});
     if (step === ExchangeStep.SEND) return this.createConfig();
     if (step === ExchangeStep.ASK) return undefined;
     this.holder.offer({version, value});
     const heardAtMs = this.options.clock.now() - ageMs;
-    this.heardAtMs = Math.max(this.heardAtMs, heardAtMs);
+    this.confirmedAtMs = Math.max(this.confirmedAtMs, heardAtMs);
     this.options.board.configVersion.set(version);
     return undefined;
   }
--- a/src/agent/consts.ts
+++ b/src/agent/consts.ts
@@ -2,7 +2,7 @@
 export const HEARTBEAT_BUSY_MS = 100;
 
 /** Longest time between heartbeats to a busy entry that hears tokens. */
-export const REPORT_BUSY_MS = 300;
+export const HEARTBEAT_BUSY_MAX_MS = 300;
 
 /** A heartbeat follows this long after the last one to an idle entry. */
 export const HEARTBEAT_IDLE_MS = 1_500;
@@ -14,7 +14,7 @@
 export const PROBE_TIMEOUT_MS = 250;
 
 /** Failed probes in a row after which the target counts as unresponsive. */
-export const PROBE_FAILURES_ALLOWED = 2;
+export const PROBE_FAILURE_THRESHOLD = 2;
 
 /** An attempt that nobody reads is cancelled after this, in milliseconds. */
 export const ORPHAN_GRACE_MS = 10_000;
@@ -32,13 +32,13 @@
 export const MAX_KEYS = 200_000;
 
 /** Longest time to find out whether an engine crashed, in milliseconds. */
-export const CRASH_PROBE_MS = 800;
+export const CRASH_DETECTION_MS = 800;
 
 /** Most time that a probe is given under load, in milliseconds. */
 export const PROBE_TIMEOUT_MAX_MS = 800;
 
 /** A probe that ends this late shows that this process was paused. */
-export const PAUSE_EVIDENCE_MS = 150;
+export const PAUSE_DETECTION_MS = 150;
 
 /** Outcomes that end within this time are recorded together. */
 export const OUTCOME_GROUP_MS = 500;
--- a/src/agent/engine-monitor.ts
+++ b/src/agent/engine-monitor.ts
@@ -9,8 +9,8 @@
 import {TargetPhase} from '../core/protocol/index.js';
 import type {AgentBoard, TargetReport} from './agent-board.js';
 import {
-  PAUSE_EVIDENCE_MS,
-  PROBE_FAILURES_ALLOWED,
+  PAUSE_DETECTION_MS,
+  PROBE_FAILURE_THRESHOLD,
   PROBE_PERIOD_MS,
   PROBE_TIMEOUT_MAX_MS,
   PROBE_TIMEOUT_MS,
@@ -27,10 +27,10 @@
   private failures = 0;
   private probing = false;
   /** Probe once more when the running probe has ended. */
-  private again = false;
+  private probeAgain = false;
   /** Those who wait until no probe runs. */
-  private readonly waiting: Array<() => void> = [];
-  private readonly answers = new SilenceLimit();
+  private readonly waiters: Array<() => void> = [];
+  private readonly responseTimes = new SilenceLimit();
 
   constructor(
     private readonly options: {
@@ -60,9 +60,9 @@
    * probe that began after this has ended.
    */
   checkNow(): Promise<void> {
-    this.again = this.probing;
+    this.probeAgain = this.probing;
     this.check();
-    return new Promise((resolve) => this.waiting.push(resolve));
+    return new Promise((resolve) => this.waiters.push(resolve));
   }
 
   private check(): void {
@@ -78,23 +78,23 @@
       )
       .then(() => {
         this.probing = false;
-        if (this.again) {
-          this.again = false;
+        if (this.probeAgain) {
+          this.probeAgain = false;
           this.check();
         } else {
-          for (const resolve of this.waiting.splice(0)) resolve();
+          for (const resolve of this.waiters.splice(0)) resolve();
         }
       });
   }
 
   /** Probes that were slow before are given more time. */
   private timeoutMs(): number {
-    const byObservation = this.answers.allowedMs(PROBE_TIMEOUT_MS);
+    const byObservation = this.responseTimes.allowedMs(PROBE_TIMEOUT_MS);
     return Math.min(byObservation, PROBE_TIMEOUT_MAX_MS);
   }
 
   private handleReport(report: TargetReport, startedAtMs: number): void {
-    this.answers.observe(this.options.clock.now() - startedAtMs);
+    this.responseTimes.observe(this.options.clock.now() - startedAtMs);
     this.failures = 0;
     const {board} = this.options;
     const before = board.report.get().instance;
@@ -110,21 +110,21 @@
       return;
     }
     const slow = err.kind === DriverErrorKind.TIMEOUT;
-    if (slow && this.isExcused(dueAtMs)) return;
+    if (slow && this.isInconclusive(dueAtMs)) return;
     this.failures++;
-    if (this.failures < PROBE_FAILURES_ALLOWED) {
-      this.again = true;
+    if (this.failures < PROBE_FAILURE_THRESHOLD) {
+      this.probeAgain = true;
       return;
     }
     this.setPhase(TargetPhase.UNRESPONSIVE);
   }
 
   /** Tokens show that the engine lives; a late timer, that we were paused. */
-  private isExcused(dueAtMs: number): boolean {
+  private isInconclusive(dueAtMs: number): boolean {
     const nowMs = this.options.clock.now();
     const tokenAgeMs = nowMs - this.options.lastTokenAtMs();
     const lateMs = nowMs - dueAtMs;
-    return tokenAgeMs < PROBE_TIMEOUT_MS || lateMs > PAUSE_EVIDENCE_MS;
+    return tokenAgeMs < PROBE_TIMEOUT_MS || lateMs > PAUSE_DETECTION_MS;
   }
 
   private setPhase(phase: TargetPhase): void {
--- a/src/agent/entry-session.ts
+++ b/src/agent/entry-session.ts
@@ -20,15 +20,15 @@
 import {AttemptReader} from './attempt-reader.js';
 import type {CallRunner} from './call-runner.js';
 import type {ConfigReceiver} from './config-receiver.js';
-import type {LeavePeers} from './drain-peers.js';
+import type {DrainPeers} from './drain-peers.js';
 import {
   HEARTBEAT_BUSY_MS,
   HEARTBEAT_IDLE_MS,
-  REPORT_BUSY_MS,
+  HEARTBEAT_BUSY_MAX_MS,
 } from './consts.js';
 
 /** What a session needs of its agent. */
-export interface SessionParts {
+export interface SessionDeps {
   readonly board: AgentBoard;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -37,7 +37,7 @@
   /** Present beside a plain service. */
   readonly calls?: CallRunner;
   countRunning(): number;
-  readonly peers: LeavePeers;
+  readonly peers: DrainPeers;
   readonly config: ConfigReceiver;
 }
 
@@ -48,24 +48,24 @@
   private pendingCalls = 0;
   private sequence = 0;
   private timer: TimerHandle | undefined;
-  private sentAtMs = 0;
+  private heartbeatSentAtMs = 0;
 
   constructor(
-    private readonly parts: SessionParts,
+    private readonly deps: SessionDeps,
     private readonly connection: () => PeerConnection,
   ) {}
 
   onReady(): void {
-    const {board, clock} = this.parts;
+    const {board, clock} = this.deps;
     const beat = (): void => this.sendHeartbeat();
-    this.parts.peers.add(this);
-    this.unsubscribes.push(board.leaving.subscribe(beat));
+    this.deps.peers.add(this);
+    this.unsubscribes.push(board.draining.subscribe(beat));
     this.unsubscribes.push(board.phase.subscribe(beat));
     this.unsubscribes.push(board.configVersion.subscribe(beat));
     this.sendHeartbeat();
     this.timer = clock.repeat({
       periodMs: HEARTBEAT_BUSY_MS,
-      run: () => this.beatIfDue(),
+      run: () => this.sendHeartbeatIfDue(),
     });
   }
 
@@ -85,17 +85,17 @@
         return;
       case MessageType.CALL:
         this.pendingCalls++;
-        this.parts.calls?.handleCall(message, (m) => this.respond(m));
+        this.deps.calls?.handleCall(message, (m) => this.respond(m));
         return;
       case MessageType.CONFIG:
-        this.hearConfig(message);
+        this.handleConfig(message);
         return;
       case MessageType.LEAVE:
-        this.parts.peers.acknowledge(this);
+        this.deps.peers.acknowledge(this);
         return;
       case MessageType.ASK_KEY:
         this.pendingCalls++;
-        this.parts.calls?.handleAskKey(message, (m) => this.respond(m));
+        this.deps.calls?.handleKeyQuery(message, (m) => this.respond(m));
         return;
       default:
         return;
@@ -107,53 +107,53 @@
   }
 
   onClose(err: TransportError): void {
-    this.parts.peers.remove(this);
+    this.deps.peers.remove(this);
     this.timer?.cancel();
     for (const unsubscribe of this.unsubscribes) unsubscribe();
     for (const reader of [...this.readers.values()]) reader.close();
-    this.parts.metrics.count(CounterName.CONNECTIONS_CLOSED, {
+    this.deps.metrics.count(CounterName.CONNECTIONS_CLOSED, {
       label: err.kind,
     });
   }
 
-  private hearConfig(message: ConfigMessage): void {
-    const answer = this.parts.config.hear(message);
+  private handleConfig(message: ConfigMessage): void {
+    const answer = this.deps.config.handleMessage(message);
     if (answer !== undefined) this.connection().send(answer);
   }
 
   private handleStart(order: StartMessage): void {
-    const {attempts} = this.parts;
+    const {attempts} = this.deps;
     const refusal = attempts?.checkAdmission(order) ?? undefined;
     if (attempts === undefined || refusal !== undefined) {
       this.refuse(order.attemptId, refusal ?? noEngine());
       return;
     }
-    this.read(attempts.start(order), order.resumeFrom.length);
+    this.startReader(attempts.start(order), order.resumeFrom.length);
   }
 
   /** Another entry may follow the same attempt; then it goes on. */
   private handleCancel(attemptId: string): void {
-    const attempt = this.parts.attempts?.find(attemptId);
+    const attempt = this.deps.attempts?.find(attemptId);
     this.readers.get(attemptId)?.close();
     if (attempt?.hasReaders === false) attempt.cancel();
   }
 
   private handleAttach(attach: AttachMessage): void {
-    const attempt = this.parts.attempts?.find(attach.attemptId);
+    const attempt = this.deps.attempts?.find(attach.attemptId);
     const known =
-      attempt?.order.clientAccount === attach.clientAccount &&
-      attempt.order.fingerprint === attach.fingerprint;
+      attempt?.request.clientAccount === attach.clientAccount &&
+      attempt.request.fingerprint === attach.fingerprint;
     if (attempt === undefined || !known) {
       const detail = 'this attempt is not known here';
       const reason = RefusalReason.ANSWER_LOST;
       this.refuse(attach.attemptId, {reason, ran: Executed.UNKNOWN, detail});
       return;
     }
-    this.read(attempt, attach.position);
+    this.startReader(attempt, attach.position);
   }
 
-  private read(attempt: Attempt, position: number): void {
-    const {attemptId} = attempt.order;
+  private startReader(attempt: Attempt, position: number): void {
+    const {attemptId} = attempt.request;
     this.readers.get(attemptId)?.close();
     const reader = new AttemptReader(
       {
@@ -175,30 +175,30 @@
     this.connection().send(createRefusedMessage({id, refusal}));
   }
 
-  private beatIfDue(): void {
+  private sendHeartbeatIfDue(): void {
     const busy = this.readers.size > 0 || this.pendingCalls > 0;
-    const nowMs = this.parts.clock.now();
-    const sinceReportMs = nowMs - this.sentAtMs;
+    const nowMs = this.deps.clock.now();
+    const sinceReportMs = nowMs - this.heartbeatSentAtMs;
     // Tokens and replies are signs of life too; reports are due less often.
     const sinceWordMs = nowMs - this.connection().sentAtMs;
     const dueMs = busy ? HEARTBEAT_BUSY_MS : HEARTBEAT_IDLE_MS;
     const quietMs = busy ? sinceWordMs : sinceReportMs;
     // A tick may come a little early against the period it closes.
     const isQuiet = quietMs >= dueMs - HEARTBEAT_BUSY_MS / 2;
-    if (!isQuiet && !(busy && sinceReportMs >= REPORT_BUSY_MS)) return;
+    if (!isQuiet && !(busy && sinceReportMs >= HEARTBEAT_BUSY_MAX_MS)) return;
     this.sendHeartbeat();
   }
 
   private sendHeartbeat(): void {
-    const {board} = this.parts;
+    const {board} = this.deps;
     const report = board.report.get();
-    this.sentAtMs = this.parts.clock.now();
+    this.heartbeatSentAtMs = this.deps.clock.now();
     this.connection().send({
       type: MessageType.HEARTBEAT,
       sequence: this.sequence++,
       phase: board.phase.get(),
-      leaving: board.leaving.get(),
-      running: this.parts.countRunning(),
+      leaving: board.draining.get(),
+      running: this.deps.countRunning(),
       waiting: report.waiting,
       capacity: report.capacity,
       targetInstance: report.instance,
--- a/src/agent/key-table.ts
+++ b/src/agent/key-table.ts
@@ -4,14 +4,14 @@
 
 /** What the agent knows of a key. */
 export class KeyRecord {
-  private current = KeyPhase.RUNNING;
+  private currentPhase = KeyPhase.RUNNING;
   private response: PlainResponse | undefined;
   private readonly waiters: Array<() => void> = [];
 
   constructor(readonly fingerprint: string) {}
 
   get phase(): KeyPhase {
-    return this.current;
+    return this.currentPhase;
   }
 
   /** The first outcome; undefined unless DONE. */
@@ -30,13 +30,13 @@
   }
 
   /** The call certainly did not run and never will. */
-  markNever(): void {
+  markPromisedNever(): void {
     this.settle(KeyPhase.PROMISED_NEVER);
   }
 
   /** Calls back once the key no longer runs; at once if it does not. */
   whenSettled(run: () => void): void {
-    if (this.current === KeyPhase.RUNNING) {
+    if (this.currentPhase === KeyPhase.RUNNING) {
       this.waiters.push(run);
       return;
     }
@@ -44,8 +44,8 @@
   }
 
   private settle(phase: KeyPhase): void {
-    if (this.current !== KeyPhase.RUNNING) return;
-    this.current = phase;
+    if (this.currentPhase !== KeyPhase.RUNNING) return;
+    this.currentPhase = phase;
     for (const waiter of this.waiters.splice(0)) waiter();
   }
 }
--- a/src/agent/outcome-recorder.ts
+++ b/src/agent/outcome-recorder.ts
@@ -20,7 +20,7 @@
   OUTCOME_RETRY_MS,
 } from './consts.js';
 
-interface Waiting {
+interface PendingOutcome {
   readonly outcome: RecordedOutcome;
   /** Start of the name of its group. */
   readonly prefix: string;
@@ -29,7 +29,7 @@
 
 interface Group {
   readonly name: string;
-  readonly members: readonly Waiting[];
+  readonly members: readonly PendingOutcome[];
 }
 
 /**
@@ -38,10 +38,10 @@
  * simply made again.
  */
 export class OutcomeRecorder {
-  private waiting: Waiting[] = [];
+  private pending: PendingOutcome[] = [];
   private bytes = 0;
   private sequence = 0;
-  private busy = false;
+  private isWriting = false;
   private lastChangeMs = 0;
 
   constructor(
@@ -55,7 +55,7 @@
 
   /** Whether nothing waits, or what waits has waited for too long. */
   isIdle(): boolean {
-    const idle = this.waiting.length === 0 && !this.busy;
+    const idle = this.pending.length === 0 && !this.isWriting;
     const waitedMs = this.options.clock.now() - this.lastChangeMs;
     return idle || waitedMs > OUTCOME_DRAIN_MS;
   }
@@ -70,7 +70,7 @@
     }
     const {incarnation} = this.options;
     const {claimedAtMs} = call;
-    this.waiting.push({
+    this.pending.push({
       outcome: createOutcome(call, response),
       prefix: outcomePrefixOf({incarnation, claimedAtMs}),
       bytes,
@@ -81,8 +81,8 @@
   }
 
   private scheduleWrite(): void {
-    if (this.busy || this.waiting.length === 0) return;
-    this.busy = true;
+    if (this.isWriting || this.pending.length === 0) return;
+    this.isWriting = true;
     this.options.clock.schedule({
       delayMs: OUTCOME_GROUP_MS,
       run: () => void this.write(this.takeGroup()),
@@ -90,17 +90,17 @@
   }
 
   private takeGroup(): Group {
-    const {prefix} = this.waiting[0]!;
-    const members: Waiting[] = [];
-    const rest: Waiting[] = [];
+    const {prefix} = this.pending[0]!;
+    const members: PendingOutcome[] = [];
+    const rest: PendingOutcome[] = [];
     let bytes = 0;
-    for (const one of this.waiting) {
+    for (const one of this.pending) {
       const joins =
         one.prefix === prefix && bytes + one.bytes <= OUTCOME_GROUP_BYTES;
       (joins ? members : rest).push(one);
       if (joins) bytes += one.bytes;
     }
-    this.waiting = rest;
+    this.pending = rest;
     return {name: `${prefix}${this.sequence++}`, members};
   }
 
@@ -128,7 +128,7 @@
       : CounterName.OUTCOMES_RECORDED;
     metrics.count(name, {by: group.members.length});
     for (const {bytes} of group.members) this.bytes -= bytes;
-    this.busy = false;
+    this.isWriting = false;
     this.lastChangeMs = clock.now();
     this.scheduleWrite();
   }
--- a/src/cli/http/call-http.ts
+++ b/src/cli/http/call-http.ts
@@ -1,7 +1,7 @@
 import type {Result} from 'neverthrow';
 
 import type {
-  HttpAnswer as RawAnswer,
+  HttpResponse as RawAnswer,
   HttpFailure,
 } from '../../adapters/http-call.js';
 import {
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /** The daemon of an entry on the platform, which calls its targets directly. */
 // Signals may come while the other modules are loaded.
-import {liftStartGuard} from './guarded-start.js';
+import {removeStartupHandlers} from './install-startup-signals.js';
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -26,7 +26,7 @@
 import {GracefulShutdown} from '../direct/graceful-shutdown.js';
 import {SettingsWatcher} from '../direct/settings-watcher.js';
 import {EXIT_BAD_SETTINGS} from './consts.js';
-import {readPatiently} from './read-patiently.js';
+import {readWithRetry} from './read-with-retry.js';
 
 const STDOUT = 1;
 const MAX_PORT = 65_535;
@@ -35,7 +35,7 @@
 const DEFAULT_METRICS_PORT = 9_464;
 
 /** Time for the last log lines to be written, in milliseconds. */
-const LAST_LINES_MS = 20;
+const LOG_FLUSH_MS = 20;
 
 const METRICS_PATH = '/metrics';
 
@@ -64,7 +64,7 @@
 async function main(): Promise<void> {
   const flags = program.parse().opts<Flags>();
   const path = process.env[BOOT_VARIABLE] ?? '';
-  const settings = await readPatiently({
+  const settings = await readWithRetry({
     read: () => loadBootSettings(path),
     clock: new SystemClock(),
   });
@@ -120,7 +120,7 @@
     listener: server,
     graceMs: settings.shutdownGraceMs,
     // The last log lines are written in the background.
-    onStopped: () => setTimeout(() => process.exit(0), LAST_LINES_MS),
+    onStopped: () => setTimeout(() => process.exit(0), LOG_FLUSH_MS),
   });
   process.on('SIGHUP', () => {
     logger.info('reload');
@@ -131,7 +131,7 @@
     entry.startDraining();
     stop.begin();
   });
-  liftStartGuard();
+  removeStartupHandlers();
   entry.start();
   await listen(settings.readiness, (req, res) => {
     const isKnown = req.url === (Path.READY as string);
--- a/src/daemon/guarded-start.ts
+++ b/src/daemon/install-startup-signals.ts
@@ -1,5 +1,5 @@
 /** Guards the start of this process; to be imported before anything else. */
-import {guardStart} from './start-guard.js';
+import {handleStartupSignals} from './startup-signals.js';
 
 /** Lifts the guard once the process handles signals itself. */
-export const liftStartGuard = guardStart(process);
+export const removeStartupHandlers = handleStartupSignals(process);
--- a/src/daemon/process-frame.ts
+++ b/src/daemon/process-lifecycle.ts
@@ -16,7 +16,7 @@
 }
 
 /** Opens the operators' edge and lets signals begin a drain. */
-export async function openOperators(options: {
+export async function startOperatorsServer(options: {
   handler: OperatorHandler;
   settings: DaemonSettings;
 }): Promise<HttpListener> {
@@ -28,7 +28,7 @@
 }
 
 /** Tells whoever started the process that it listens. */
-export function announceReady(line: ReadyLine): void {
+export function printReadyLine(line: ReadyLine): void {
   process.stdout.write(`${JSON.stringify({ready: true, ...line})}\n`);
 }
 
@@ -36,7 +36,7 @@
  * Ends the process after the last answers have left. Callers that came in
  * the last moment are waited for.
  */
-export function exitSoon(options: {
+export function exitAfterFlush(options: {
   stop: () => void;
   callers?: HttpListener;
 }): void {
--- a/src/daemon/run-agent.ts
+++ b/src/daemon/run-agent.ts
@@ -9,11 +9,11 @@
 import {createMetrics} from './create-metrics.js';
 import {createStore} from './create-store.js';
 import {
-  announceReady,
+  printReadyLine,
   exitCannotListen,
-  exitSoon,
-  openOperators,
-} from './process-frame.js';
+  exitAfterFlush,
+  startOperatorsServer,
+} from './process-lifecycle.js';
 
 /** Runs the agent role until it is stopped. */
 export async function runAgent(settings: DaemonSettings): Promise<void> {
@@ -27,13 +27,13 @@
     logger,
     store: createStore({baseUrl: settings.platformUrl, metrics}),
     drivers: createDrivers(settings.target!),
-    onDrained: () => exitSoon({stop: () => agent.stop()}),
+    onDrained: () => exitAfterFlush({stop: () => agent.stop()}),
   });
   const peers = await agent.start();
   if (peers.isErr()) exitCannotListen(logger, peers.error.detail);
   try {
-    const operators = await openOperators({handler: agent, settings});
-    announceReady({
+    const operators = await startOperatorsServer({handler: agent, settings});
+    printReadyLine({
       vm: settings.vm,
       operatorsPort: operators.port,
       peersPort: peers._unsafeUnwrap(),
--- a/src/daemon/run-entry.ts
+++ b/src/daemon/run-entry.ts
@@ -10,11 +10,11 @@
 import {createMetrics} from './create-metrics.js';
 import {createStore} from './create-store.js';
 import {
-  announceReady,
+  printReadyLine,
   exitCannotListen,
-  exitSoon,
-  openOperators,
-} from './process-frame.js';
+  exitAfterFlush,
+  startOperatorsServer,
+} from './process-lifecycle.js';
 
 /** Runs the entry role until it is stopped. */
 export async function runEntry(settings: DaemonSettings): Promise<void> {
@@ -31,12 +31,12 @@
     store: createStore({baseUrl, metrics}),
     vmList: new HttpVmList({baseUrl}),
     countPendingResponses: () => callers?.countOpen() ?? 0,
-    onDrained: () => exitSoon({stop: () => entry.stop(), callers}),
+    onDrained: () => exitAfterFlush({stop: () => entry.stop(), callers}),
   });
   const peers = await entry.start();
   if (peers.isErr()) exitCannotListen(logger, peers.error.detail);
   try {
-    const operators = await openOperators({handler: entry, settings});
+    const operators = await startOperatorsServer({handler: entry, settings});
     const handler = entry.callerHandler;
     const app = createCallersApp({handler});
     callers = await listenHttp({
@@ -45,7 +45,7 @@
       counter: handler,
       keepsAlive: () => entry.isReady(),
     });
-    announceReady({
+    printReadyLine({
       vm: settings.vm,
       operatorsPort: operators.port,
       callersPort: callers.port,
--- a/src/daemon/start-guard.ts
+++ b/src/daemon/startup-signals.ts
@@ -15,7 +15,7 @@
  * @example
  * const lift = guardStart(process);
  */
-export function guardStart(source: SignalSource): () => void {
+export function handleStartupSignals(source: SignalSource): () => void {
   const stop = () => source.exit(0);
   const ignore = () => undefined;
   source.on('SIGTERM', stop);
--- a/test/adapters/service-path.test.ts
+++ b/test/adapters/service-path.test.ts
@@ -2,8 +2,8 @@
 import {describe, expect, it} from 'vitest';
 
 import {
-  cutServicePrefix,
-  isPlainTarget,
+  stripServicePrefix,
+  isSafeRequestTarget,
 } from '../../src/adapters/callers/service-path.js';
 
 const SEED = 20261204;
@@ -27,7 +27,7 @@
 
 describe('isPlainTarget', () => {
   it.each(TARGETS)('takes $target: $isPlain', ({target, isPlain}) => {
-    expect(isPlainTarget(target)).toBe(isPlain);
+    expect(isSafeRequestTarget(target)).toBe(isPlain);
   });
 
   it('takes nothing that a URL parser leads out of the root', () => {
@@ -48,7 +48,7 @@
       .map((parts) => `/app/${parts.join('')}`);
     fc.assert(
       fc.property(pathArb, (path) => {
-        if (!isPlainTarget(path)) return;
+        if (!isSafeRequestTarget(path)) return;
         const parsed = new URL(`http://host${path}`);
         expect(parsed.host).toBe('host');
         expect(parsed.pathname.startsWith('/app/')).toBe(true);
@@ -68,6 +68,6 @@
 
 describe('cutServicePrefix', () => {
   it.each(CUTS)('leaves $rest of $target', ({target, rest}) => {
-    expect(cutServicePrefix(target)).toBe(rest);
+    expect(stripServicePrefix(target)).toBe(rest);
   });
 });
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -115,6 +115,6 @@
     await answer(row.answer);
     expect(attempt.failure?.kind).toBe(DriverErrorKind.LOST);
     expect(attempt.engineCrash !== undefined).toBe(row.isCrash);
-    if (row.isCrash) expect(attempt.engineCrash?.isCulprit).toBe(true);
+    if (row.isCrash) expect(attempt.engineCrash?.isCause).toBe(true);
   });
 });
--- a/test/daemon/read-patiently.test.ts
+++ b/test/daemon/read-with-retry.test.ts
@@ -3,7 +3,10 @@
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../src/core/clock/index.js';
-import {PATIENCE_MS, readPatiently} from '../../src/daemon/read-patiently.js';
+import {
+  READ_TIMEOUT_MS,
+  readWithRetry,
+} from '../../src/daemon/read-with-retry.js';
 
 const STEP_MS = 50;
 
@@ -13,7 +16,7 @@
     const read = () =>
       clock.now() >= soundAtMs ? ok('settings') : err('half a file');
     let isDone = false;
-    const settings = readPatiently({read, clock}).finally(() => {
+    const settings = readWithRetry({read, clock}).finally(() => {
       isDone = true;
     });
     while (!isDone) {
@@ -28,10 +31,10 @@
   it.each([
     {name: 'at once', soundAtMs: 0, isOk: true},
     {name: 'once they are whole', soundAtMs: 2_000, isOk: true},
-    {name: 'in vain', soundAtMs: PATIENCE_MS * 10, isOk: false},
+    {name: 'in vain', soundAtMs: READ_TIMEOUT_MS * 10, isOk: false},
   ])('reads $name', async ({soundAtMs, isOk}) => {
     const {settings, tookMs} = await readUntilSound(soundAtMs);
     expect(settings.isOk()).toBe(isOk);
-    expect(tookMs).toBeLessThan(PATIENCE_MS * 2);
+    expect(tookMs).toBeLessThan(READ_TIMEOUT_MS * 2);
   });
 });
--- a/test/daemon/start-guard.test.ts
+++ b/test/daemon/startup-signals.test.ts
@@ -3,7 +3,7 @@
 
 import {describe, expect, it} from 'vitest';
 
-import {guardStart} from '../../src/daemon/start-guard.js';
+import {handleStartupSignals} from '../../src/daemon/startup-signals.js';
 
 class FakeProcess extends EventEmitter {
   readonly exits: number[] = [];
@@ -19,7 +19,7 @@
     {signal: 'SIGHUP', exits: [], does: 'goes on'},
   ])('has a starting process that $does on $signal', ({signal, exits}) => {
     const source = new FakeProcess();
-    guardStart(source);
+    handleStartupSignals(source);
     // Without a listener the signal would end the process with a failure.
     expect(source.emit(signal)).toBe(true);
     expect(source.exits).toEqual(exits);
@@ -27,7 +27,7 @@
 
   it('leaves the signals to others once it is lifted', () => {
     const source = new FakeProcess();
-    const lift = guardStart(source);
+    const lift = handleStartupSignals(source);
     lift();
     expect(source.emit('SIGTERM')).toBe(false);
     expect(source.emit('SIGHUP')).toBe(false);
