--- a/src/adapters/callers/completion-codec.ts
+++ b/src/adapters/callers/completion-codec.ts
@@ -113,9 +113,9 @@
 function createRequest(
   fields: SharedBody,
   prompt: string,
-  asked: number | null | undefined,
+  requestedMaxTokens: number | null | undefined,
 ): Result<CompletionRequest, Refusal> {
-  const maxTokens = asked ?? DEFAULT_MAX_TOKENS;
+  const maxTokens = requestedMaxTokens ?? DEFAULT_MAX_TOKENS;
   const stop = stopStrings(fields.stop);
   if (!Number.isInteger(maxTokens) || maxTokens < 1) {
     return err(badRequest('max_tokens is a whole number of at least 1'));
--- a/src/adapters/callers/event-stream-writer.ts
+++ b/src/adapters/callers/event-stream-writer.ts
@@ -34,12 +34,14 @@
   /** Writes; resolves once the caller has taken enough for the next part. */
   async write(text: string): Promise<void> {
     if (this.isClosed || this.res.write(text)) return;
-    const closed = new AbortController();
-    const abort = (): void => closed.abort();
+    const closeController = new AbortController();
+    const abort = (): void => closeController.abort();
     this.res.once('close', abort);
-    await once(this.res, 'drain', {signal: closed.signal}).catch(() => {
-      // The caller is gone; `isClosed` tells.
-    });
+    await once(this.res, 'drain', {signal: closeController.signal}).catch(
+      () => {
+        // The caller is gone; `isClosed` tells.
+      },
+    );
     this.res.off('close', abort);
   }
 
--- a/src/adapters/callers/read-body.ts
+++ b/src/adapters/callers/read-body.ts
@@ -21,12 +21,12 @@
   if (declared > limits.bodyBytes) return err(tooLarge(limits));
   const reader = req.body?.getReader();
   if (reader === undefined) return ok(new Uint8Array());
-  const expiry = createTimeout(limits.bodyTimeoutMs);
+  const timeout = createTimeout(limits.bodyTimeoutMs);
   const chunks: Uint8Array[] = [];
   let size = 0;
   try {
     for (;;) {
-      const step = await Promise.race([reader.read(), expiry.expired]);
+      const step = await Promise.race([reader.read(), timeout.expired]);
       if (step === undefined) return err(tooSlow(limits));
       if (step.done) return ok(Buffer.concat(chunks));
       const chunk = step.value as Uint8Array;
@@ -37,7 +37,7 @@
   } catch {
     return err(refuse(RefusalReason.BAD_REQUEST, 'the body broke off'));
   } finally {
-    expiry.cancel();
+    timeout.cancel();
   }
 }
 
--- a/src/adapters/callers/service-path.ts
+++ b/src/adapters/callers/service-path.ts
@@ -56,8 +56,8 @@
 /** Decodes until nothing changes, as some servers decode twice. */
 function decodeFully(text: string): string {
   const decoded = decodeOnce(text);
-  const isFinal = decoded === undefined || decoded === text;
-  return isFinal ? text : decodeFully(decoded);
+  const isUnchanged = decoded === undefined || decoded === text;
+  return isUnchanged ? text : decodeFully(decoded);
 }
 
 function decodeOnce(text: string): string | undefined {
--- a/src/adapters/counted-store.ts
+++ b/src/adapters/counted-store.ts
@@ -37,23 +37,23 @@
   }
 
   create(options: ObjectKey & {value: unknown}) {
-    return this.counted(StoreVerb.CREATE, this.store.create(options));
+    return this.countCall(StoreVerb.CREATE, this.store.create(options));
   }
 
   update(options: ObjectKey & {value: unknown; expectedVersion: number}) {
-    return this.counted(StoreVerb.UPDATE, this.store.update(options));
+    return this.countCall(StoreVerb.UPDATE, this.store.update(options));
   }
 
   remove(options: ObjectKey & {expectedVersion: number}) {
-    return this.counted(StoreVerb.REMOVE, this.store.remove(options));
+    return this.countCall(StoreVerb.REMOVE, this.store.remove(options));
   }
 
   read(key: ObjectKey) {
-    return this.counted(StoreVerb.READ, this.store.read(key));
+    return this.countCall(StoreVerb.READ, this.store.read(key));
   }
 
   list(options: {kind: ObjectKind; prefix?: string}) {
-    return this.counted(StoreVerb.LIST, this.store.list(options));
+    return this.countCall(StoreVerb.LIST, this.store.list(options));
   }
 
   watch(options: Parameters<ObjectStore['watch']>[0]): WatchHandle {
@@ -65,7 +65,7 @@
     return this.store.watch({...options, onClosed});
   }
 
-  private counted<T>(
+  private countCall<T>(
     label: StoreVerb,
     call: ResultAsync<T, StoreError>,
   ): ResultAsync<T, StoreError> {
--- a/src/adapters/driver-probe.ts
+++ b/src/adapters/driver-probe.ts
@@ -29,7 +29,7 @@
   return callHttp(call)
     .mapErr(toDriverError)
     .andThen(checkStatus)
-    .andThen((answer) => decode(codec, answer));
+    .andThen((res) => decode(codec, res));
 }
 
 /**
@@ -39,10 +39,10 @@
  * callHttp(options).mapErr(toDriverError).andThen(checkStatus);
  */
 export function checkStatus(
-  answer: HttpResponse,
+  res: HttpResponse,
 ): Result<HttpResponse, DriverError> {
-  if (answer.status < FIRST_ERROR_STATUS) return ok(answer);
-  const detail = `status ${answer.status}`;
+  if (res.status < FIRST_ERROR_STATUS) return ok(res);
+  const detail = `status ${res.status}`;
   return err(driverError(DriverErrorKind.REFUSED, detail));
 }
 
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -96,7 +96,7 @@
 export function callHttp(
   options: HttpCallOptions,
 ): ResultAsync<HttpResponse, HttpFailure> {
-  return ResultAsync.fromPromise(exchange(options), toHttpFailure);
+  return ResultAsync.fromPromise(sendRequest(options), toHttpFailure);
 }
 
 /**
@@ -139,7 +139,7 @@
   for await (const chunk of body) yield decoder.decode(chunk, {stream: true});
 }
 
-async function exchange(options: HttpCallOptions): Promise<HttpResponse> {
+async function sendRequest(options: HttpCallOptions): Promise<HttpResponse> {
   const {dispatcher, url, method, body, timeoutMs} = options;
   // A signal's time is whole milliseconds; a fraction would throw.
   const signal = AbortSignal.timeout(Math.ceil(timeoutMs));
@@ -176,7 +176,7 @@
   string | string[] | undefined,
 ]): HeaderField[] {
   const values = value === undefined ? [] : [value].flat();
-  return values.map((one) => ({name, value: one}));
+  return values.map((single) => ({name, value: single}));
 }
 
 function failureKindOf(e: unknown): HttpFailureKind {
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -58,17 +58,17 @@
 
 interface Endpoint {
   decode(body: unknown): Result<CompletionRequest, Refusal>;
-  createWriter(head: CompletionMetadata): CompletionWriter;
+  createWriter(metadata: CompletionMetadata): CompletionWriter;
 }
 
 const COMPLETIONS: Endpoint = {
   decode: decodeCompletion,
-  createWriter: (head) => new TextCompletionWriter(head),
+  createWriter: (metadata) => new TextCompletionWriter(metadata),
 };
 
 const CHAT: Endpoint = {
   decode: decodeChat,
-  createWriter: (head) => new ChatCompletionWriter(head),
+  createWriter: (metadata) => new ChatCompletionWriter(metadata),
 };
 
 /**
@@ -81,8 +81,8 @@
   const {handler} = options;
   const app = new Hono();
   app.use(checkRequestTarget(handler));
-  app.use('/v1/*', checkHead(handler));
-  app.use('/services/*', checkHead(handler));
+  app.use('/v1/*', checkHeaders(handler));
+  app.use('/services/*', checkHeaders(handler));
   app.post('/v1/completions', (ctx) => complete(ctx, handler, COMPLETIONS));
   app.post('/v1/chat/completions', (ctx) => complete(ctx, handler, CHAT));
   app.all('/services/:service/*', (ctx) => callService(ctx, handler));
@@ -107,15 +107,16 @@
  * Checks the key and the deadline before the body is read, so that a stranger
  * makes the entry hold nothing and learns nothing of its limits.
  */
-function checkHead(handler: CallerHandler) {
+function checkHeaders(handler: CallerHandler) {
   return createMiddleware(async (ctx, next) => {
-    const known = handler.authenticate({
+    const authenticated = handler.authenticate({
       bearer: readBearer(ctx),
       headers: forwardedHeaders(ctx),
       idempotencyKey: ctx.req.header(IDEMPOTENCY_KEY_HEADER) ?? '',
     });
-    if (known.isErr()) return createProblemResponse(known.error);
-    if (Number.isNaN(readDeadline(ctx))) return badDeadline(handler);
+    if (authenticated.isErr())
+      return createProblemResponse(authenticated.error);
+    if (Number.isNaN(readDeadline(ctx))) return refuseDeadline(handler);
     return next();
   });
 }
@@ -127,18 +128,18 @@
 ): Promise<Response> {
   const limits = handler.limits();
   const body = await readJson({req: ctx.req.raw, limits});
-  const ask = body.andThen((value) => endpoint.decode(value));
-  if (ask.isErr()) return sendRefusal(handler, ask.error);
-  const {spec, stream, includeUsage} = ask.value;
-  const answer = await handler.generate({
+  const request = body.andThen((value) => endpoint.decode(value));
+  if (request.isErr()) return sendRefusal(handler, request.error);
+  const {spec, stream, includeUsage} = request.value;
+  const generation = await handler.generate({
     bearer: readBearer(ctx),
     spec,
     deadlineMs: readDeadline(ctx),
     lastEventId: ctx.req.header(LAST_EVENT_ID_HEADER) ?? '',
     signal: ctx.req.raw.signal,
   });
-  if (answer.isErr()) return createProblemResponse(answer.error);
-  const reader = answer.value;
+  if (generation.isErr()) return createProblemResponse(generation.error);
+  const reader = generation.value;
   const writer = endpoint.createWriter({
     requestId: reader.requestId,
     model: spec.model,
@@ -156,7 +157,7 @@
   const body = await readBody({req: ctx.req.raw, limits});
   if (body.isErr()) return sendRefusal(handler, body.error);
   const service = ctx.req.param('service') ?? '';
-  const answer = await handler.call({
+  const response = await handler.call({
     bearer: readBearer(ctx),
     service,
     method: ctx.req.method,
@@ -167,7 +168,7 @@
     deadlineMs: readDeadline(ctx),
     signal: ctx.req.raw.signal,
   });
-  return answer.match(
+  return response.match(
     (res) =>
       new Response(hasBody(res.status) ? Buffer.from(res.body) : null, {
         status: res.status,
@@ -203,11 +204,11 @@
   const text = ctx.req.header(DEADLINE_HEADER);
   if (text === undefined) return undefined;
   const value = Number(text);
-  const valid = Number.isInteger(value) && value > 0;
-  return valid && value <= MAX_DEADLINE_MS ? value : Number.NaN;
+  const isValid = Number.isInteger(value) && value > 0;
+  return isValid && value <= MAX_DEADLINE_MS ? value : Number.NaN;
 }
 
-function badDeadline(handler: CallerHandler): Response {
+function refuseDeadline(handler: CallerHandler): Response {
   const detail = `${DEADLINE_HEADER} is a number of milliseconds`;
   return refuse(handler, RefusalReason.BAD_REQUEST, detail);
 }
--- a/src/adapters/http-engine-driver.ts
+++ b/src/adapters/http-engine-driver.ts
@@ -67,13 +67,13 @@
     command: EngineCommand;
     timeoutMs: number;
   }): ResultAsync<void, DriverError> {
-    const {command: order, timeoutMs} = options;
+    const {command, timeoutMs} = options;
     return callHttp({
       dispatcher: this.dispatcher,
       url: `${this.baseUrl}/orders`,
       method: 'POST',
       headers: [{name: 'content-type', value: 'application/json'}],
-      body: JSON.stringify(order),
+      body: JSON.stringify(command),
       timeoutMs,
     })
       .mapErr(toDriverError)
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -82,7 +82,7 @@
   ): ResultAsync<StoredObject, StoreError> {
     const {value, ...key} = options;
     const call = StoreCall.CREATE;
-    return this.write({call, method: 'POST', path: pathOf(key)}, value);
+    return this.write({call, method: 'POST', path: objectPath(key)}, value);
   }
 
   update(
@@ -91,7 +91,7 @@
     const {value, expectedVersion, ...key} = options;
     const call = StoreCall.CHANGE;
     const headers = [ifMatch(expectedVersion)];
-    const req = {call, method: 'PUT', path: pathOf(key), headers};
+    const req = {call, method: 'PUT', path: objectPath(key), headers};
     return this.write(req, value);
   }
 
@@ -100,19 +100,19 @@
   ): ResultAsync<void, StoreError> {
     const call = StoreCall.CHANGE;
     const headers = [ifMatch(options.expectedVersion)];
-    const path = pathOf(options);
+    const path = objectPath(options);
     return this.send({call, method: 'DELETE', path, headers})
-      .andThen((answer) => checkStatus(call, answer))
+      .andThen((res) => checkStatus(call, res))
       .map(() => undefined);
   }
 
   read(key: ObjectKey): ResultAsync<Maybe<StoredObject>, StoreError> {
     const call = StoreCall.READ;
-    return this.send({call, method: 'GET', path: pathOf(key)}).andThen(
-      (answer): Result<Maybe<StoredObject>, StoreError> =>
-        answer.status === 404
+    return this.send({call, method: 'GET', path: objectPath(key)}).andThen(
+      (res): Result<Maybe<StoredObject>, StoreError> =>
+        res.status === 404
           ? ok(Nothing)
-          : decodeResponse({call, answer, codec: STORED_OBJECT}).map(Just),
+          : decodeResponse({call, res, codec: STORED_OBJECT}).map(Just),
     );
   }
 
@@ -124,7 +124,7 @@
     const prefix = encodeURIComponent(options.prefix ?? '');
     const path = `/objects/${options.kind}?prefix=${prefix}`;
     return this.send({call, method: 'GET', path})
-      .andThen((answer) => decodeResponse({call, answer, codec: OBJECT_LIST}))
+      .andThen((res) => decodeResponse({call, res, codec: OBJECT_LIST}))
       .map(({objects}) => objects);
   }
 
@@ -157,8 +157,8 @@
     const {call} = req;
     const body = toJson(value);
     if (body.isErr()) return errAsync(body.error);
-    return this.send({...req, body: body.value}).andThen((answer) =>
-      decodeResponse({call, answer, codec: STORED_OBJECT}),
+    return this.send({...req, body: body.value}).andThen((res) =>
+      decodeResponse({call, res, codec: STORED_OBJECT}),
     );
   }
 
@@ -176,7 +176,7 @@
   }
 }
 
-function pathOf({kind, name}: ObjectKey): string {
+function objectPath({kind, name}: ObjectKey): string {
   return `/objects/${kind}/${encodeURIComponent(name)}`;
 }
 
@@ -197,19 +197,19 @@
 
 function checkStatus(
   call: StoreCall,
-  answer: HttpResponse,
+  res: HttpResponse,
 ): Result<HttpResponse, StoreError> {
-  if (answer.status < FIRST_ERROR_STATUS) return ok(answer);
-  return err(fromStatus(call, answer.status));
+  if (res.status < FIRST_ERROR_STATUS) return ok(res);
+  return err(fromStatus(call, res.status));
 }
 
 function decodeResponse<T>(options: {
   call: StoreCall;
-  answer: HttpResponse;
+  res: HttpResponse;
   codec: Codec<T>;
 }): Result<T, StoreError> {
-  const {call, answer, codec} = options;
-  return checkStatus(call, answer).andThen(({body}) =>
+  const {call, res, codec} = options;
+  return checkStatus(call, res).andThen(({body}) =>
     decodeValue(codec, parseJson(body)).mapErr((detail) =>
       fromMalformed(call, detail),
     ),
--- a/src/adapters/http-server.ts
+++ b/src/adapters/http-server.ts
@@ -117,8 +117,8 @@
   counter: RefusalCounter | undefined;
 }): void {
   const {err, socket, counter} = options;
-  const isAnswering = socket._httpMessage !== undefined;
-  if (!socket.writable || err.code === 'ECONNRESET' || isAnswering) {
+  const hasResponse = socket._httpMessage !== undefined;
+  if (!socket.writable || err.code === 'ECONNRESET' || hasResponse) {
     socket.destroy();
     return;
   }
@@ -169,7 +169,7 @@
   keepsAlive: () => boolean,
 ): ReadonlySet<ServerResponse> {
   const open = new Set<ServerResponse>();
-  const follow = (_: IncomingMessage, res: ServerResponse): void => {
+  const track = (_: IncomingMessage, res: ServerResponse): void => {
     open.add(res);
     res.once('close', () => void open.delete(res));
     const writeHead = res.writeHead.bind(res);
@@ -178,6 +178,6 @@
       return writeHead(...args);
     }) as typeof writeHead;
   };
-  server.prependListener('request', follow);
+  server.prependListener('request', track);
   return open;
 }
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -62,7 +62,7 @@
     timeoutMs: number;
   }): ResultAsync<PlainResponse, DriverError> {
     const {req, timeoutMs} = options;
-    const url = urlOf(this.baseUrl, req.path);
+    const url = buildUrl(this.baseUrl, req.path);
     if (!isBelowRoot(this.baseUrl, url)) {
       const detail = 'the path leaves the root of the service';
       return errAsync(driverError(DriverErrorKind.NOT_SENT, detail));
@@ -76,9 +76,9 @@
       timeoutMs,
       maxBodyBytes: MAX_RESPONSE_BYTES,
     })
-      .map((answer) => ({
-        ...answer,
-        headers: answer.headers.filter(isForwarded),
+      .map((res) => ({
+        ...res,
+        headers: res.headers.filter(isForwarded),
       }))
       .mapErr(toDriverError);
   }
@@ -91,7 +91,7 @@
 }
 
 /** A path without its slash could otherwise name another host. */
-function urlOf(baseUrl: string, path: string): string {
+function buildUrl(baseUrl: string, path: string): string {
   return path.startsWith('/') ? `${baseUrl}${path}` : `${baseUrl}/${path}`;
 }
 
--- a/src/adapters/store-errors.ts
+++ b/src/adapters/store-errors.ts
@@ -32,9 +32,11 @@
  * callHttp(options).mapErr((failure) => fromFailure(StoreCall.READ, failure));
  */
 export function fromFailure(call: StoreCall, failure: HttpFailure): StoreError {
-  const isSettled =
+  const hadNoEffect =
     call === StoreCall.READ || failure.kind === HttpFailureKind.NOT_SENT;
-  const kind = isSettled ? StoreErrorKind.UNAVAILABLE : StoreErrorKind.UNKNOWN;
+  const kind = hadNoEffect
+    ? StoreErrorKind.UNAVAILABLE
+    : StoreErrorKind.UNKNOWN;
   return storeError(kind, failure.detail);
 }
 
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -187,7 +187,7 @@
 
   private createServer(): PeerServer {
     const {clock, metrics} = this.options;
-    const parts: SessionDeps = {
+    const deps: SessionDeps = {
       board: this.board,
       clock,
       metrics,
@@ -200,7 +200,7 @@
     return new PeerServer({
       hello: this.createHello(),
       clock,
-      createListener: (connection) => new EntrySession(parts, connection),
+      createListener: (connection) => new EntrySession(deps, connection),
     });
   }
 
--- a/src/agent/attempt-reader.ts
+++ b/src/agent/attempt-reader.ts
@@ -11,7 +11,7 @@
 export class AttemptReader {
   private readonly unsubscribe: () => void;
   private flushScheduled = false;
-  private done = false;
+  private isClosed = false;
 
   constructor(
     private readonly options: {
@@ -30,7 +30,7 @@
   /** Sends what is new, unless the connection is congested. */
   flush(): void {
     this.flushScheduled = false;
-    if (this.done) return;
+    if (this.isClosed) return;
     const {attempt, connection} = this.options;
     while (this.position < attempt.journal.length) {
       if (connection.isCongested()) return;
@@ -43,8 +43,8 @@
 
   /** Stops sending. */
   close(): void {
-    if (this.done) return;
-    this.done = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.unsubscribe();
     this.options.attempt.removeReader();
     this.options.onDone();
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -41,7 +41,7 @@
       probeNow: () => Promise<void>;
     },
   ) {
-    options.board.phase.subscribe((phase) => this.handlePhase(phase));
+    options.board.phase.subscribe((phase) => this.handlePhaseChange(phase));
   }
 
   open(): void {
@@ -72,35 +72,38 @@
 
   /** Why a new attempt would be refused now; undefined if it would not. */
   checkAdmission(
-    order: Pick<StartMessage, 'crashes' | 'mayShare'>,
+    request: Pick<StartMessage, 'crashes' | 'mayShare'>,
   ): Refusal | undefined {
     const {board} = this.options;
     if (board.draining.get()) {
-      return refuse(RefusalReason.LEAVING, 'this target is leaving');
+      return createRefusal(RefusalReason.LEAVING, 'this target is leaving');
     }
     if (board.phase.get() !== TargetPhase.HEALTHY) {
-      return refuse(RefusalReason.NO_TARGET, 'the engine does not answer');
+      return createRefusal(
+        RefusalReason.NO_TARGET,
+        'the engine does not answer',
+      );
     }
-    const crashes = order.crashes ?? [];
-    if (order.mayShare === true) return undefined;
+    const crashes = request.crashes ?? [];
+    if (request.mayShare === true) return undefined;
     if (!sharesNoCrash({crashes, others: this.suspects()})) {
       const detail = 'another request of the same crash runs here';
-      return refuse(RefusalReason.NO_TARGET, detail);
+      return createRefusal(RefusalReason.NO_TARGET, detail);
     }
     return undefined;
   }
 
   /** Starts an attempt; one that is known already is returned as it is. */
-  start(order: StartMessage): Attempt {
-    const known = this.attempts.get(order.attemptId);
-    if (known !== undefined) return known;
-    const attempt = new Attempt(order, this.options.clock);
-    this.attempts.set(order.attemptId, attempt);
+  start(request: StartMessage): Attempt {
+    const existing = this.attempts.get(request.attemptId);
+    if (existing !== undefined) return existing;
+    const attempt = new Attempt(request, this.options.clock);
+    this.attempts.set(request.attemptId, attempt);
     this.options.metrics.count(CounterName.ATTEMPTS_STARTED);
     const stream = this.options.driver.generate({
-      requestId: order.requestId,
-      spec: order.spec,
-      resumeFrom: order.resumeFrom,
+      requestId: request.requestId,
+      spec: request.spec,
+      resumeFrom: request.resumeFrom,
       sink: this.createSink(attempt),
     });
     attempt.run(stream);
@@ -113,9 +116,9 @@
         attempt.recordToken();
         this.latestTokenAtMs = attempt.lastTokenAtMs;
         const result = attempt.journal.append(part);
-        if (result.gap) attempt.fail(gapError());
+        if (result.gap) attempt.fail(createGapError());
       },
-      onFinish: (reason) => finish(attempt, reason),
+      onFinish: (reason) => finishAttempt(attempt, reason),
       onFailure: (err) => this.handleFailure(attempt, err),
     };
   }
@@ -132,7 +135,7 @@
     this.options.clock.schedule({delayMs: CRASH_DETECTION_MS, run: fail});
   }
 
-  private handlePhase(phase: TargetPhase): void {
+  private handlePhaseChange(phase: TargetPhase): void {
     if (phase === TargetPhase.HEALTHY) return;
     const isCrash = phase === TargetPhase.DOWN;
     const kind = isCrash ? DriverErrorKind.LOST : DriverErrorKind.TIMEOUT;
@@ -153,9 +156,9 @@
   }
 
   private suspects(): Suspect[] {
-    return this.running().map(({request: order}) => ({
-      id: order.attemptId,
-      crashes: order.crashes ?? [],
+    return this.running().map(({request}) => ({
+      id: request.attemptId,
+      crashes: request.crashes ?? [],
     }));
   }
 
@@ -174,14 +177,14 @@
   }
 }
 
-function refuse(reason: RefusalReason, detail: string): Refusal {
+function createRefusal(reason: RefusalReason, detail: string): Refusal {
   return {reason, ran: Executed.NO, detail};
 }
 
 /** An engine that stops at a length which was not reached is not believed. */
-function finish(attempt: Attempt, reason: FinishReason): void {
-  const {journal, request: order} = attempt;
-  const isShort = journal.length < order.spec.maxTokens;
+function finishAttempt(attempt: Attempt, reason: FinishReason): void {
+  const {journal, request} = attempt;
+  const isShort = journal.length < request.spec.maxTokens;
   if (reason === FinishReason.LENGTH && isShort) {
     const detail = 'the engine ended the answer early';
     const kind = DriverErrorKind.MALFORMED;
@@ -191,7 +194,7 @@
   journal.finish(reason);
 }
 
-function gapError(): DriverError {
+function createGapError(): DriverError {
   const detail = 'the engine left out a token';
   return {layer: Layer.DRIVER, kind: DriverErrorKind.MALFORMED, detail};
 }
--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -17,7 +17,7 @@
   readonly journal: TokenLog;
   private stream: EngineStream | undefined;
   private crash: EngineCrash | undefined;
-  private failureError: DriverError | undefined;
+  private failureCause: DriverError | undefined;
   private readerCount = 0;
   /** When the last reader left or the attempt ended. */
   private unreadSinceMs: number;
@@ -34,7 +34,7 @@
 
   /** Why the attempt broke; undefined while it runs or when it is whole. */
   get failure(): DriverError | undefined {
-    return this.failureError;
+    return this.failureCause;
   }
 
   /** The crash that broke the attempt; undefined for any other end. */
@@ -66,7 +66,7 @@
   fail(err: DriverError, crash?: EngineCrash): void {
     if (this.journal.state !== LogState.RUNNING) return;
     this.crash = crash;
-    this.failureError = err;
+    this.failureCause = err;
     this.stream?.cancel();
     this.journal.markBroken();
   }
--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -66,21 +66,21 @@
     this.performAction({action, call, known, respond});
   }
 
-  handleKeyQuery(ask: AskKeyMessage, respond: Respond): void {
+  handleKeyQuery(query: AskKeyMessage, respond: Respond): void {
     const {keys} = this.options;
-    const known = keys.find(ask);
-    const {promiseNever} = ask;
+    const known = keys.find(query);
+    const {promiseNever} = query;
     const action = decideKeyQuery({known, promiseNever, isFull: keys.isFull()});
     switch (action) {
       case KeyAction.RETURN_FIRST_OUTCOME:
-        this.respondWhenSettled(ask, known!, respond);
+        this.respondWhenSettled(query, known!, respond);
         return;
       case KeyAction.PROMISE_NEVER:
-        keys.admit(ask).markPromisedNever();
-        respond(this.keyState(ask, KeyPhase.PROMISED_NEVER));
+        keys.admit(query).markPromisedNever();
+        respond(this.createKeyState(query, KeyPhase.PROMISED_NEVER));
         return;
       default:
-        respond(this.keyState(ask, known?.phase ?? KeyPhase.UNSEEN));
+        respond(this.createKeyState(query, known?.phase ?? KeyPhase.UNSEEN));
     }
   }
 
@@ -108,51 +108,53 @@
         return;
       }
       default:
-        respond(refused(callId, REFUSED_ACTIONS[action] ?? notAdmitted()));
+        respond(
+          createRefused(callId, REFUSALS[action] ?? otherIncarnationRefusal()),
+        );
     }
   }
 
   /** Waits while the call runs, at most for as long as was asked. */
   private respondWhenSettled(
-    ask: AskKeyMessage,
+    query: AskKeyMessage,
     record: KeyRecord,
     respond: Respond,
   ): void {
-    let answered = false;
-    const answer = (): void => {
-      if (answered) return;
-      answered = true;
+    let hasResponded = false;
+    const sendResponse = (): void => {
+      if (hasResponded) return;
+      hasResponded = true;
       timer.cancel();
       if (record.phase === KeyPhase.DONE) {
-        this.respondFromRecord({callId: ask.callId, record, respond});
+        this.respondFromRecord({callId: query.callId, record, respond});
         return;
       }
-      respond(this.keyState(ask, record.phase));
+      respond(this.createKeyState(query, record.phase));
     };
     const timer = this.options.clock.schedule({
-      delayMs: ask.waitMs,
-      run: answer,
+      delayMs: query.waitMs,
+      run: sendResponse,
     });
-    record.whenSettled(answer);
+    record.whenSettled(sendResponse);
   }
 
-  private keyState(ask: AskKeyMessage, phase: KeyPhase): Message {
+  private createKeyState(query: AskKeyMessage, phase: KeyPhase): Message {
     const {incarnation} = this.options;
-    const {callId} = ask;
+    const {callId} = query;
     return {type: MessageType.KEY_STATE, callId, phase, incarnation};
   }
 
   private runIdempotent(call: CallMessage, respond: Respond): void {
     if (this.options.board.draining.get()) {
       const detail = 'this target is leaving';
-      const refusal = refuse(RefusalReason.LEAVING, Executed.NO, detail);
-      respond(refused(call.callId, refusal));
+      const refusal = createRefusal(RefusalReason.LEAVING, Executed.NO, detail);
+      respond(createRefused(call.callId, refusal));
       return;
     }
     this.send({
       call,
-      onResponse: (res) => respond(reply(call.callId, res)),
-      onError: (err) => respond(refused(call.callId, refusalOf(err))),
+      onResponse: (res) => respond(createReply(call.callId, res)),
+      onError: (err) => respond(createRefused(call.callId, toRefusal(err))),
     });
   }
 
@@ -167,7 +169,7 @@
         record.complete(res);
         this.options.recorder.add({call, response: res});
       },
-      onError: (err) => settleFailed(record, err),
+      onError: (err) => settleAfterError(record, err),
     });
   }
 
@@ -195,26 +197,28 @@
   }): void {
     const {callId, record, respond} = options;
     if (record.outcome !== undefined) {
-      respond(reply(callId, record.outcome));
+      respond(createReply(callId, record.outcome));
       return;
     }
     if (record.phase === KeyPhase.PROMISED_NEVER) {
       const detail = 'the call did not run and never will under this key';
       respond(
-        refused(
+        createRefused(
           callId,
-          refuse(RefusalReason.CLAIM_VOIDED, Executed.NO, detail),
+          createRefusal(RefusalReason.CLAIM_VOIDED, Executed.NO, detail),
         ),
       );
       return;
     }
     const detail = 'the target gave no whole answer';
     const reason = RefusalReason.OUTCOME_UNKNOWN;
-    respond(refused(callId, refuse(reason, Executed.UNKNOWN, detail)));
+    respond(
+      createRefused(callId, createRefusal(reason, Executed.UNKNOWN, detail)),
+    );
   }
 }
 
-function settleFailed(record: KeyRecord, err: DriverError): void {
+function settleAfterError(record: KeyRecord, err: DriverError): void {
   if (err.kind === DriverErrorKind.NOT_SENT) {
     record.markPromisedNever();
     return;
@@ -222,7 +226,7 @@
   record.markUncertain();
 }
 
-const REFUSED_ACTIONS: Readonly<Partial<Record<KeyAction, Refusal>>> = {
+const REFUSALS: Readonly<Partial<Record<KeyAction, Refusal>>> = {
   [KeyAction.REFUSE_OTHER_BODY]: {
     reason: RefusalReason.KEY_REUSED,
     ran: Executed.NO,
@@ -235,29 +239,37 @@
   },
 };
 
-function notAdmitted(): Refusal {
+function otherIncarnationRefusal(): Refusal {
   const detail = 'the claim names another incarnation';
-  return refuse(RefusalReason.NO_TARGET, Executed.NO, detail);
+  return createRefusal(RefusalReason.NO_TARGET, Executed.NO, detail);
 }
 
-function refusalOf(err: DriverError): Refusal {
+function toRefusal(err: DriverError): Refusal {
   if (err.kind === DriverErrorKind.TOO_LARGE) {
-    return refuse(RefusalReason.RESPONSE_TOO_LARGE, Executed.YES, err.detail);
+    return createRefusal(
+      RefusalReason.RESPONSE_TOO_LARGE,
+      Executed.YES,
+      err.detail,
+    );
   }
   const sent = err.kind !== DriverErrorKind.NOT_SENT;
   const ran = sent ? Executed.UNKNOWN : Executed.NO;
-  return refuse(RefusalReason.TARGET_FAILED, ran, err.detail);
+  return createRefusal(RefusalReason.TARGET_FAILED, ran, err.detail);
 }
 
-function refuse(reason: RefusalReason, ran: Executed, detail: string): Refusal {
+function createRefusal(
+  reason: RefusalReason,
+  ran: Executed,
+  detail: string,
+): Refusal {
   return {reason, ran, detail};
 }
 
-function refused(id: string, refusal: Refusal): Message {
+function createRefused(id: string, refusal: Refusal): Message {
   return createRefusedMessage({id, refusal});
 }
 
-function reply(callId: string, res: PlainResponse): Message {
+function createReply(callId: string, res: PlainResponse): Message {
   return {
     type: MessageType.REPLY,
     callId,
--- a/src/agent/config-receiver.ts
+++ b/src/agent/config-receiver.ts
@@ -27,8 +27,8 @@
     if (step === ExchangeStep.SEND) return this.createConfig();
     if (step === ExchangeStep.ASK) return undefined;
     this.holder.offer({version, value});
-    const heardAtMs = this.options.clock.now() - ageMs;
-    this.confirmedAtMs = Math.max(this.confirmedAtMs, heardAtMs);
+    const confirmedAtMs = this.options.clock.now() - ageMs;
+    this.confirmedAtMs = Math.max(this.confirmedAtMs, confirmedAtMs);
     this.options.board.configVersion.set(version);
     return undefined;
   }
--- a/src/agent/engine-monitor.ts
+++ b/src/agent/engine-monitor.ts
@@ -89,28 +89,29 @@
 
   /** Probes that were slow before are given more time. */
   private timeoutMs(): number {
-    const byObservation = this.responseTimes.allowedMs(PROBE_TIMEOUT_MS);
-    return Math.min(byObservation, PROBE_TIMEOUT_MAX_MS);
+    const allowedMs = this.responseTimes.allowedMs(PROBE_TIMEOUT_MS);
+    return Math.min(allowedMs, PROBE_TIMEOUT_MAX_MS);
   }
 
   private handleReport(report: TargetReport, startedAtMs: number): void {
     this.responseTimes.observe(this.options.clock.now() - startedAtMs);
     this.failures = 0;
     const {board} = this.options;
-    const before = board.report.get().instance;
-    const restarted = before !== '' && before !== report.instance;
-    if (restarted) this.setPhase(TargetPhase.DOWN);
+    const previousInstance = board.report.get().instance;
+    const hasRestarted =
+      previousInstance !== '' && previousInstance !== report.instance;
+    if (hasRestarted) this.setPhase(TargetPhase.DOWN);
     board.report.set(report);
     this.setPhase(TargetPhase.HEALTHY);
   }
 
-  private handleFailure(err: DriverError, dueAtMs: number): void {
+  private handleFailure(err: DriverError, expiresAtMs: number): void {
     if (err.kind === DriverErrorKind.NOT_SENT) {
       this.setPhase(TargetPhase.DOWN);
       return;
     }
-    const slow = err.kind === DriverErrorKind.TIMEOUT;
-    if (slow && this.isInconclusive(dueAtMs)) return;
+    const isTimeout = err.kind === DriverErrorKind.TIMEOUT;
+    if (isTimeout && this.isInconclusive(expiresAtMs)) return;
     this.failures++;
     if (this.failures < PROBE_FAILURE_THRESHOLD) {
       this.probeAgain = true;
@@ -120,10 +121,10 @@
   }
 
   /** Tokens show that the engine lives; a late timer, that we were paused. */
-  private isInconclusive(dueAtMs: number): boolean {
+  private isInconclusive(expiresAtMs: number): boolean {
     const nowMs = this.options.clock.now();
     const tokenAgeMs = nowMs - this.options.lastTokenAtMs();
-    const lateMs = nowMs - dueAtMs;
+    const lateMs = nowMs - expiresAtMs;
     return tokenAgeMs < PROBE_TIMEOUT_MS || lateMs > PAUSE_DETECTION_MS;
   }
 
--- a/src/agent/entry-session.ts
+++ b/src/agent/entry-session.ts
@@ -57,11 +57,11 @@
 
   onReady(): void {
     const {board, clock} = this.deps;
-    const beat = (): void => this.sendHeartbeat();
+    const onChange = (): void => this.sendHeartbeat();
     this.deps.peers.add(this);
-    this.unsubscribes.push(board.draining.subscribe(beat));
-    this.unsubscribes.push(board.phase.subscribe(beat));
-    this.unsubscribes.push(board.configVersion.subscribe(beat));
+    this.unsubscribes.push(board.draining.subscribe(onChange));
+    this.unsubscribes.push(board.phase.subscribe(onChange));
+    this.unsubscribes.push(board.configVersion.subscribe(onChange));
     this.sendHeartbeat();
     this.timer = clock.repeat({
       periodMs: HEARTBEAT_BUSY_MS,
@@ -117,18 +117,18 @@
   }
 
   private handleConfig(message: ConfigMessage): void {
-    const answer = this.deps.config.handleMessage(message);
-    if (answer !== undefined) this.connection().send(answer);
+    const response = this.deps.config.handleMessage(message);
+    if (response !== undefined) this.connection().send(response);
   }
 
-  private handleStart(order: StartMessage): void {
+  private handleStart(request: StartMessage): void {
     const {attempts} = this.deps;
-    const refusal = attempts?.checkAdmission(order) ?? undefined;
+    const refusal = attempts?.checkAdmission(request) ?? undefined;
     if (attempts === undefined || refusal !== undefined) {
-      this.refuse(order.attemptId, refusal ?? noEngine());
+      this.sendRefusal(request.attemptId, refusal ?? noEngineRefusal());
       return;
     }
-    this.startReader(attempts.start(order), order.resumeFrom.length);
+    this.startReader(attempts.start(request), request.resumeFrom.length);
   }
 
   /** Another entry may follow the same attempt; then it goes on. */
@@ -140,13 +140,17 @@
 
   private handleAttach(attach: AttachMessage): void {
     const attempt = this.deps.attempts?.find(attach.attemptId);
-    const known =
+    const isSameRequest =
       attempt?.request.clientAccount === attach.clientAccount &&
       attempt.request.fingerprint === attach.fingerprint;
-    if (attempt === undefined || !known) {
+    if (attempt === undefined || !isSameRequest) {
       const detail = 'this attempt is not known here';
       const reason = RefusalReason.ANSWER_LOST;
-      this.refuse(attach.attemptId, {reason, ran: Executed.UNKNOWN, detail});
+      this.sendRefusal(attach.attemptId, {
+        reason,
+        ran: Executed.UNKNOWN,
+        detail,
+      });
       return;
     }
     this.startReader(attempt, attach.position);
@@ -171,21 +175,22 @@
     this.connection().send(message);
   }
 
-  private refuse(id: string, refusal: Refusal): void {
+  private sendRefusal(id: string, refusal: Refusal): void {
     this.connection().send(createRefusedMessage({id, refusal}));
   }
 
   private sendHeartbeatIfDue(): void {
-    const busy = this.readers.size > 0 || this.pendingCalls > 0;
+    const isBusy = this.readers.size > 0 || this.pendingCalls > 0;
     const nowMs = this.deps.clock.now();
-    const sinceReportMs = nowMs - this.heartbeatSentAtMs;
+    const sinceHeartbeatMs = nowMs - this.heartbeatSentAtMs;
     // Tokens and replies are signs of life too; reports are due less often.
-    const sinceWordMs = nowMs - this.connection().sentAtMs;
-    const dueMs = busy ? HEARTBEAT_BUSY_MS : HEARTBEAT_IDLE_MS;
-    const quietMs = busy ? sinceWordMs : sinceReportMs;
+    const sinceLastSentMs = nowMs - this.connection().sentAtMs;
+    const periodMs = isBusy ? HEARTBEAT_BUSY_MS : HEARTBEAT_IDLE_MS;
+    const elapsedMs = isBusy ? sinceLastSentMs : sinceHeartbeatMs;
     // A tick may come a little early against the period it closes.
-    const isQuiet = quietMs >= dueMs - HEARTBEAT_BUSY_MS / 2;
-    if (!isQuiet && !(busy && sinceReportMs >= HEARTBEAT_BUSY_MAX_MS)) return;
+    const isDue = elapsedMs >= periodMs - HEARTBEAT_BUSY_MS / 2;
+    if (!isDue && !(isBusy && sinceHeartbeatMs >= HEARTBEAT_BUSY_MAX_MS))
+      return;
     this.sendHeartbeat();
   }
 
@@ -208,7 +213,7 @@
   }
 }
 
-function noEngine(): Refusal {
+function noEngineRefusal(): Refusal {
   const detail = 'no engine runs beside this agent';
   return {reason: RefusalReason.NO_TARGET, ran: Executed.NO, detail};
 }
--- a/src/agent/key-table.ts
+++ b/src/agent/key-table.ts
@@ -65,7 +65,7 @@
   }
 
   find(key: {clientAccount: string; key: string}): KeyRecord | undefined {
-    return this.records.get(nameOf(key));
+    return this.records.get(mapKeyOf(key));
   }
 
   /** Admits a key that `find` did not know. */
@@ -75,11 +75,11 @@
     fingerprint: string;
   }): KeyRecord {
     const record = new KeyRecord(key.fingerprint);
-    this.records.set(nameOf(key), record);
+    this.records.set(mapKeyOf(key), record);
     return record;
   }
 }
 
-function nameOf(key: {clientAccount: string; key: string}): string {
+function mapKeyOf(key: {clientAccount: string; key: string}): string {
   return `${key.clientAccount}\n${key.key}`;
 }
--- a/src/agent/outcome-recorder.ts
+++ b/src/agent/outcome-recorder.ts
@@ -39,7 +39,7 @@
  */
 export class OutcomeRecorder {
   private pending: PendingOutcome[] = [];
-  private bytes = 0;
+  private pendingBytes = 0;
   private sequence = 0;
   private isWriting = false;
   private lastChangeMs = 0;
@@ -55,15 +55,15 @@
 
   /** Whether nothing waits, or what waits has waited for too long. */
   isIdle(): boolean {
-    const idle = this.pending.length === 0 && !this.isWriting;
-    const waitedMs = this.options.clock.now() - this.lastChangeMs;
-    return idle || waitedMs > OUTCOME_DRAIN_MS;
+    const hasNoWork = this.pending.length === 0 && !this.isWriting;
+    const sinceLastChangeMs = this.options.clock.now() - this.lastChangeMs;
+    return hasNoWork || sinceLastChangeMs > OUTCOME_DRAIN_MS;
   }
 
   add(options: {call: CallMessage; response: PlainResponse}): void {
     const {call, response} = options;
     const bytes = response.body.length + OUTCOME_OVERHEAD_BYTES;
-    const fits = this.bytes + bytes <= OUTCOME_QUEUE_BYTES;
+    const fits = this.pendingBytes + bytes <= OUTCOME_QUEUE_BYTES;
     if (bytes > OUTCOME_GROUP_BYTES || !fits) {
       this.options.metrics.count(CounterName.OUTCOMES_DROPPED);
       return;
@@ -75,7 +75,7 @@
       prefix: outcomePrefixOf({incarnation, claimedAtMs}),
       bytes,
     });
-    this.bytes += bytes;
+    this.pendingBytes += bytes;
     this.lastChangeMs = this.options.clock.now();
     this.scheduleWrite();
   }
@@ -94,11 +94,11 @@
     const members: PendingOutcome[] = [];
     const rest: PendingOutcome[] = [];
     let bytes = 0;
-    for (const one of this.pending) {
-      const joins =
-        one.prefix === prefix && bytes + one.bytes <= OUTCOME_GROUP_BYTES;
-      (joins ? members : rest).push(one);
-      if (joins) bytes += one.bytes;
+    for (const item of this.pending) {
+      const fits =
+        item.prefix === prefix && bytes + item.bytes <= OUTCOME_GROUP_BYTES;
+      (fits ? members : rest).push(item);
+      if (fits) bytes += item.bytes;
     }
     this.pending = rest;
     return {name: `${prefix}${this.sequence++}`, members};
@@ -110,7 +110,7 @@
     const kind = ObjectKind.OUTCOME;
     const {name} = group;
     const written = await store.create({kind, name, value: {outcomes}});
-    if (written.isErr() && isWorthRetrying(written.error)) {
+    if (written.isErr() && isRetryable(written.error)) {
       this.options.clock.schedule({
         delayMs: OUTCOME_RETRY_MS,
         run: () => void this.write(group),
@@ -122,12 +122,12 @@
 
   private settle(group: Group, error: StoreError | undefined): void {
     const {metrics, clock} = this.options;
-    const isLost = error?.kind === StoreErrorKind.INVALID;
-    const name = isLost
+    const isRejected = error?.kind === StoreErrorKind.INVALID;
+    const name = isRejected
       ? CounterName.OUTCOMES_DROPPED
       : CounterName.OUTCOMES_RECORDED;
     metrics.count(name, {by: group.members.length});
-    for (const {bytes} of group.members) this.bytes -= bytes;
+    for (const {bytes} of group.members) this.pendingBytes -= bytes;
     this.isWriting = false;
     this.lastChangeMs = clock.now();
     this.scheduleWrite();
@@ -135,7 +135,7 @@
 }
 
 /** EXISTS is the answer that was lost; INVALID stays so. */
-function isWorthRetrying({kind}: StoreError): boolean {
+function isRetryable({kind}: StoreError): boolean {
   return kind !== StoreErrorKind.EXISTS && kind !== StoreErrorKind.INVALID;
 }
 
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -48,7 +48,7 @@
   .option(
     '--metrics-port <port>',
     'port on which metrics are served',
-    toPort,
+    parsePort,
     DEFAULT_METRICS_PORT,
   )
   .addHelpText(
@@ -107,14 +107,14 @@
   entry.routes.subscribe((table) => {
     if (table !== undefined) server.applyLimits(table.limits);
   });
-  const watch = new SettingsWatcher({
+  const watcher = new SettingsWatcher({
     path,
     parse: parseBootSettings,
-    onSettings: (changed) => entry.applySettings(changed),
+    onSettings: (newSettings) => entry.applySettings(newSettings),
     clock,
     logger,
   });
-  const stop = new GracefulShutdown({
+  const shutdown = new GracefulShutdown({
     clock,
     logger,
     listener: server,
@@ -124,18 +124,18 @@
   });
   process.on('SIGHUP', () => {
     logger.info('reload');
-    void watch.check();
+    void watcher.check();
   });
   process.on('SIGTERM', () => {
     logger.info('stopping', {open: server.openRequests});
     entry.startDraining();
-    stop.begin();
+    shutdown.begin();
   });
   removeStartupHandlers();
   entry.start();
   await listen(settings.readiness, (req, res) => {
-    const isKnown = req.url === (Path.READY as string);
-    res.statusCode = isKnown ? (entry.isReady() ? 200 : 503) : 404;
+    const isReadinessPath = req.url === (Path.READY as string);
+    res.statusCode = isReadinessPath ? (entry.isReady() ? 200 : 503) : 404;
     res.end();
   });
   await server.listen(settings.callers);
@@ -144,8 +144,8 @@
     void serveMetrics({req, res, metrics});
   });
   logger.info('started', {callers: settings.callers.port, metricsPort});
-  await watch.check();
-  watch.start();
+  await watcher.check();
+  watcher.start();
 }
 
 async function serveMetrics(options: {
@@ -173,9 +173,9 @@
   });
 }
 
-function toPort(text: string): number {
+function parsePort(text: string): number {
   const port = Number(text);
-  const isPort = Number.isInteger(port) && port > 0 && port <= MAX_PORT;
-  if (!isPort) throw new InvalidArgumentError(`expected 1 to ${MAX_PORT}`);
+  const isValid = Number.isInteger(port) && port > 0 && port <= MAX_PORT;
+  if (!isValid) throw new InvalidArgumentError(`expected 1 to ${MAX_PORT}`);
   return port;
 }
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -18,7 +18,7 @@
   .description('Runs one process of plantainrill.')
   .requiredOption('--settings <file>', 'base file of the settings')
   .option('--overlay <file>', 'overlay over the base file')
-  .option('--set <path=value>', 'one setting, over both files', collect, [])
+  .option('--set <path=value>', 'one setting, over both files', appendValue, [])
   .addHelpText('after', () => HELP_EXAMPLES);
 
 const HELP_EXAMPLES = `
@@ -49,6 +49,6 @@
   await run(settings.value);
 }
 
-function collect(value: string, earlier: string[]): string[] {
-  return [...earlier, value];
+function appendValue(value: string, previous: string[]): string[] {
+  return [...previous, value];
 }
--- a/src/daemon/process-lifecycle.ts
+++ b/src/daemon/process-lifecycle.ts
@@ -42,15 +42,15 @@
 }): void {
   const {stop, callers} = options;
   callers?.close();
-  const end = (): void => {
+  const exitIfIdle = (): void => {
     if (callers !== undefined && callers.countOpen() > 0) {
-      setTimeout(end, EXIT_FLUSH_MS);
+      setTimeout(exitIfIdle, EXIT_FLUSH_MS);
       return;
     }
     stop();
     process.exit(0);
   };
-  setTimeout(end, EXIT_FLUSH_MS);
+  setTimeout(exitIfIdle, EXIT_FLUSH_MS);
 }
 
 /** Ends the process because it cannot listen. */
--- a/src/daemon/read-with-retry.ts
+++ b/src/daemon/read-with-retry.ts
@@ -19,10 +19,10 @@
   clock: Clock;
 }): Promise<Result<T, string>> {
   const {read, clock} = options;
-  const endMs = clock.now() + READ_TIMEOUT_MS;
+  const deadlineMs = clock.now() + READ_TIMEOUT_MS;
   for (;;) {
     const settings = read();
-    if (settings.isOk() || clock.now() >= endMs) return settings;
+    if (settings.isOk() || clock.now() >= deadlineMs) return settings;
     await new Promise<void>((resolve) => {
       clock.schedule({delayMs: RETRY_INTERVAL_MS, run: resolve});
     });
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -39,7 +39,7 @@
   await Promise.all(servers.splice(0).map((server) => server.close()));
 });
 
-const ANSWERS = [
+const OUTPUTS = [
   {name: 'that end by max_tokens', prompt: 'a', maxTokens: 33, stop: []},
   {
     name: 'that end by themselves',
@@ -53,13 +53,13 @@
 ];
 
 describe('HttpEngineDriver.generate', () => {
-  it.each(ANSWERS)('passes on answers $name', async (request) => {
+  it.each(OUTPUTS)('passes on answers $name', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const outcome = await generate({driver, spec: specOf(request)});
     expect(outcome).toEqual(expectedAnswer(request));
   });
 
-  it.each(ANSWERS)('resumes answers $name at every cut', async (request) => {
+  it.each(OUTPUTS)('resumes answers $name at every cut', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const spec = specOf(request);
     const whole = expectedAnswer(request);
@@ -103,12 +103,12 @@
     const stream = driver.generate(options);
     await vi.waitFor(() => expect(sink.onTokens).toHaveBeenCalled());
     stream.cancel();
-    const seen = sink.onTokens.mock.calls.length;
+    const callCount = sink.onTokens.mock.calls.length;
     await vi.waitFor(async () => {
       const counts = await getJson<EngineCounts>(`${url}/counts`);
       expect(counts.cancelled).toBe(1);
     });
-    expect(sink.onTokens.mock.calls).toHaveLength(seen);
+    expect(sink.onTokens.mock.calls).toHaveLength(callCount);
     expect(sink.onFinish).not.toHaveBeenCalled();
     expect(sink.onFailure).not.toHaveBeenCalled();
   });
@@ -123,59 +123,59 @@
 const BROKEN_STREAMS = [
   {
     name: 'an error status',
-    answer: () => open(startScripted((res) => res.writeHead(503).end())),
+    serve: () => open(startScripted((res) => res.writeHead(503).end())),
     kind: DriverErrorKind.REFUSED,
     length: 0,
   },
   {
     name: 'a refused connection',
-    answer: () => Promise.resolve(NOWHERE),
+    serve: () => Promise.resolve(NOWHERE),
     kind: DriverErrorKind.NOT_SENT,
     length: 0,
   },
   {
     name: 'a connection that closes before an answer',
-    answer: () => open(startScripted((res) => res.destroy())),
+    serve: () => open(startScripted((res) => res.destroy())),
     kind: DriverErrorKind.LOST,
     length: 0,
   },
   {
     name: 'a connection that breaks after a token',
-    answer: () =>
+    serve: () =>
       open(startScripted((res) => res.write(event(null), () => res.destroy()))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'an end without a finish reason',
-    answer: () => open(startScripted((res) => res.end(event(null)))),
+    serve: () => open(startScripted((res) => res.end(event(null)))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'a DONE without a finish reason',
-    answer: () =>
+    serve: () =>
       open(startScripted((res) => res.end(`${event(null)}data: [DONE]\n\n`))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'an event that is no JSON',
-    answer: () => open(startScripted((res) => res.end('data: {\n\n'))),
+    serve: () => open(startScripted((res) => res.end('data: {\n\n'))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
   },
   {
     name: 'an unknown finish reason',
-    answer: () => open(startScripted((res) => res.end(event('tired')))),
+    serve: () => open(startScripted((res) => res.end(event('tired')))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
   },
 ];
 
 describe('HttpEngineDriver failures', () => {
-  it.each(BROKEN_STREAMS)('reports $name', async ({answer, kind, length}) => {
-    const driver = new HttpEngineDriver({baseUrl: await answer()});
+  it.each(BROKEN_STREAMS)('reports $name', async ({serve, kind, length}) => {
+    const driver = new HttpEngineDriver({baseUrl: await serve()});
     const outcome = await generate({driver, spec: specOf({})});
     expect(outcome.err?.kind).toBe(kind);
     expect(outcome.finishReason).toBeUndefined();
@@ -185,19 +185,19 @@
   it('joins a character that arrives in two parts', async () => {
     const bytes = Buffer.from(event('stop').replace('"a"', '"é"'));
     const cut = bytes.indexOf('é') + 1;
-    const answer = (res: ServerResponse): void => {
+    const sendInTwoParts = (res: ServerResponse): void => {
       res.write(bytes.subarray(0, cut));
       setTimeout(() => res.end(bytes.subarray(cut)), PART_GAP_MS);
     };
-    const url = await open(startScripted(answer));
+    const url = await open(startScripted(sendInTwoParts));
     const driver = new HttpEngineDriver({baseUrl: url});
     const outcome = await generate({driver, spec: specOf({})});
     expect(outcome.tokens).toEqual([{id: 1, text: 'é'}]);
   });
 
   it('takes nothing after the finish reason', async () => {
-    const answer = event('stop') + event(null) + event('length');
-    const url = await open(startScripted((res) => res.end(answer)));
+    const body = event('stop') + event(null) + event('length');
+    const url = await open(startScripted((res) => res.end(body)));
     const driver = new HttpEngineDriver({baseUrl: url});
     const outcome = await generate({driver, spec: specOf({})});
     expect(outcome.tokens).toHaveLength(1);
@@ -208,31 +208,31 @@
 const BROKEN_PROBES = [
   {
     name: 'a refused connection',
-    answer: () => Promise.resolve(NOWHERE),
+    serve: () => Promise.resolve(NOWHERE),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.NOT_SENT,
   },
   {
     name: 'silence',
-    answer: () => open(startScripted(() => undefined)),
+    serve: () => open(startScripted(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: DriverErrorKind.TIMEOUT,
   },
   {
     name: 'an error status',
-    answer: () => open(startScripted((res) => res.writeHead(500).end())),
+    serve: () => open(startScripted((res) => res.writeHead(500).end())),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.REFUSED,
   },
   {
     name: 'a report without its fields',
-    answer: () => open(startScripted((res) => res.end('{"running":1}'))),
+    serve: () => open(startScripted((res) => res.end('{"running":1}'))),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.MALFORMED,
   },
   {
     name: 'a broken connection',
-    answer: () => open(startScripted((res) => res.destroy())),
+    serve: () => open(startScripted((res) => res.destroy())),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.LOST,
   },
@@ -249,8 +249,8 @@
     expect(cachedPrefixes).toHaveLength(1);
   });
 
-  it.each(BROKEN_PROBES)('reports $name', async ({answer, timeoutMs, kind}) => {
-    const driver = new HttpEngineDriver({baseUrl: await answer()});
+  it.each(BROKEN_PROBES)('reports $name', async ({serve, timeoutMs, kind}) => {
+    const driver = new HttpEngineDriver({baseUrl: await serve()});
     const probed = await driver.probe({timeoutMs});
     expect(probed._unsafeUnwrapErr().kind).toBe(kind);
   });
@@ -277,17 +277,17 @@
       const driver = new HttpEngineDriver({baseUrl: url});
       for (const fencing of [1, 5, 4, 5, 6]) {
         const kind = EngineCommandKind.LOAD_MODEL;
-        const order = {kind, argument: 'm', fencing};
-        const made = await driver.sendCommand({
-          command: order,
+        const command = {kind, argument: 'm', fencing};
+        const sent = await driver.sendCommand({
+          command,
           timeoutMs: PROBE_TIMEOUT_MS,
         });
-        const refused = made.isErr() ? made.error.kind : undefined;
+        const errorKind = sent.isErr() ? sent.error.kind : undefined;
         const isRefused = !ignoresFencing && fencing === 4;
-        expect(refused).toBe(isRefused ? DriverErrorKind.REFUSED : undefined);
+        expect(errorKind).toBe(isRefused ? DriverErrorKind.REFUSED : undefined);
       }
       const listed = await getJson<Array<{fencing: number}>>(`${url}/orders`);
-      expect(listed.map((order) => order.fencing)).toEqual(accepted);
+      expect(listed.map((command) => command.fencing)).toEqual(accepted);
     },
   );
 });
--- a/test/adapters/http-object-store.test.ts
+++ b/test/adapters/http-object-store.test.ts
@@ -32,8 +32,8 @@
 
 describe('HttpObjectStore', () => {
   it('creates, reads, updates, lists and removes', async () => {
-    const made = await store.create({...KEY, value: {n: 1}});
-    const {version} = made._unsafeUnwrap();
+    const created = await store.create({...KEY, value: {n: 1}});
+    const {version} = created._unsafeUnwrap();
     const changed = await store.update({
       ...KEY,
       value: 'ż',
--- a/test/adapters/service-path.test.ts
+++ b/test/adapters/service-path.test.ts
@@ -9,7 +9,7 @@
 const SEED = 20261204;
 
 const TARGETS = [
-  {target: '/services/stock/items/7?unit=bag', isPlain: true},
+  {target: '/services/stock/items/7?unit=bag', isSafe: true},
   {target: '/services/stock/a.b/..c/...', isPlain: true},
   {target: '/services/stock/100%25', isPlain: true},
   {target: '/services/stock/a%2Fb', isPlain: true},
@@ -26,8 +26,8 @@
 ];
 
 describe('isPlainTarget', () => {
-  it.each(TARGETS)('takes $target: $isPlain', ({target, isPlain}) => {
-    expect(isSafeRequestTarget(target)).toBe(isPlain);
+  it.each(TARGETS)('takes $target: $isPlain', ({target, isSafe}) => {
+    expect(isSafeRequestTarget(target)).toBe(isSafe);
   });
 
   it('takes nothing that a URL parser leads out of the root', () => {
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -23,7 +23,7 @@
   cachedPrefixes: [],
 };
 
-const lost = (kind: DriverErrorKind): DriverError => {
+const createError = (kind: DriverErrorKind): DriverError => {
   return {layer: Layer.DRIVER, kind, detail: 'lost'};
 };
 
@@ -31,21 +31,21 @@
   {
     name: 'at once',
     probeMs: 1,
-    answer: DriverErrorKind.NOT_SENT,
+    probeError: DriverErrorKind.NOT_SENT,
     isCrash: true,
   },
   {
     name: 'after a probe that is slow beside load',
     probeMs: 240,
-    answer: DriverErrorKind.NOT_SENT,
+    probeError: DriverErrorKind.NOT_SENT,
     isCrash: true,
   },
-  {name: 'never: it lives', probeMs: 1, answer: undefined, isCrash: false},
+  {name: 'never: it lives', probeMs: 1, probeError: undefined, isCrash: false},
 ];
 
 describe('an attempt whose stream broke', () => {
   let clock: ManualClock;
-  let probes: Array<(answer: DriverErrorKind | undefined) => void>;
+  let probes: Array<(error: DriverErrorKind | undefined) => void>;
   let sinks: EngineSink[];
   let table: AttemptTable;
   let monitor: EngineMonitor;
@@ -69,7 +69,7 @@
                 else reject(new Error(kind));
               });
             }),
-            (e) => lost((e as Error).message as DriverErrorKind),
+            (e) => createError((e as Error).message as DriverErrorKind),
           ),
       },
     });
@@ -84,35 +84,37 @@
           sinks.push(sink);
           return {cancel: () => undefined};
         },
-        probe: () => errAsync(lost(DriverErrorKind.LOST)),
-        sendCommand: () => errAsync(lost(DriverErrorKind.LOST)),
+        probe: () => errAsync(createError(DriverErrorKind.LOST)),
+        sendCommand: () => errAsync(createError(DriverErrorKind.LOST)),
       },
     });
     monitor.open();
-    await answer(undefined);
+    await completeProbes(undefined);
     expect(board.phase.get()).toBe(TargetPhase.HEALTHY);
   });
 
-  async function answer(kind: DriverErrorKind | undefined): Promise<void> {
-    for (const end of probes.splice(0)) end(kind);
+  async function completeProbes(
+    kind: DriverErrorKind | undefined,
+  ): Promise<void> {
+    for (const complete of probes.splice(0)) complete(kind);
     // Lets what waits for the probe go on.
     for (let i = 0; i < 20; i++) await Promise.resolve();
   }
 
   it.each(CASES)('learns of the crash $name', async (row) => {
-    const order = {
+    const request = {
       attemptId: 'a',
       requestId: 'r',
       spec: {maxTokens: 10},
       resumeFrom: [],
       crashes: ['earlier'],
     } as unknown as StartMessage;
-    const attempt = table.start(order);
-    sinks[0]!.onFailure(lost(DriverErrorKind.LOST));
+    const attempt = table.start(request);
+    sinks[0]!.onFailure(createError(DriverErrorKind.LOST));
     clock.advance(row.probeMs);
-    await answer(row.answer);
+    await completeProbes(row.probeError);
     clock.advance(1_000);
-    await answer(row.answer);
+    await completeProbes(row.probeError);
     expect(attempt.failure?.kind).toBe(DriverErrorKind.LOST);
     expect(attempt.engineCrash !== undefined).toBe(row.isCrash);
     if (row.isCrash) expect(attempt.engineCrash?.isCause).toBe(true);
--- a/test/daemon/read-with-retry.test.ts
+++ b/test/daemon/read-with-retry.test.ts
@@ -11,10 +11,10 @@
 const STEP_MS = 50;
 
 describe('readPatiently', () => {
-  async function readUntilSound(soundAtMs: number) {
+  async function readUntilValid(validAtMs: number) {
     const clock = new ManualClock();
     const read = () =>
-      clock.now() >= soundAtMs ? ok('settings') : err('half a file');
+      clock.now() >= validAtMs ? ok('settings') : err('half a file');
     let isDone = false;
     const settings = readWithRetry({read, clock}).finally(() => {
       isDone = true;
@@ -29,11 +29,11 @@
   }
 
   it.each([
-    {name: 'at once', soundAtMs: 0, isOk: true},
-    {name: 'once they are whole', soundAtMs: 2_000, isOk: true},
-    {name: 'in vain', soundAtMs: READ_TIMEOUT_MS * 10, isOk: false},
-  ])('reads $name', async ({soundAtMs, isOk}) => {
-    const {settings, tookMs} = await readUntilSound(soundAtMs);
+    {name: 'at once', validAtMs: 0, isOk: true},
+    {name: 'once they are whole', validAtMs: 2_000, isOk: true},
+    {name: 'in vain', validAtMs: READ_TIMEOUT_MS * 10, isOk: false},
+  ])('reads $name', async ({validAtMs, isOk}) => {
+    const {settings, tookMs} = await readUntilValid(validAtMs);
     expect(settings.isOk()).toBe(isOk);
     expect(tookMs).toBeLessThan(READ_TIMEOUT_MS * 2);
   });
--- a/test/daemon/startup-signals.test.ts
+++ b/test/daemon/startup-signals.test.ts
@@ -27,8 +27,8 @@
 
   it('leaves the signals to others once it is lifted', () => {
     const source = new FakeProcess();
-    const lift = handleStartupSignals(source);
-    lift();
+    const removeHandlers = handleStartupSignals(source);
+    removeHandlers();
     expect(source.emit('SIGTERM')).toBe(false);
     expect(source.emit('SIGHUP')).toBe(false);
   });
