--- a/src/agent/agent-board.ts
+++ b/src/agent/agent-board.ts
@@ -1,7 +1,7 @@
 import {Cell} from '../core/blackboard/index.js';
 import {TargetPhase} from '../core/protocol/index.js';
 
-/** What the target last reported. */
+/** Last report of the target. */
 export interface TargetReport {
   readonly running: number;
   readonly waiting: number;
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -1,4 +1,4 @@
-/** The agent role: one process beside each target. */
+/** The agent role: one process on the same VM as each target. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {Clock, RandomSource} from '../core/clock/index.js';
@@ -33,13 +33,13 @@
 import {KeyTable} from './key-table.js';
 import {OutcomeRecorder} from './outcome-recorder.js';
 
-/** The target's driver: an engine or a plain service. */
+/** Driver of the target; either an engine or a plain service. */
 export interface TargetDrivers {
   readonly engine?: EngineDriver;
   readonly service?: ServiceDriver;
 }
 
-/** What an agent is built of. */
+/** Dependencies of an agent. */
 export interface AgentOptions {
   readonly settings: DaemonSettings;
   readonly clock: Clock;
@@ -48,11 +48,11 @@
   readonly logger: Logger;
   readonly drivers: TargetDrivers;
   readonly store: ObjectStore;
-  /** Called once a drain has ended and all work is done. */
+  /** Called when a drain has ended and all work is done. */
   readonly onDrained: () => void;
 }
 
-/** Ties the agent's controllers to its board. */
+/** Creates the controllers of an agent and connects them to its board. */
 export class AgentProcess implements OperatorHandler {
   private readonly board = new AgentBoard();
   private readonly incarnation: string;
@@ -89,7 +89,7 @@
     this.drainer = this.createDrainer();
   }
 
-  /** Listens for entries and returns the port. */
+  /** Starts listening for entries; returns the port. */
   start(): ResultAsync<number, TransportError> {
     this.monitor.open();
     this.attempts?.open();
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Work in flight, outcomes that are not recorded yet included. */
+  /** Work in progress, including outcomes that are not recorded yet. */
   private countUnfinished(): number {
     return this.countRunning() + (this.recorder.isIdle() ? 0 : 1);
   }
--- a/src/agent/attempt-reader.ts
+++ b/src/agent/attempt-reader.ts
@@ -1,4 +1,4 @@
-/** Sends one attempt's journal to one entry, from a position on. */
+/** Sends the journal of one attempt to one entry, starting at a position. */
 import {DriverErrorKind} from '../core/edges/index.js';
 import {RetryReason} from '../core/errors/index.js';
 import {LogState} from '../core/generation/index.js';
@@ -7,7 +7,7 @@
 import type {Attempt} from './attempt.js';
 import {TOKENS_PER_MESSAGE} from './consts.js';
 
-/** A cursor into a journal; it sends only what the connection takes. */
+/** A cursor into a journal; pauses while the connection is congested. */
 export class AttemptReader {
   private readonly unsubscribe: () => void;
   private flushScheduled = false;
@@ -27,7 +27,7 @@
     this.schedule();
   }
 
-  /** Sends what is new, unless the connection is congested. */
+  /** Sends new tokens until the connection is congested. */
   flush(): void {
     this.flushScheduled = false;
     if (this.isClosed) return;
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -1,4 +1,4 @@
-/** The attempts of an agent, from their start to the end of retention. */
+/** Attempts of an agent, kept from their start to the end of retention. */
 import type {Clock, RandomSource, TimerHandle} from '../core/clock/index.js';
 import type {
   DriverError,
@@ -24,7 +24,7 @@
   SWEEP_PERIOD_MS,
 } from './consts.js';
 
-/** Starts, finds and forgets attempts. */
+/** Starts, looks up and removes attempts. */
 export class AttemptTable {
   private readonly attempts = new Map<string, Attempt>();
   private latestTokenAtMs = Number.NEGATIVE_INFINITY;
@@ -37,7 +37,7 @@
       driver: EngineDriver;
       metrics: Metrics;
       random: RandomSource;
-      /** Probes the engine at once; resolves when it has been probed. */
+      /** Probes the engine at once; resolves when the probe has ended. */
       probeNow: () => Promise<void>;
     },
   ) {
@@ -65,12 +65,12 @@
     return this.running().length;
   }
 
-  /** When an engine's stream last brought a token; long ago for never. */
+  /** Time of the last token of any attempt; -Infinity if there was none. */
   lastTokenAtMs(): number {
     return this.latestTokenAtMs;
   }
 
-  /** Why a new attempt would be refused now; undefined if it would not. */
+  /** Returns why an attempt would be refused now; undefined to admit it. */
   checkAdmission(
     request: Pick<StartMessage, 'crashes' | 'mayShare'>,
   ): Refusal | undefined {
@@ -93,7 +93,7 @@
     return undefined;
   }
 
-  /** Starts an attempt; one that is known already is returned as it is. */
+  /** Starts an attempt; returns the existing one if its id is in use. */
   start(request: StartMessage): Attempt {
     const existing = this.attempts.get(request.attemptId);
     if (existing !== undefined) return existing;
@@ -123,14 +123,14 @@
     };
   }
 
-  /** A lost stream may mean that the engine crashed: a probe will tell. */
+  /** A lost stream may mean an engine crash, so the engine is probed. */
   private handleFailure(attempt: Attempt, err: DriverError): void {
     if (err.kind !== DriverErrorKind.LOST) {
       attempt.fail(err);
       return;
     }
     const fail = () => attempt.fail(err);
-    // A crash that the probe finds has failed the attempt before.
+    // If the probe detects a crash, the phase change fails the attempt first.
     void this.options.probeNow().then(fail);
     this.options.clock.schedule({delayMs: CRASH_DETECTION_MS, run: fail});
   }
@@ -181,7 +181,7 @@
   return {reason, ran: Executed.NO, detail};
 }
 
-/** An engine that stops at a length which was not reached is not believed. */
+/** Fails an attempt that reports the maximum length before reaching it. */
 function finishAttempt(attempt: Attempt, reason: FinishReason): void {
   const {journal, request} = attempt;
   const isShort = journal.length < request.spec.maxTokens;
--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -1,25 +1,25 @@
-/** One attempt at an answer, running at the engine beside this agent. */
+/** One attempt at a generation, run by the engine of this agent. */
 import type {Clock} from '../core/clock/index.js';
 import type {DriverError, EngineStream} from '../core/edges/index.js';
 import {LogState, TokenLog} from '../core/generation/index.js';
 import type {StartMessage} from '../core/protocol/index.js';
 
-/** A crash of the engine under an attempt. */
+/** An engine crash that ended an attempt. */
 export interface EngineCrash {
   readonly id: string;
-  /** This attempt's request alone can have caused it. */
+  /** Whether the crash is attributed to the request of this attempt. */
   readonly isCause: boolean;
 }
 
 /** An attempt with its journal. */
 export class Attempt {
-  /** The whole answer from position 0 on. */
+  /** Tokens of the complete output, starting at position 0. */
   readonly journal: TokenLog;
   private stream: EngineStream | undefined;
   private crash: EngineCrash | undefined;
   private failureCause: DriverError | undefined;
   private readerCount = 0;
-  /** When the last reader left or the attempt ended. */
+  /** When the attempt was created or its last reader was removed. */
   private unreadSinceMs: number;
   private lastTokenMs: number;
 
@@ -32,12 +32,12 @@
     this.lastTokenMs = clock.now();
   }
 
-  /** Why the attempt broke; undefined while it runs or when it is whole. */
+  /** Why the attempt failed; undefined while it runs or once it finished. */
   get failure(): DriverError | undefined {
     return this.failureCause;
   }
 
-  /** The crash that broke the attempt; undefined for any other end. */
+  /** The crash that ended the attempt; undefined for any other end. */
   get engineCrash(): EngineCrash | undefined {
     return this.crash;
   }
--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -1,4 +1,4 @@
-/** Runs calls to the plain service beside this agent. */
+/** Runs calls to the plain service on the same VM as this agent. */
 import {decideKeyQuery, decideCall, KeyAction} from '../core/booking/index.js';
 import type {Clock} from '../core/clock/index.js';
 import type {
@@ -24,10 +24,10 @@
 import type {KeyRecord, KeyTable} from './key-table.js';
 import type {OutcomeRecorder} from './outcome-recorder.js';
 
-/** Sends an answer to the entry that asked. */
+/** Sends a response to the entry that sent the request. */
 export type Respond = (message: Message) => void;
 
-/** Admits calls, runs them and answers repeats with the first outcome. */
+/** Admits and runs calls; responds to retries with the first outcome. */
 export class CallRunner {
   private running = 0;
 
@@ -38,7 +38,7 @@
       driver: ServiceDriver;
       incarnation: string;
       keys: KeyTable;
-      /** Keeps first outcomes where they outlive this process. */
+      /** Stores first outcomes outside this process, so that they outlive it. */
       recorder: OutcomeRecorder;
     },
   ) {}
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Waits while the call runs, at most for as long as was asked. */
+  /** Waits while the call runs, at most for the time given in the query. */
   private respondWhenSettled(
     query: AskKeyMessage,
     record: KeyRecord,
--- a/src/agent/config-receiver.ts
+++ b/src/agent/config-receiver.ts
@@ -1,4 +1,4 @@
-/** Holds the configuration that entries tell an agent. */
+/** Keeps the configuration that an agent receives from entries. */
 import type {Clock} from '../core/clock/index.js';
 import {ConfigHolder, ExchangeStep} from '../core/config/distribution/index.js';
 import type {ConfigMessage, Message} from '../core/protocol/index.js';
@@ -6,8 +6,8 @@
 import type {AgentBoard} from './agent-board.js';
 
 /**
- * Keeps the highest version for entries that start while the platform is
- * out; its version goes out with every heartbeat.
+ * Keeps the highest version received, for entries that start while the
+ * platform is unavailable. Every heartbeat contains the version number.
  */
 export class ConfigReceiver {
   private readonly holder = new ConfigHolder();
@@ -20,7 +20,7 @@
     return this.options.clock.now() - this.confirmedAtMs;
   }
 
-  /** Takes an entry's word; the answer is for an entry that knows less. */
+  /** Handles a version from an entry; returns a newer one to send back. */
   handleMessage(message: ConfigMessage): Message | undefined {
     const {version, value, ageMs} = message;
     const step = this.holder.resolveStep({version, value});
--- a/src/agent/drain-peers.ts
+++ b/src/agent/drain-peers.ts
@@ -1,13 +1,13 @@
-/** Entries that may still send work to an agent that leaves. */
+/** Entries that may still send work to a draining agent. */
 
-/** One entry's connection. */
+/** Connection of one entry; identified by reference. */
 export type DrainPeer = object;
 
-/** Keeps which connected entries have promised to send no more work. */
+/** Tracks which connected entries have not confirmed the drain yet. */
 export class DrainPeers {
   private readonly pending = new Set<DrainPeer>();
 
-  /** `onLeave` is called when an entry says that the target leaves. */
+  /** `onDrainRequested` is called when an entry reports that the target drains. */
   constructor(private readonly options: {onDrainRequested: () => void}) {}
 
   add(peer: DrainPeer): void {
@@ -18,13 +18,13 @@
     this.pending.delete(peer);
   }
 
-  /** The entry sends no more work. */
+  /** Records that the entry sends no more work. */
   acknowledge(peer: DrainPeer): void {
     this.pending.delete(peer);
     this.options.onDrainRequested();
   }
 
-  /** Entries whose promise is still to come. */
+  /** Number of entries that have not confirmed yet. */
   count(): number {
     return this.pending.size;
   }
--- a/src/agent/engine-monitor.ts
+++ b/src/agent/engine-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches the target beside the agent and writes its phase to the board. */
+/** Monitors the target of the agent and writes its phase to the board. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {Clock, TimerHandle} from '../core/clock/index.js';
@@ -16,19 +16,19 @@
   PROBE_TIMEOUT_MS,
 } from './consts.js';
 
-/** Asks the target how it is. */
+/** Requests a report from the target. */
 export interface TargetProbe {
   probe(options: {timeoutMs: number}): ResultAsync<TargetReport, DriverError>;
 }
 
-/** Probes the target again and again. */
+/** Probes the target periodically. */
 export class EngineMonitor {
   private timer: TimerHandle | undefined;
   private failures = 0;
   private probing = false;
-  /** Probe once more when the running probe has ended. */
+  /** Whether to probe again when the running probe has ended. */
   private probeAgain = false;
-  /** Those who wait until no probe runs. */
+  /** Callbacks of `checkNow` to run when no probe runs. */
   private readonly waiters: Array<() => void> = [];
   private readonly responseTimes = new SilenceLimit();
 
@@ -38,7 +38,7 @@
       clock: Clock;
       probe: TargetProbe;
       logger: Logger;
-      /** When the target last wrote a token, on the clock. */
+      /** Time of the last token from the target; -Infinity if none. */
       lastTokenAtMs: () => number;
     },
   ) {}
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Probes at once, for instance after a stream has broken; resolves when a
-   * probe that began after this has ended.
+   * Probes at once, for instance after a stream was lost; resolves when a probe
+   * that started after this call has ended.
    */
   checkNow(): Promise<void> {
     this.probeAgain = this.probing;
@@ -87,7 +87,7 @@
       });
   }
 
-  /** Probes that were slow before are given more time. */
+  /** The timeout grows if earlier probes were slow. */
   private timeoutMs(): number {
     const allowedMs = this.responseTimes.allowedMs(PROBE_TIMEOUT_MS);
     return Math.min(allowedMs, PROBE_TIMEOUT_MAX_MS);
@@ -120,7 +120,10 @@
     this.setPhase(TargetPhase.UNRESPONSIVE);
   }
 
-  /** Tokens show that the engine lives; a late timer, that we were paused. */
+  /**
+   * A timeout does not count if the engine has just sent a token or if the timer
+   * fired late, which shows that this process was paused.
+   */
   private isInconclusive(expiresAtMs: number): boolean {
     const nowMs = this.options.clock.now();
     const tokenAgeMs = nowMs - this.options.lastTokenAtMs();
@@ -131,7 +134,7 @@
   private setPhase(phase: TargetPhase): void {
     const {board, logger} = this.options;
     if (board.phase.get() === phase) return;
-    logger.info('target phase', {from: board.phase.get(), to: phase});
+    logger.info('target phase changed', {from: board.phase.get(), to: phase});
     board.phase.set(phase);
   }
 }
--- a/src/agent/entry-session.ts
+++ b/src/agent/entry-session.ts
@@ -1,4 +1,4 @@
-/** One entry's connection at an agent. */
+/** The connection of one entry to an agent. */
 import type {Clock, TimerHandle} from '../core/clock/index.js';
 import type {Refusal} from '../core/errors/index.js';
 import {Executed, RefusalReason} from '../core/errors/index.js';
@@ -27,21 +27,21 @@
   HEARTBEAT_BUSY_MAX_MS,
 } from './consts.js';
 
-/** What a session needs of its agent. */
+/** Dependencies of a session. */
 export interface SessionDeps {
   readonly board: AgentBoard;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** Present beside an engine. */
+  /** Defined if the target is an engine. */
   readonly attempts?: AttemptTable;
-  /** Present beside a plain service. */
+  /** Defined if the target is a plain service. */
   readonly calls?: CallRunner;
   countRunning(): number;
   readonly peers: DrainPeers;
   readonly config: ConfigReceiver;
 }
 
-/** Answers one entry's messages and sends it heartbeats. */
+/** Handles the messages of one entry and sends it heartbeats. */
 export class EntrySession implements ConnectionListener {
   private readonly readers = new Map<string, AttemptReader>();
   private readonly unsubscribes: Array<() => void> = [];
@@ -131,7 +131,7 @@
     this.startReader(attempts.start(request), request.resumeFrom.length);
   }
 
-  /** Another entry may follow the same attempt; then it goes on. */
+  /** Closes the reader; cancels the attempt unless another entry reads it. */
   private handleCancel(attemptId: string): void {
     const attempt = this.deps.attempts?.find(attemptId);
     this.readers.get(attemptId)?.close();
@@ -183,11 +183,12 @@
     const isBusy = this.readers.size > 0 || this.pendingCalls > 0;
     const nowMs = this.deps.clock.now();
     const sinceHeartbeatMs = nowMs - this.heartbeatSentAtMs;
-    // Tokens and replies are signs of life too; reports are due less often.
+    // Any message shows a busy entry that the agent is alive, so heartbeats may
+    // be less frequent while other messages are sent.
     const sinceLastSentMs = nowMs - this.connection().sentAtMs;
     const periodMs = isBusy ? HEARTBEAT_BUSY_MS : HEARTBEAT_IDLE_MS;
     const elapsedMs = isBusy ? sinceLastSentMs : sinceHeartbeatMs;
-    // A tick may come a little early against the period it closes.
+    // The margin keeps a timer that fires slightly early from skipping a period.
     const isDue = elapsedMs >= periodMs - HEARTBEAT_BUSY_MS / 2;
     if (!isDue && !(isBusy && sinceHeartbeatMs >= HEARTBEAT_BUSY_MAX_MS))
       return;
--- a/src/agent/key-table.ts
+++ b/src/agent/key-table.ts
@@ -1,8 +1,8 @@
-/** Admits each idempotency key once in the life of this incarnation. */
+/** Admits each idempotency key at most once per agent incarnation. */
 import type {PlainResponse} from '../core/edges/index.js';
 import {KeyPhase} from '../core/protocol/index.js';
 
-/** What the agent knows of a key. */
+/** State of one key. */
 export class KeyRecord {
   private currentPhase = KeyPhase.RUNNING;
   private response: PlainResponse | undefined;
@@ -14,7 +14,7 @@
     return this.currentPhase;
   }
 
-  /** The first outcome; undefined unless DONE. */
+  /** The first outcome; undefined unless the phase is DONE. */
   get outcome(): PlainResponse | undefined {
     return this.response;
   }
@@ -24,17 +24,17 @@
     this.settle(KeyPhase.DONE);
   }
 
-  /** The target may or may not have run the call. */
+  /** Records that the target may or may not have run the call. */
   markUncertain(): void {
     this.settle(KeyPhase.UNCERTAIN);
   }
 
-  /** The call certainly did not run and never will. */
+  /** Records that the call did not run and will never run. */
   markPromisedNever(): void {
     this.settle(KeyPhase.PROMISED_NEVER);
   }
 
-  /** Calls back once the key no longer runs; at once if it does not. */
+  /** Calls `run` once the phase is no longer RUNNING, or at once. */
   whenSettled(run: () => void): void {
     if (this.currentPhase === KeyPhase.RUNNING) {
       this.waiters.push(run);
@@ -68,7 +68,7 @@
     return this.records.get(mapKeyOf(key));
   }
 
-  /** Admits a key that `find` did not know. */
+  /** Admits a key for which `find` returned undefined. */
   admit(key: {
     clientAccount: string;
     key: string;
--- a/src/agent/outcome-recorder.ts
+++ b/src/agent/outcome-recorder.ts
@@ -1,4 +1,4 @@
-/** Records first outcomes in the platform, in groups. */
+/** Writes first outcomes to the platform, in groups. */
 import type {RecordedOutcome} from '../core/booking/index.js';
 import {claimNameOf, outcomePrefixOf} from '../core/booking/index.js';
 import type {Clock} from '../core/clock/index.js';
@@ -22,7 +22,7 @@
 
 interface PendingOutcome {
   readonly outcome: RecordedOutcome;
-  /** Start of the name of its group. */
+  /** Prefix of the name of its group. */
   readonly prefix: string;
   readonly bytes: number;
 }
@@ -33,9 +33,9 @@
 }
 
 /**
- * Holds outcomes for a moment and writes those of one prefix as one object.
- * A group's name is never used twice, so a write whose answer was lost is
- * simply made again.
+ * Queues outcomes briefly and writes those with the same prefix as one object.
+ * Each group has a unique name, so a write can be retried if its response was
+ * lost.
  */
 export class OutcomeRecorder {
   private pending: PendingOutcome[] = [];
@@ -53,7 +53,7 @@
     },
   ) {}
 
-  /** Whether nothing waits, or what waits has waited for too long. */
+  /** Whether the queue is empty or has made no progress for too long. */
   isIdle(): boolean {
     const hasNoWork = this.pending.length === 0 && !this.isWriting;
     const sinceLastChangeMs = this.options.clock.now() - this.lastChangeMs;
@@ -134,7 +134,10 @@
   }
 }
 
-/** EXISTS is the answer that was lost; INVALID stays so. */
+/**
+ * EXISTS means that an earlier write took effect but its response was lost;
+ * INVALID is permanent.
+ */
 function isRetryable({kind}: StoreError): boolean {
   return kind !== StoreErrorKind.EXISTS && kind !== StoreErrorKind.INVALID;
 }
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -1,4 +1,4 @@
-/** Attempts whose streams broke learn whether their engine crashed. */
+/** Attributes engine crashes to attempts whose streams were lost. */
 import {errAsync, ResultAsync} from 'neverthrow';
 import {beforeEach, describe, expect, it} from 'vitest';
 
@@ -29,21 +29,26 @@
 
 const CASES = [
   {
-    name: 'at once',
+    name: 'detects a crash with a fast probe',
     probeMs: 1,
     probeError: DriverErrorKind.NOT_SENT,
     isCrash: true,
   },
   {
-    name: 'after a probe that is slow beside load',
+    name: 'detects a crash with a probe that is slow under load',
     probeMs: 240,
     probeError: DriverErrorKind.NOT_SENT,
     isCrash: true,
   },
-  {name: 'never: it lives', probeMs: 1, probeError: undefined, isCrash: false},
+  {
+    name: 'reports no crash if the engine responds',
+    probeMs: 1,
+    probeError: undefined,
+    isCrash: false,
+  },
 ];
 
-describe('an attempt whose stream broke', () => {
+describe('an attempt whose stream was lost', () => {
   let clock: ManualClock;
   let probes: Array<(error: DriverErrorKind | undefined) => void>;
   let sinks: EngineSink[];
@@ -97,11 +102,11 @@
     kind: DriverErrorKind | undefined,
   ): Promise<void> {
     for (const complete of probes.splice(0)) complete(kind);
-    // Lets what waits for the probe go on.
+    // Lets pending promise callbacks run.
     for (let i = 0; i < 20; i++) await Promise.resolve();
   }
 
-  it.each(CASES)('learns of the crash $name', async (row) => {
+  it.each(CASES)('$name', async (row) => {
     const request = {
       attemptId: 'a',
       requestId: 'r',
