--- a/src/daemon/consts.ts
+++ b/src/daemon/consts.ts
@@ -1,8 +1,8 @@
-/** Exit status after settings that cannot be used. */
+/** Exit status if the settings are invalid. */
 export const EXIT_BAD_SETTINGS = 2;
 
-/** Exit status after an address that cannot be listened on. */
+/** Exit status if the process cannot listen on an address. */
 export const EXIT_CANNOT_LISTEN = 1;
 
-/** Time for the last answers to leave before the process exits. */
+/** Time to flush the last responses before the process exits, in ms. */
 export const EXIT_FLUSH_MS = 100;
--- a/src/daemon/create-store.ts
+++ b/src/daemon/create-store.ts
@@ -3,7 +3,7 @@
 import type {ObjectStore} from '../core/edges/index.js';
 import type {Metrics} from '../core/metrics/index.js';
 
-/** Connects to the platform's object API, with counters in front of it. */
+/** Creates a client of the platform's object API that counts its calls. */
 export function createStore(options: {
   baseUrl: string;
   metrics: Metrics;
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** The daemon of an entry on the platform, which calls its targets directly. */
-// Signals may come while the other modules are loaded.
+/** Daemon of an entry that calls its targets directly. */
+// Imported first, as signals may arrive while the other modules are loaded.
 import {removeStartupHandlers} from './install-startup-signals.js';
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -31,10 +31,10 @@
 const STDOUT = 1;
 const MAX_PORT = 65_535;
 
-/** Metrics are served here where the command line names no port. */
+/** Port of the metrics if the command line sets none. */
 const DEFAULT_METRICS_PORT = 9_464;
 
-/** Time for the last log lines to be written, in milliseconds. */
+/** Time to write the last log lines before the exit, in milliseconds. */
 const LOG_FLUSH_MS = 20;
 
 const METRICS_PATH = '/metrics';
@@ -119,7 +119,7 @@
     logger,
     listener: server,
     graceMs: settings.shutdownGraceMs,
-    // The last log lines are written in the background.
+    // The last log lines are written asynchronously.
     onStopped: () => setTimeout(() => process.exit(0), LOG_FLUSH_MS),
   });
   process.on('SIGHUP', () => {
--- a/src/daemon/install-startup-signals.ts
+++ b/src/daemon/install-startup-signals.ts
@@ -1,5 +1,5 @@
-/** Guards the start of this process; to be imported before anything else. */
+/** Handles signals during startup; must be imported before other modules. */
 import {handleStartupSignals} from './startup-signals.js';
 
-/** Lifts the guard once the process handles signals itself. */
+/** Removes the handlers; call it once the process handles signals itself. */
 export const removeStartupHandlers = handleStartupSignals(process);
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon `plantainrilld`: one process, in the role its settings name. */
+/** The daemon `plantainrilld`: runs one process in the role of its settings. */
 import {Command} from 'commander';
 
 import {loadDaemonSettings, ProcessRole} from '../core/settings/index.js';
--- a/src/daemon/process-lifecycle.ts
+++ b/src/daemon/process-lifecycle.ts
@@ -1,4 +1,4 @@
-/** What both roles share: listening, signals and the end of the process. */
+/** Startup and shutdown shared by both roles: listening, signals and exit. */
 import {createOperatorsApp} from '../adapters/http-operators.js';
 import type {HttpListener} from '../adapters/http-server.js';
 import {listenHttp} from '../adapters/http-server.js';
@@ -7,7 +7,7 @@
 import type {DaemonSettings} from '../core/settings/index.js';
 import {EXIT_CANNOT_LISTEN, EXIT_FLUSH_MS} from './consts.js';
 
-/** Ports that a process listens on, told on standard output. */
+/** Ports that a process listens on, as printed to standard output. */
 export interface ReadyLine {
   readonly vm: string;
   readonly operatorsPort: number;
@@ -15,7 +15,7 @@
   readonly callersPort?: number;
 }
 
-/** Opens the operators' edge and lets signals begin a drain. */
+/** Starts the operators' server; SIGTERM and SIGINT start a drain. */
 export async function startOperatorsServer(options: {
   handler: OperatorHandler;
   settings: DaemonSettings;
@@ -27,14 +27,14 @@
   return listenHttp({app, ...settings.operators});
 }
 
-/** Tells whoever started the process that it listens. */
+/** Prints a line of JSON once the process listens, for its supervisor. */
 export function printReadyLine(line: ReadyLine): void {
   process.stdout.write(`${JSON.stringify({ready: true, ...line})}\n`);
 }
 
 /**
- * Ends the process after the last answers have left. Callers that came in
- * the last moment are waited for.
+ * Ends the process once the last responses are sent, including those to
+ * requests that arrived shortly before the listener was closed.
  */
 export function exitAfterFlush(options: {
   stop: () => void;
@@ -53,7 +53,7 @@
   setTimeout(exitIfIdle, EXIT_FLUSH_MS);
 }
 
-/** Ends the process because it cannot listen. */
+/** Logs that the process cannot listen, and ends it. */
 export function exitCannotListen(logger: Logger, cause: unknown): never {
   logger.error('cannot listen', {detail: String(cause)});
   process.exit(EXIT_CANNOT_LISTEN);
--- a/src/daemon/read-with-retry.ts
+++ b/src/daemon/read-with-retry.ts
@@ -1,18 +1,20 @@
-/** Reads settings that may be half written when the process starts. */
+/** Reads settings that may still be partly written at startup. */
 import type {Result} from 'neverthrow';
 
 import type {Clock} from '../core/clock/index.js';
 
-/** Time in which a file may be written to its end, in milliseconds. */
+/** Longest time to wait for valid settings, in milliseconds. */
 export const READ_TIMEOUT_MS = 6_000;
 
+/** Wait before the settings are read again, in milliseconds. */
 const RETRY_INTERVAL_MS = 200;
 
 /**
- * Reads until the settings are sound, or still wrong after some seconds.
+ * Reads the settings until they are valid; returns the last error if they are
+ * still invalid after READ_TIMEOUT_MS.
  *
  * @example
- * const settings = await readPatiently({read, clock});
+ * const settings = await readWithRetry({read, clock});
  */
 export async function readWithRetry<T>(options: {
   read: () => Result<T, string>;
--- a/src/daemon/run-agent.ts
+++ b/src/daemon/run-agent.ts
@@ -1,4 +1,4 @@
-/** Composes an agent from its settings. */
+/** Creates and starts an agent from its settings. */
 import {HttpEngineDriver, HttpServiceDriver} from '../adapters/index.js';
 import type {TargetDrivers} from '../agent/agent-process.js';
 import {AgentProcess} from '../agent/agent-process.js';
--- a/src/daemon/run-entry.ts
+++ b/src/daemon/run-entry.ts
@@ -1,4 +1,4 @@
-/** Composes an entry from its settings. */
+/** Creates and starts an entry from its settings. */
 import {createCallersApp} from '../adapters/http-callers.js';
 import type {HttpListener} from '../adapters/http-server.js';
 import {listenHttp} from '../adapters/http-server.js';
--- a/src/daemon/startup-signals.ts
+++ b/src/daemon/startup-signals.ts
@@ -1,6 +1,6 @@
-/** What signals do to a process that is still starting. */
+/** Signal handlers for a process that is still starting. */
 
-/** The part of `process` that the guard uses. */
+/** The part of `process` that the handlers use. */
 export interface SignalSource {
   on(signal: NodeJS.Signals, run: () => void): unknown;
   off(signal: NodeJS.Signals, run: () => void): unknown;
@@ -8,12 +8,13 @@
 }
 
 /**
- * Keeps signals from ending a process that is still starting: it has nothing
- * to finish, so it stops as planned on SIGTERM, and it has yet to read its
- * settings, so SIGHUP changes nothing. Returns how to lift the guard.
+ * Replaces the default signal actions, which would end a starting process with
+ * a failure. SIGTERM exits with status 0, as no work has to be finished; SIGHUP
+ * is ignored, as the settings are yet to be read. Returns a function that
+ * removes the handlers.
  *
  * @example
- * const lift = guardStart(process);
+ * const removeHandlers = handleStartupSignals(process);
  */
 export function handleStartupSignals(source: SignalSource): () => void {
   const stop = () => source.exit(0);
--- a/test/daemon/read-with-retry.test.ts
+++ b/test/daemon/read-with-retry.test.ts
@@ -1,4 +1,4 @@
-/** Settings that are being written while a process starts. */
+/** Settings that are written while a process starts. */
 import {err, ok} from 'neverthrow';
 import {describe, expect, it} from 'vitest';
 
@@ -10,18 +10,18 @@
 
 const STEP_MS = 50;
 
-describe('readPatiently', () => {
+describe('readWithRetry', () => {
   async function readUntilValid(validAtMs: number) {
     const clock = new ManualClock();
     const read = () =>
-      clock.now() >= validAtMs ? ok('settings') : err('half a file');
+      clock.now() >= validAtMs ? ok('settings') : err('incomplete file');
     let isDone = false;
     const settings = readWithRetry({read, clock}).finally(() => {
       isDone = true;
     });
     while (!isDone) {
       clock.advance(STEP_MS);
-      // Lets what the timers began go on.
+      // Lets pending promise callbacks run.
       await Promise.resolve();
       await new Promise(setImmediate);
     }
@@ -29,9 +29,13 @@
   }
 
   it.each([
-    {name: 'at once', validAtMs: 0, isOk: true},
-    {name: 'once they are whole', validAtMs: 2_000, isOk: true},
-    {name: 'in vain', validAtMs: READ_TIMEOUT_MS * 10, isOk: false},
+    {name: 'valid settings at once', validAtMs: 0, isOk: true},
+    {name: 'settings that become valid', validAtMs: 2_000, isOk: true},
+    {
+      name: 'settings that stay invalid until the timeout',
+      validAtMs: READ_TIMEOUT_MS * 10,
+      isOk: false,
+    },
   ])('reads $name', async ({validAtMs, isOk}) => {
     const {settings, tookMs} = await readUntilValid(validAtMs);
     expect(settings.isOk()).toBe(isOk);
--- a/test/daemon/startup-signals.test.ts
+++ b/test/daemon/startup-signals.test.ts
@@ -1,4 +1,4 @@
-/** Signals that reach a process before it is up. */
+/** Signals that reach a process while it is starting. */
 import {EventEmitter} from 'node:events';
 
 import {describe, expect, it} from 'vitest';
@@ -13,19 +13,19 @@
   }
 }
 
-describe('guardStart', () => {
+describe('handleStartupSignals', () => {
   it.each([
-    {signal: 'SIGTERM', exits: [0], does: 'ends as planned'},
-    {signal: 'SIGHUP', exits: [], does: 'goes on'},
-  ])('has a starting process that $does on $signal', ({signal, exits}) => {
+    {signal: 'SIGTERM', exits: [0], does: 'exits with status 0'},
+    {signal: 'SIGHUP', exits: [], does: 'keeps running'},
+  ])('$does on $signal', ({signal, exits}) => {
     const source = new FakeProcess();
     handleStartupSignals(source);
-    // Without a listener the signal would end the process with a failure.
+    // Without a listener, the signal would end the process with a failure.
     expect(source.emit(signal)).toBe(true);
     expect(source.exits).toEqual(exits);
   });
 
-  it('leaves the signals to others once it is lifted', () => {
+  it('removes its handlers', () => {
     const source = new FakeProcess();
     const removeHandlers = handleStartupSignals(source);
     removeHandlers();
