--- a/src/adapters/callers/completion-codec.ts
+++ b/src/adapters/callers/completion-codec.ts
@@ -1,4 +1,4 @@
-/** Bodies of completion requests, checked and turned into specs. */
+/** Validates bodies of completion requests and converts them to specs. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {GetType} from 'purify-ts';
@@ -52,7 +52,7 @@
 
 type SharedBody = Omit<GetType<typeof COMPLETION_BODY>, 'prompt'>;
 
-/** What a completion request asks for. */
+/** A decoded completion request. */
 export interface CompletionRequest {
   readonly spec: GenerationSpec;
   readonly stream: boolean;
@@ -60,7 +60,7 @@
 }
 
 /**
- * Reads the body of `POST /v1/completions`.
+ * Decodes the body of `POST /v1/completions`.
  *
  * @example
  * decodeCompletion({model: 'quote-writer', prompt: 'Pallets to Łódź'});
@@ -77,7 +77,7 @@
 }
 
 /**
- * Reads the body of `POST /v1/chat/completions`.
+ * Decodes the body of `POST /v1/chat/completions`.
  *
  * @example
  * decodeChat({model: 'm', messages: [{role: 'user', content: 'hoops?'}]});
@@ -95,7 +95,7 @@
   });
 }
 
-/** Renders a conversation as the prompt that engines take. */
+/** Renders a conversation as a prompt for the engine. */
 export function renderChat(
   messages: ReadonlyArray<GetType<typeof CHAT_MESSAGE>>,
 ): string {
--- a/src/adapters/callers/completion-response.ts
+++ b/src/adapters/callers/completion-response.ts
@@ -1,4 +1,4 @@
-/** Turns an answer into server-sent events or into one document. */
+/** Sends the output of a generation as server-sent events or as a document. */
 import type {Context} from 'hono';
 
 import type {OutputPart, OutputReader} from '../../core/edges/index.js';
@@ -13,7 +13,7 @@
   readonly data: string;
 }
 
-/** How an answer is written. */
+/** Output to send, and its format. */
 export interface CompletionResponseOptions {
   readonly ctx: Context;
   readonly reader: OutputReader;
@@ -21,7 +21,10 @@
   readonly includeUsage: boolean;
 }
 
-/** Answers with events, one for each part; a refusal at once is a problem. */
+/**
+ * Sends one event per part of the output; a problem document if the first part
+ * is a refusal.
+ */
 export async function streamCompletion(
   options: CompletionResponseOptions,
 ): Promise<Response> {
@@ -48,7 +51,7 @@
   return out.end();
 }
 
-/** Answers with one document once the answer is whole. */
+/** Sends one document once the output is complete. */
 export async function sendCompletion(
   options: CompletionResponseOptions,
 ): Promise<Response> {
--- a/src/adapters/callers/completion-writer.ts
+++ b/src/adapters/callers/completion-writer.ts
@@ -1,22 +1,22 @@
-/** Answers in the shape of OpenAI completions, as events or whole. */
+/** Formats output as OpenAI completions, as events or as one document. */
 import type {FinishReason} from '../../core/edges/index.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** Tokens that an answer took. */
+/** Number of tokens in a completion. */
 export interface Usage {
   readonly completionTokens: number;
 }
 
-/** Writes one answer in the shape of its endpoint. */
+/** Formats one completion as its endpoint returns it. */
 export interface CompletionWriter {
-  /** A piece of text, as the data of one event. */
+  /** A part of the text, as the data of one event. */
   delta(text: string): unknown;
   /** The end, as the data of one event. */
   end(reason: FinishReason): unknown;
   /** The usage, as the data of one event. */
   usage(usage: Usage): unknown;
-  /** The whole answer. */
+  /** The complete document. */
   completion(options: {
     text: string;
     reason: FinishReason;
@@ -24,14 +24,14 @@
   }): unknown;
 }
 
-/** What every object of one answer carries. */
+/** Fields of every object of one completion. */
 export interface CompletionMetadata {
   readonly requestId: string;
   readonly model: string;
   readonly createdMs: number;
 }
 
-/** Shape of `/v1/completions`. */
+/** Format of `/v1/completions`. */
 export class TextCompletionWriter implements CompletionWriter {
   constructor(private readonly metadata: CompletionMetadata) {}
 
@@ -66,7 +66,7 @@
   }
 }
 
-/** Shape of `/v1/chat/completions`. */
+/** Format of `/v1/chat/completions`. */
 export class ChatCompletionWriter implements CompletionWriter {
   private hasStarted = false;
 
--- a/src/adapters/callers/event-stream-writer.ts
+++ b/src/adapters/callers/event-stream-writer.ts
@@ -1,4 +1,4 @@
-/** Writes server-sent events straight to the response of the HTTP server. */
+/** Writes server-sent events directly to the response of the HTTP server. */
 import {once} from 'node:events';
 import type {ServerResponse} from 'node:http';
 
@@ -14,8 +14,8 @@
 };
 
 /**
- * One event stream. Streams of the web platform would cost more per event
- * than all else that an entry does for a token.
+ * One event stream. Web streams would cost more per event than all other work
+ * of an entry for a token.
  */
 export class EventStreamWriter {
   private readonly res: ServerResponse;
@@ -26,12 +26,12 @@
     this.res.writeHead(HTTP_OK, HEADERS);
   }
 
-  /** Whether the caller is gone or the stream has ended. */
+  /** Whether the caller has disconnected or the stream has ended. */
   get isClosed(): boolean {
     return this.res.destroyed || this.res.writableEnded;
   }
 
-  /** Writes; resolves once the caller has taken enough for the next part. */
+  /** Writes text; resolves once the next part can be written. */
   async write(text: string): Promise<void> {
     if (this.isClosed || this.res.write(text)) return;
     const closeController = new AbortController();
@@ -39,13 +39,13 @@
     this.res.once('close', abort);
     await once(this.res, 'drain', {signal: closeController.signal}).catch(
       () => {
-        // The caller is gone; `isClosed` tells.
+        // The caller has disconnected, and `isClosed` is true.
       },
     );
     this.res.off('close', abort);
   }
 
-  /** Ends the stream and returns what tells the server that it was sent. */
+  /** Ends the stream; returns the marker of a response that is already sent. */
   end(): Response {
     if (!this.isClosed) this.res.end();
     return RESPONSE_ALREADY_SENT;
--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -7,7 +7,7 @@
 /** Content type of a problem document. */
 export const PROBLEM_CONTENT_TYPE = 'application/problem+json';
 
-/** A refusal as callers read it. */
+/** A refusal in the format that callers receive. */
 export interface ProblemDocument {
   readonly type: string;
   readonly title: string;
@@ -17,7 +17,7 @@
   readonly ran: string;
   readonly hint: string;
   readonly retryAfterMs?: number;
-  /** The same in the shape that callers' model libraries read. */
+  /** The same refusal in the format of OpenAI client libraries. */
   readonly error: {
     readonly message: string;
     readonly type: string;
@@ -26,10 +26,11 @@
 }
 
 /**
- * Writes a refusal as a problem document.
+ * Converts a refusal to a problem document.
  *
  * @example
- * createProblem({reason: RefusalReason.OVERLOADED, ran: Ran.NO, detail: ''});
+ * const reason = RefusalReason.OVERLOADED;
+ * createProblem({reason, ran: Executed.NO, detail: ''});
  */
 export function createProblem(refusal: Refusal): ProblemDocument {
   const {data, status} = REFUSALS[refusal.reason];
@@ -47,7 +48,7 @@
   };
 }
 
-/** Answers with a refusal; `Retry-After` is in whole seconds. */
+/** Creates the response for a refusal; `Retry-After` is in whole seconds. */
 export function createProblemResponse(refusal: Refusal): Response {
   const problem = createProblem(refusal);
   const headers = new Headers({'content-type': PROBLEM_CONTENT_TYPE});
--- a/src/adapters/callers/read-body.ts
+++ b/src/adapters/callers/read-body.ts
@@ -1,4 +1,4 @@
-/** Reads request bodies within the limits of size and time. */
+/** Reads request bodies with limits on their size and time. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
@@ -7,7 +7,7 @@
 import {Executed, RefusalReason} from '../../core/errors/index.js';
 
 /**
- * Reads a whole body, or refuses it as too large or too slow.
+ * Reads a complete body, or refuses it as too large or too slow.
  *
  * @example
  * const body = await readBody({req, limits});
--- a/src/adapters/callers/service-path.ts
+++ b/src/adapters/callers/service-path.ts
@@ -1,4 +1,4 @@
-/** Request targets as they were sent, before any URL parser changes them. */
+/** Request targets as sent by the caller, not normalized by a URL parser. */
 import type {IncomingMessage} from 'node:http';
 
 import type {Context} from 'hono';
@@ -7,14 +7,14 @@
 const SERVICE_PREFIX = /^\/services\/[^/?#]*/;
 const DOT_SEGMENTS: ReadonlySet<string> = new Set(['.', '..']);
 
-/** Bindings that the HTTP server gives to an application. */
+/** Bindings that the HTTP server passes to the application. */
 interface ServerBindings {
   readonly incoming?: IncomingMessage;
 }
 
 /**
  * Returns path and query as they were sent. A URL parser would resolve dot
- * segments first, and so turn a path of one service into one of another.
+ * segments first, which can change a path of one service to one of another.
  */
 export function readRequestTarget(ctx: Context): string {
   const bindings = ctx.env as ServerBindings | undefined;
@@ -23,11 +23,11 @@
 }
 
 /**
- * Says whether a target stays below its root whoever decodes it: it has no
- * dot segments, also no encoded ones, no backslashes and no broken escapes.
+ * Whether a request target stays below its root with any decoder: it has no
+ * plain or encoded dot segments or backslashes, and no malformed escapes.
  *
  * @example
- * isPlainTarget('/services/orders/%2e%2e/stock'); // false
+ * isSafeRequestTarget('/services/orders/%2e%2e/stock'); // false
  */
 export function isSafeRequestTarget(target: string): boolean {
   const [path = ''] = target.split(/[?#]/, 1);
@@ -38,22 +38,23 @@
 }
 
 /**
- * Cuts `/services/<name>` off a target.
+ * Removes `/services/<name>` from the start of a request target.
  *
  * @example
- * cutServicePrefix('/services/stock/items/7?unit=bag'); // '/items/7?unit=bag'
+ * // '/items/7?unit=bag'
+ * stripServicePrefix('/services/stock/items/7?unit=bag');
  */
 export function stripServicePrefix(target: string): string {
   return target.replace(SERVICE_PREFIX, '');
 }
 
-/** Some servers cut off what follows a semicolon in a segment. */
+/** Some servers ignore the part of a segment after a semicolon. */
 function isDotSegment(segment: string): boolean {
   const [name = ''] = segment.split(';', 1);
   return DOT_SEGMENTS.has(name);
 }
 
-/** Decodes until nothing changes, as some servers decode twice. */
+/** Decodes until the text no longer changes, as some servers decode twice. */
 function decodeFully(text: string): string {
   const decoded = decodeOnce(text);
   const isUnchanged = decoded === undefined || decoded === text;
--- a/src/adapters/counted-store.ts
+++ b/src/adapters/counted-store.ts
@@ -1,4 +1,4 @@
-/** Counts the calls to an object store, and those that failed. */
+/** Counts calls to an object store and their errors. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {
@@ -11,7 +11,7 @@
 import type {Metrics} from '../core/metrics/index.js';
 import {CounterName} from '../core/metrics/index.js';
 
-/** Kinds of calls, as the platform counts them. */
+/** Kinds of calls; the labels of the counters. */
 export enum StoreVerb {
   CREATE = 'create',
   UPDATE = 'update',
@@ -22,7 +22,7 @@
 }
 
 /**
- * An object store with counters in front of it.
+ * Wraps an object store and counts its calls.
  *
  * @example
  * new CountedStore({store: new HttpObjectStore({baseUrl}), metrics});
--- a/src/adapters/driver-errors.ts
+++ b/src/adapters/driver-errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the driver layer, as the HTTP drivers meet them. */
+/** Errors of the driver layer that HTTP drivers return. */
 import type {DriverError} from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
 import {Layer} from '../core/errors/types.js';
@@ -13,7 +13,7 @@
 };
 
 /**
- * Builds an error of the driver layer.
+ * Creates an error of the driver layer.
  *
  * @example
  * err(driverError(DriverErrorKind.REFUSED, 'status 503'));
@@ -26,7 +26,7 @@
 }
 
 /**
- * Turns a failed HTTP call into an error of the driver layer.
+ * Converts a failed HTTP call to an error of the driver layer.
  *
  * @example
  * callHttp(options).mapErr(toDriverError);
--- a/src/adapters/driver-probe.ts
+++ b/src/adapters/driver-probe.ts
@@ -1,4 +1,4 @@
-/** Asks a target for its report on itself. */
+/** Requests the status report of a target. */
 import type {Result, ResultAsync} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {Codec} from 'purify-ts';
@@ -33,7 +33,7 @@
 }
 
 /**
- * Turns an error status into a REFUSED error.
+ * Converts a response with an error status to a REFUSED error.
  *
  * @example
  * callHttp(options).mapErr(toDriverError).andThen(checkStatus);
--- a/src/adapters/engine-http-stream.ts
+++ b/src/adapters/engine-http-stream.ts
@@ -1,4 +1,4 @@
-/** One generation as a stream of server-sent events. */
+/** A generation that an engine sends as server-sent events. */
 import type {EventSourceMessage} from 'eventsource-parser';
 import {createParser} from 'eventsource-parser';
 import {
@@ -42,17 +42,17 @@
   ),
 });
 
-/** What a stream needs. */
+/** Request and sink of a stream. */
 export interface EngineHttpStreamOptions {
   readonly dispatcher: Dispatcher;
   readonly url: string;
   readonly body: string;
-  /** Position of the first token that the engine writes. */
+  /** Position in the output of the first token that the engine sends. */
   readonly position: number;
   readonly sink: EngineSink;
 }
 
-/** Reads one answer and reports it to its sink. */
+/** Reads the output of one generation and passes it to its sink. */
 export class EngineHttpStream implements EngineStream {
   private readonly abort = new AbortController();
   private readonly parser = createParser({
@@ -121,7 +121,7 @@
   }
 
   private finish(reason: FinishReason): void {
-    // The sink may have cancelled the stream when it took the last tokens.
+    // The sink may have cancelled the stream while it handled the last tokens.
     if (this.isClosed) return;
     this.cancel();
     this.options.sink.onFinish(reason);
@@ -142,7 +142,7 @@
   }
 }
 
-/** A chunk's text is complete with the last of its tokens. */
+/** The last token of a chunk gets its text, as it completes the text. */
 function toTokens(ids: readonly number[], text: string): Token[] {
   const last = ids.length - 1;
   return ids.map((id, index) => ({id, text: index === last ? text : ''}));
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -1,4 +1,4 @@
-/** One HTTP call with a time limit, whose failures are values. */
+/** HTTP calls with a timeout, which return failures as values. */
 import {ResultAsync} from 'neverthrow';
 import type {Dispatcher} from 'undici';
 import {Agent, request} from 'undici';
@@ -8,10 +8,10 @@
 /** Time to open a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1_000;
 
-/** First status that says that a call failed. */
+/** Lowest status of an error response. */
 export const FIRST_ERROR_STATUS = 400;
 
-/** Error codes of connections that were never open. */
+/** Error codes of requests that were not sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -27,32 +27,32 @@
   'UND_ERR_BODY_TIMEOUT',
 ]);
 
-/** Why no whole answer came. */
+/** Why no complete response was received. */
 export enum HttpFailureKind {
-  /** The request certainly never reached the server. */
+  /** The request never reached the server. */
   NOT_SENT = 'not_sent',
-  /** No whole answer within the time allowed. */
+  /** No complete response within the time allowed. */
   TIMEOUT = 'timeout',
   /** The connection broke. */
   BROKEN = 'broken',
-  /** The answer came, with a body over the bound. */
+  /** The body of the response exceeds the limit. */
   TOO_LARGE = 'too_large',
 }
 
-/** A call without a whole answer. */
+/** A call without a complete response. */
 export interface HttpFailure {
   readonly kind: HttpFailureKind;
   readonly detail: string;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
 }
 
-/** What to call. */
+/** Request and limits of a call. */
 export interface HttpCallOptions {
   readonly dispatcher: Dispatcher;
   readonly url: string;
@@ -60,16 +60,16 @@
   readonly headers: readonly HeaderField[];
   readonly body?: Uint8Array | string;
   readonly timeoutMs: number;
-  /** Bound on the answer's body in bytes; none where it is left out. */
+  /** Largest body of a response in bytes; unlimited by default. */
   readonly maxBodyBytes?: number;
 }
 
-/** Thrown where an answer is over its bound; becomes a TOO_LARGE failure. */
+/** Thrown if a body exceeds the limit; becomes a TOO_LARGE failure. */
 class BodyTooLargeError extends Error {}
 
 /**
- * Builds a connection pool without a bound on connections, whose answers may
- * take any time.
+ * Creates a connection pool without limits on the number of connections and on
+ * the time of a response.
  *
  * @example
  * const dispatcher = createPool({keepsAlive: true});
@@ -82,16 +82,16 @@
     connect: {timeout: options.connectTimeoutMs ?? CONNECT_TIMEOUT_MS},
     headersTimeout: 0,
     bodyTimeout: 0,
-    // Without pipelining undici opens a new connection for each call.
+    // With pipelining 0, undici opens a new connection for each call.
     pipelining: options.keepsAlive ? 1 : 0,
   });
 }
 
 /**
- * Makes a call and reads its whole answer.
+ * Sends a request and reads the complete response.
  *
  * @example
- * const answer = await callHttp({dispatcher, url, method: 'GET', ...rest});
+ * const res = await callHttp({dispatcher, url, method: 'GET', ...rest});
  */
 export function callHttp(
   options: HttpCallOptions,
@@ -100,7 +100,7 @@
 }
 
 /**
- * Classifies what undici threw.
+ * Converts an error thrown by undici to a failure.
  *
  * @example
  * if (toHttpFailure(e).kind === HttpFailureKind.NOT_SENT) retry();
@@ -111,10 +111,10 @@
 }
 
 /**
- * Parses JSON; undefined where it is malformed.
+ * Parses JSON; returns undefined if it is malformed.
  *
  * @example
- * codec.decode(parseJson(answer.body));
+ * codec.decode(parseJson(res.body));
  */
 export function parseJson(body: Uint8Array | string): unknown {
   const text = typeof body === 'string' ? body : Buffer.from(body).toString();
@@ -126,8 +126,8 @@
 }
 
 /**
- * Decodes a body as UTF-8 while it arrives. The body's own `setEncoding` does
- * not reach its iterator.
+ * Decodes a body as UTF-8 while it arrives. `setEncoding` of the body has no
+ * effect on its iterator.
  *
  * @example
  * for await (const text of textOf(res.body)) parser.feed(text);
@@ -141,7 +141,7 @@
 
 async function sendRequest(options: HttpCallOptions): Promise<HttpResponse> {
   const {dispatcher, url, method, body, timeoutMs} = options;
-  // A signal's time is whole milliseconds; a fraction would throw.
+  // AbortSignal.timeout throws if the time is not an integer.
   const signal = AbortSignal.timeout(Math.ceil(timeoutMs));
   const headers = options.headers.flatMap(({name, value}) => [name, value]);
   const settings = {dispatcher, method, headers, body, signal};
@@ -163,7 +163,7 @@
   for await (const chunk of body as AsyncIterable<Uint8Array>) {
     size += chunk.length;
     if (size > maxBytes) {
-      // Leaving the loop destroys the body and its connection.
+      // Exiting the loop destroys the body and its connection.
       throw new BodyTooLargeError(`the answer is over ${maxBytes} bytes`);
     }
     chunks.push(chunk);
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -1,4 +1,4 @@
-/** The callers' edge: OpenAI-style completions and plain services. */
+/** HTTP API for callers: OpenAI-style completions and plain services. */
 import type {Context} from 'hono';
 import {Hono} from 'hono';
 import {createMiddleware} from 'hono/factory';
@@ -37,7 +37,7 @@
 const BEARER_PREFIX = 'Bearer ';
 const MAX_DEADLINE_MS = 24 * 60 * 60 * 1_000;
 
-/** Headers that stay on one hop or that the system itself uses. */
+/** Headers that are not forwarded: hop-by-hop ones and the system's own. */
 const DROPPED_HEADERS = new Set([
   'authorization',
   'connection',
@@ -53,7 +53,7 @@
   DEADLINE_HEADER,
 ]);
 
-/** Statuses whose answers have no body. */
+/** Statuses of responses without a body. */
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 205, 304]);
 
 interface Endpoint {
@@ -94,7 +94,7 @@
   return app;
 }
 
-/** Refuses targets that could leave the root of their service. */
+/** Refuses request targets that could resolve outside their service. */
 function checkRequestTarget(handler: CallerHandler) {
   return createMiddleware(async (ctx, next) => {
     if (isSafeRequestTarget(readRequestTarget(ctx))) return next();
@@ -104,18 +104,17 @@
 }
 
 /**
- * Checks the key and the deadline before the body is read, so that a stranger
- * makes the entry hold nothing and learns nothing of its limits.
+ * Checks the key and the deadline before the body is read, so that callers
+ * without a valid key can neither use memory nor probe the limits of the entry.
  */
 function checkHeaders(handler: CallerHandler) {
   return createMiddleware(async (ctx, next) => {
-    const authenticated = handler.authenticate({
+    const auth = handler.authenticate({
       bearer: readBearer(ctx),
       headers: forwardedHeaders(ctx),
       idempotencyKey: ctx.req.header(IDEMPOTENCY_KEY_HEADER) ?? '',
     });
-    if (authenticated.isErr())
-      return createProblemResponse(authenticated.error);
+    if (auth.isErr()) return createProblemResponse(auth.error);
     if (Number.isNaN(readDeadline(ctx))) return refuseDeadline(handler);
     return next();
   });
@@ -199,7 +198,7 @@
     : '';
 }
 
-/** The deadline header's value; NaN where it is malformed. */
+/** Returns the value of the deadline header; NaN if it is malformed. */
 function readDeadline(ctx: Context): number | undefined {
   const text = ctx.req.header(DEADLINE_HEADER);
   if (text === undefined) return undefined;
@@ -213,7 +212,7 @@
   return refuse(handler, RefusalReason.BAD_REQUEST, detail);
 }
 
-/** An answer of a service that HTTP cannot carry on. */
+/** Refusal for a response of a service that cannot be forwarded as HTTP. */
 function invalidResponse(err: Error): Refusal {
   const detail = `the answer cannot be passed on: ${err.message}`;
   return {reason: RefusalReason.TARGET_FAILED, ran: Executed.UNKNOWN, detail};
--- a/src/adapters/http-engine-driver.ts
+++ b/src/adapters/http-engine-driver.ts
@@ -1,4 +1,4 @@
-/** Speaks to a model engine over its OpenAI-style HTTP API. */
+/** Calls a model engine through its OpenAI-style HTTP API. */
 import type {ResultAsync} from 'neverthrow';
 import {array, Codec, number, string} from 'purify-ts';
 import type {Dispatcher} from 'undici';
@@ -27,7 +27,7 @@
 });
 
 /**
- * The driver of one engine.
+ * Driver of one engine.
  *
  * @example
  * const driver = new HttpEngineDriver({baseUrl: 'http://127.0.0.1:8000'});
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -1,4 +1,4 @@
-/** The platform's object API over HTTP. */
+/** HTTP client of the platform's object API. */
 import type {Result, ResultAsync} from 'neverthrow';
 import {err, errAsync, ok} from 'neverthrow';
 import type {Maybe} from 'purify-ts';
@@ -41,7 +41,7 @@
   storeError,
 } from './store-errors.js';
 
-/** Time for one call to the store, in milliseconds. */
+/** Timeout of a call to the store, in milliseconds. */
 export const STORE_TIMEOUT_MS = 1_500;
 
 const STORED_OBJECT: Codec<StoredObject> = Codec.interface({
@@ -62,7 +62,7 @@
 }
 
 /**
- * A client of the platform's object API.
+ * Client of the platform's object API.
  *
  * @example
  * const store = new HttpObjectStore({baseUrl: 'http://127.0.0.1:9000'});
--- a/src/adapters/http-operators.ts
+++ b/src/adapters/http-operators.ts
@@ -1,4 +1,4 @@
-/** The operators' edge: probes, metrics, status and drain. */
+/** HTTP API for operators: probes, metrics, status and drain. */
 import {Hono} from 'hono';
 
 import type {OperatorHandler} from '../core/edges/index.js';
--- a/src/adapters/http-server.ts
+++ b/src/adapters/http-server.ts
@@ -1,4 +1,4 @@
-/** Serves a hono application on an address. */
+/** Serves a hono application over HTTP. */
 import type {
   IncomingMessage,
   Server,
@@ -19,25 +19,25 @@
   PROBLEM_CONTENT_TYPE,
 } from './callers/problem.js';
 
-/** Largest request line with its headers, in bytes. */
+/** Largest size of a request line and its headers, in bytes. */
 export const MAX_HEADER_BYTES = 16 * 1024;
 
-/** Time for a request line and its headers to arrive, in milliseconds. */
+/** Timeout for a request line and its headers, in milliseconds. */
 export const HEADERS_TIMEOUT_MS = 10_000;
 
 /**
- * Time for a whole request to arrive, in milliseconds; over the largest
- * limits.bodyTimeoutMs, which ends most slow bodies before.
+ * Timeout for a complete request, in milliseconds. Higher than the largest
+ * limits.bodyTimeoutMs, which ends most slow bodies earlier.
  */
 export const REQUEST_TIMEOUT_MS = 310_000;
 
-/** How often slow requests are looked for, in milliseconds. */
+/** Period of the check for slow requests, in milliseconds. */
 export const TIMEOUT_CHECK_MS = 1_000;
 
 /**
- * Time for which an idle connection stays open, in milliseconds; over the
- * 60 seconds after which balancers usually close it, so that it is theirs to
- * close.
+ * Time for which an idle connection stays open, in milliseconds. Higher than the
+ * 60 seconds after which load balancers usually close it, so that the load
+ * balancer closes it first.
  */
 export const KEEP_ALIVE_MS = 75_000;
 
@@ -52,24 +52,24 @@
 /** A listening HTTP server. */
 export interface HttpListener {
   readonly port: number;
-  /** Requests whose answer has not wholly left. */
+  /** Number of requests whose response is not completely sent. */
   countOpen(): number;
-  /** Stops listening and drops idle connections. */
+  /** Stops listening and closes idle connections. */
   close(): void;
 }
 
-/** Learns of refusals of requests that reach no application. */
+/** Counts refusals of requests that do not reach the application. */
 export interface RefusalCounter {
   countRefusal(refusal: Refusal): void;
 }
 
-/** Starts to listen; rejects when the address is taken. */
+/** Starts to listen; rejects if the address is in use. */
 export function listenHttp(options: {
   app: Hono;
   address: string;
   port: number;
   counter?: RefusalCounter;
-  /** Whether an answer leaves its connection open; true by default. */
+  /** Whether to keep the connection open after a response; true by default. */
   keepsAlive?: () => boolean;
 }): Promise<HttpListener> {
   const {app, address, port, counter, keepsAlive = () => true} = options;
@@ -96,13 +96,13 @@
   });
 }
 
-/** What the HTTP parser says of a request that it cannot read. */
+/** Error for a request that could not be read, with the code of its cause. */
 type ClientError = Error & {readonly code?: string};
 
-/** A socket with the response that is being written to it. */
+/** A socket with the response that is being sent, a private field of Node. */
 type RequestSocket = Socket & {readonly _httpMessage?: object};
 
-/** The request line or its host cannot be made a URL. */
+/** Refuses a request whose target and Host header do not form a URL. */
 function refuseMalformedTarget(counter: RefusalCounter | undefined): Response {
   const detail = 'the request target or its Host header is malformed';
   const refusal = createRefusal(RefusalReason.BAD_REQUEST, detail);
@@ -110,7 +110,7 @@
   return createProblemResponse(refusal);
 }
 
-/** Answers a request that could not be read, and closes its connection. */
+/** Refuses a request that could not be read, and closes its connection. */
 function refuseSocket(options: {
   err: ClientError;
   socket: RequestSocket;
@@ -163,7 +163,10 @@
   server.closeIdleConnections();
 }
 
-/** Keeps the answers that have not wholly left. */
+/**
+ * Tracks responses that are not completely sent, and sets whether each keeps
+ * its connection open.
+ */
 function trackResponses(
   server: Server,
   keepsAlive: () => boolean,
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -1,4 +1,4 @@
-/** Speaks to a plain service over HTTP. */
+/** Calls a plain service over HTTP. */
 import {errAsync, type ResultAsync} from 'neverthrow';
 import {Codec, number} from 'purify-ts';
 import type {Dispatcher} from 'undici';
@@ -16,12 +16,12 @@
 import {callHttp, createPool} from './http-call.js';
 
 /**
- * Largest answer that is passed on, in bytes; with its headers it fits into
- * one frame between agent and entry.
+ * Largest body of a response that is forwarded, in bytes; with its headers it
+ * fits into one frame between agent and entry.
  */
 export const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Headers that belong to one connection, and those that undici sets. */
+/** Hop-by-hop headers and headers that undici sets; not forwarded. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -42,15 +42,15 @@
 });
 
 /**
- * The driver of one plain service.
+ * Driver of one plain service.
  *
  * @example
  * const driver = new HttpServiceDriver({baseUrl: 'http://127.0.0.1:8080'});
  */
 export class HttpServiceDriver implements ServiceDriver {
   private readonly baseUrl: string;
-  // A call on a kept connection that the service just closed would be lost
-  // without a word on whether it ran, so each call opens its own.
+  // If the service closes a reused connection during a call, it is unknown
+  // whether the call ran; therefore each call opens a connection.
   private readonly dispatcher: Dispatcher = createPool({keepsAlive: false});
 
   constructor(options: {baseUrl: string}) {
@@ -90,12 +90,12 @@
   }
 }
 
-/** A path without its slash could otherwise name another host. */
+/** Without the slash, a path such as `@host` could address another host. */
 function buildUrl(baseUrl: string, path: string): string {
   return path.startsWith('/') ? `${baseUrl}${path}` : `${baseUrl}/${path}`;
 }
 
-/** Dot segments, which URL parsers resolve, could lead out of the root. */
+/** URL parsers resolve dot segments, which could lead outside the root. */
 function isBelowRoot(baseUrl: string, url: string): boolean {
   if (!URL.canParse(url)) return false;
   const root = new URL(baseUrl);
--- a/src/adapters/http-vm-list.ts
+++ b/src/adapters/http-vm-list.ts
@@ -1,4 +1,4 @@
-/** The platform's VM list over HTTP. */
+/** HTTP client of the platform's VM list. */
 import type {Result, ResultAsync} from 'neverthrow';
 import {err} from 'neverthrow';
 import {array, Codec, enumeration, number, string} from 'purify-ts';
@@ -11,7 +11,7 @@
 import type {HttpResponse} from './http-call.js';
 import {callHttp, createPool, parseJson} from './http-call.js';
 
-/** Time to read the list, in milliseconds. */
+/** Timeout for reading the list, in milliseconds. */
 export const VM_LIST_TIMEOUT_MS = 1_500;
 
 const STATUS_OK = 200;
@@ -31,7 +31,7 @@
 });
 
 /**
- * A client of the platform's VM list.
+ * Client of the platform's VM list.
  *
  * @example
  * const vms = await new HttpVmList({baseUrl: 'http://127.0.0.1:9000'}).read();
--- a/src/adapters/http-watch.ts
+++ b/src/adapters/http-watch.ts
@@ -1,4 +1,4 @@
-/** A watch of the platform's object API: one JSON document a line. */
+/** A watch of the platform's object API: one JSON document per line. */
 import {Codec, enumeration, number, optional, string, unknown} from 'purify-ts';
 import type {Dispatcher} from 'undici';
 import {request} from 'undici';
@@ -13,7 +13,7 @@
   storeError,
 } from './store-errors.js';
 
-/** A watch that is silent for longer is taken for broken, in milliseconds. */
+/** A watch without data for longer is closed as broken, in milliseconds. */
 export const WATCH_IDLE_TIMEOUT_MS = 15_000;
 
 const STATUS_OK = 200;
@@ -25,18 +25,18 @@
   value: optional(unknown),
 });
 
-/** What a watch needs. */
+/** Request and callbacks of a watch. */
 export interface HttpWatchOptions {
   readonly dispatcher: Dispatcher;
   readonly url: string;
-  /** Time for the watch to be accepted. */
+  /** Timeout for the headers of the response, in milliseconds. */
   readonly timeoutMs: number;
   readonly onEvent: (event: WatchEvent) => void;
   readonly onAlive?: () => void;
   readonly onClosed: (err: StoreError) => void;
 }
 
-/** One running watch. */
+/** An active watch. */
 export class HttpWatch implements WatchHandle {
   private readonly abort = new AbortController();
   private pending = '';
--- a/src/adapters/index.ts
+++ b/src/adapters/index.ts
@@ -1,4 +1,4 @@
-/** Implementations of the interfaces at the edges, over HTTP. */
+/** HTTP implementations of the interfaces in `core/edges`. */
 export {HttpEngineDriver} from './http-engine-driver.js';
 export {HttpObjectStore} from './http-object-store.js';
 export {HttpServiceDriver} from './http-service-driver.js';
--- a/src/adapters/store-errors.ts
+++ b/src/adapters/store-errors.ts
@@ -1,11 +1,11 @@
-/** Errors of the store layer, as the HTTP store meets them. */
+/** Errors of the store layer that the HTTP store returns. */
 import type {StoreError} from '../core/edges/index.js';
 import {StoreErrorKind} from '../core/edges/index.js';
 import {Layer} from '../core/errors/types.js';
 import type {HttpFailure} from './http-call.js';
 import {HttpFailureKind} from './http-call.js';
 
-/** What a call does, as far as its errors depend on it. */
+/** Kinds of calls, as far as their errors differ. */
 export enum StoreCall {
   CREATE = 'create',
   CHANGE = 'change',
@@ -15,7 +15,7 @@
 const FIRST_SERVER_ERROR = 500;
 
 /**
- * Builds an error of the store layer.
+ * Creates an error of the store layer.
  *
  * @example
  * err(storeError(StoreErrorKind.INVALID, 'no JSON value'));
@@ -25,8 +25,8 @@
 }
 
 /**
- * Turns a call without an answer into an error; a write that was sent may
- * have taken effect, a read has no effect.
+ * Converts a call without a response to an error. A write that was sent may
+ * have taken effect; a read has no effect.
  *
  * @example
  * callHttp(options).mapErr((failure) => fromFailure(StoreCall.READ, failure));
@@ -41,7 +41,7 @@
 }
 
 /**
- * Turns an error status into an error.
+ * Converts an error status to an error of the store layer.
  *
  * @example
  * err(fromStatus(StoreCall.CREATE, 409));
@@ -51,8 +51,8 @@
 }
 
 /**
- * Builds the error for an answer that can't be read: a write of which it
- * speaks may have taken effect.
+ * Creates the error for a malformed response. A write with such a response may
+ * have taken effect.
  *
  * @example
  * err(fromMalformed(StoreCall.READ, detail));
--- a/src/agent/outcome-recorder.ts
+++ b/src/agent/outcome-recorder.ts
@@ -53,11 +53,11 @@
     },
   ) {}
 
-  /** Whether the queue is empty or has made no progress for too long. */
+  /** Whether no outcome is pending or the last change was too long ago. */
   isIdle(): boolean {
-    const hasNoWork = this.pending.length === 0 && !this.isWriting;
+    const isEmpty = this.pending.length === 0 && !this.isWriting;
     const sinceLastChangeMs = this.options.clock.now() - this.lastChangeMs;
-    return hasNoWork || sinceLastChangeMs > OUTCOME_DRAIN_MS;
+    return isEmpty || sinceLastChangeMs > OUTCOME_DRAIN_MS;
   }
 
   add(options: {call: CallMessage; response: PlainResponse}): void {
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -40,39 +40,42 @@
 });
 
 const OUTPUTS = [
-  {name: 'that end by max_tokens', prompt: 'a', maxTokens: 33, stop: []},
+  {name: 'that ends at max_tokens', prompt: 'a', maxTokens: 33, stop: []},
   {
-    name: 'that end by themselves',
+    name: 'that the engine ends',
     prompt: '[length=9]',
     maxTokens: 33,
     stop: [],
   },
   {name: 'with a stop string', prompt: 'b', maxTokens: 200, stop: ['bags on']},
   {name: 'with a stop character', prompt: 'c', maxTokens: 200, stop: ['ł']},
-  {name: 'that are empty', prompt: '[length=0]', maxTokens: 33, stop: []},
+  {name: 'that is empty', prompt: '[length=0]', maxTokens: 33, stop: []},
 ];
 
 describe('HttpEngineDriver.generate', () => {
-  it.each(OUTPUTS)('passes on answers $name', async (request) => {
+  it.each(OUTPUTS)('returns output $name', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const outcome = await generate({driver, spec: specOf(request)});
     expect(outcome).toEqual(expectedAnswer(request));
   });
 
-  it.each(OUTPUTS)('resumes answers $name at every cut', async (request) => {
-    const driver = new HttpEngineDriver({baseUrl: await openEngine()});
-    const spec = specOf(request);
-    const whole = expectedAnswer(request);
-    const cuts = [...whole.tokens.keys(), whole.tokens.length];
-    const resumed = cuts.map((cut) =>
-      generate({driver, spec, resumeFrom: whole.tokens.slice(0, cut)}),
-    );
-    for (const outcome of await Promise.all(resumed)) {
-      expect(outcome).toEqual(whole);
-    }
-  });
+  it.each(OUTPUTS)(
+    'resumes output $name at every position',
+    async (request) => {
+      const driver = new HttpEngineDriver({baseUrl: await openEngine()});
+      const spec = specOf(request);
+      const whole = expectedAnswer(request);
+      const cuts = [...whole.tokens.keys(), whole.tokens.length];
+      const resumed = cuts.map((cut) =>
+        generate({driver, spec, resumeFrom: whole.tokens.slice(0, cut)}),
+      );
+      for (const outcome of await Promise.all(resumed)) {
+        expect(outcome).toEqual(whole);
+      }
+    },
+  );
 
-  it('leaves the text empty inside a character', async () => {
+  it('returns empty text for a token inside a character', async () => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const {tokens} = await generate({driver, spec: specOf({maxTokens: 100})});
     const inside = tokens.findIndex((token) => token.text === '');
@@ -81,7 +84,7 @@
     expect(tokens.map((token) => token.text).join('')).not.toContain('\ufffd');
   });
 
-  it('carries many answers at once', async () => {
+  it('runs many generations at once', async () => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const requests = Array.from({length: 300}, (_, index) => ({
       prompt: `p${index}`,
@@ -94,7 +97,7 @@
     expect(outcomes).toEqual(requests.map(expectedAnswer));
   });
 
-  it('cancels the engine’s work and is silent afterwards', async () => {
+  it('cancels the generation and calls no sink method afterwards', async () => {
     const url = await openEngine();
     const driver = new HttpEngineDriver({baseUrl: url});
     const sink = {onTokens: vi.fn(), onFinish: vi.fn(), onFailure: vi.fn()};
@@ -134,7 +137,7 @@
     length: 0,
   },
   {
-    name: 'a connection that closes before an answer',
+    name: 'a connection that closes before a response',
     serve: () => open(startScripted((res) => res.destroy())),
     kind: DriverErrorKind.LOST,
     length: 0,
@@ -160,7 +163,7 @@
     length: 1,
   },
   {
-    name: 'an event that is no JSON',
+    name: 'an event that is not JSON',
     serve: () => open(startScripted((res) => res.end('data: {\n\n'))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
@@ -182,7 +185,7 @@
     expect(outcome.tokens).toHaveLength(length);
   });
 
-  it('joins a character that arrives in two parts', async () => {
+  it('decodes a character that arrives in two parts', async () => {
     const bytes = Buffer.from(event('stop').replace('"a"', '"é"'));
     const cut = bytes.indexOf('é') + 1;
     const sendInTwoParts = (res: ServerResponse): void => {
@@ -195,7 +198,7 @@
     expect(outcome.tokens).toEqual([{id: 1, text: 'é'}]);
   });
 
-  it('takes nothing after the finish reason', async () => {
+  it('ignores events after the finish reason', async () => {
     const body = event('stop') + event(null) + event('length');
     const url = await open(startScripted((res) => res.end(body)));
     const driver = new HttpEngineDriver({baseUrl: url});
@@ -213,7 +216,7 @@
     kind: DriverErrorKind.NOT_SENT,
   },
   {
-    name: 'silence',
+    name: 'a missing response',
     serve: () => open(startScripted(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: DriverErrorKind.TIMEOUT,
@@ -255,7 +258,7 @@
     expect(probed._unsafeUnwrapErr().kind).toBe(kind);
   });
 
-  it('times out at a stalled engine', async () => {
+  it('times out if the engine stalls', async () => {
     const url = await openEngine();
     await post(`${url}/faults`, {kind: 'stall'});
     const driver = new HttpEngineDriver({baseUrl: url});
@@ -269,9 +272,9 @@
   {name: 'ignores fencing', ignoresFencing: true, accepted: [1, 5, 4, 5, 6]},
 ];
 
-describe('HttpEngineDriver.order', () => {
+describe('HttpEngineDriver.sendCommand', () => {
   it.each(FENCING)(
-    'orders an engine that $name',
+    'sends commands to an engine that $name',
     async ({ignoresFencing, accepted}) => {
       const url = await openEngine({ignoresFencing});
       const driver = new HttpEngineDriver({baseUrl: url});
--- a/test/adapters/http-object-store.test.ts
+++ b/test/adapters/http-object-store.test.ts
@@ -79,25 +79,25 @@
     kind: StoreErrorKind.EXISTS,
   },
   {
-    name: 'CONFLICT for an update of another version',
+    name: 'CONFLICT for an update with a wrong version',
     prepare: OPERATIONS.create,
     run: () => store.update({...KEY, value: 2, expectedVersion: 9}),
     kind: StoreErrorKind.CONFLICT,
   },
   {
-    name: 'CONFLICT for a remove of another version',
+    name: 'CONFLICT for a removal with a wrong version',
     prepare: OPERATIONS.create,
     run: () => store.remove({...KEY, expectedVersion: 9}),
     kind: StoreErrorKind.CONFLICT,
   },
   {
-    name: 'NOT_FOUND for an update of nothing',
+    name: 'NOT_FOUND for an update of a missing object',
     prepare: () => undefined,
     run: OPERATIONS.update,
     kind: StoreErrorKind.NOT_FOUND,
   },
   {
-    name: 'NOT_FOUND for a remove of nothing',
+    name: 'NOT_FOUND for a removal of a missing object',
     prepare: () => undefined,
     run: OPERATIONS.remove,
     kind: StoreErrorKind.NOT_FOUND,
@@ -115,7 +115,7 @@
     kind: StoreErrorKind.INVALID,
   },
   {
-    name: 'INVALID for a value that is no JSON',
+    name: 'INVALID for a value that is not JSON',
     prepare: () => undefined,
     run: () => store.create({...KEY, value: 1n}),
     kind: StoreErrorKind.INVALID,
@@ -172,7 +172,7 @@
     expect(await errorKindOf(OPERATIONS[name])).toBe(kind);
   });
 
-  it('reports UNKNOWN for writes whose answer is lost after the effect', async () => {
+  it('reports UNKNOWN for writes whose response is lost after the effect', async () => {
     await fault({mode: 'lose_write_answer', count: 3});
     const unknown = StoreErrorKind.UNKNOWN;
     expect(await errorKindOf(OPERATIONS.create)).toBe(unknown);
@@ -228,7 +228,7 @@
     ]);
   });
 
-  it('joins a character that arrives in two parts', async () => {
+  it('decodes a character that arrives in two parts', async () => {
     const line = {kind: KIND, name: 'ż', version: 1, value: 'ż'};
     const bytes = Buffer.from(`${JSON.stringify(line)}\n`);
     const cut = bytes.indexOf('ż') + 1;
@@ -244,7 +244,7 @@
     expect(events).toEqual([line]);
   });
 
-  it('is silent after close', async () => {
+  it('calls no callback after close', async () => {
     const {handle, events, closed} = watch(0);
     await OPERATIONS.create();
     await waitFor(events, 1);
--- a/test/adapters/http-service-driver.test.ts
+++ b/test/adapters/http-service-driver.test.ts
@@ -44,7 +44,7 @@
 }
 
 describe('HttpServiceDriver.call', () => {
-  it('passes on a booking and its answer', async () => {
+  it('forwards a booking and its response', async () => {
     const url = await open(startService({delayMs: 0}));
     const driver = new HttpServiceDriver({baseUrl: url});
     const called = await driver.call({req: BOOKING, timeoutMs: TIMEOUT_MS});
@@ -59,7 +59,7 @@
     });
   });
 
-  it('passes on a lookup', async () => {
+  it('forwards a lookup', async () => {
     const url = await open(startService({delayMs: 0}));
     const driver = new HttpServiceDriver({baseUrl: url});
     const called = await driver.call({req: LOOKUP, timeoutMs: TIMEOUT_MS});
@@ -70,7 +70,7 @@
     ]);
   });
 
-  it('never leaves the service for another host', async () => {
+  it('sends no request to another host', async () => {
     const url = await open(startService({delayMs: 0}));
     const driver = new HttpServiceDriver({baseUrl: url});
     const req = {...LOOKUP, path: '@127.0.0.1:1/stock/pumice'};
@@ -79,7 +79,7 @@
   });
 
   it.each(['/../admin', '/%2e%2e/admin', '/x/../../admin'])(
-    'sends nothing to %s, which leaves the root',
+    'sends no request for %s, which is outside the root',
     async (path) => {
       const url = await open(startService({delayMs: 0}));
       const driver = new HttpServiceDriver({baseUrl: `${url}/app`});
@@ -89,7 +89,7 @@
     },
   );
 
-  it('passes on an error status as an answer', async () => {
+  it('returns a response with an error status', async () => {
     const url = await open(startService());
     await post(`${url}/faults`, {kind: 'fail_fast'});
     const driver = new HttpServiceDriver({baseUrl: url});
@@ -106,13 +106,13 @@
     kind: DriverErrorKind.NOT_SENT,
   },
   {
-    name: 'a connection that breaks before the answer',
+    name: 'a connection that breaks before the response',
     target: () => open(startScripted((res) => res.destroy())),
     timeoutMs: TIMEOUT_MS,
     kind: DriverErrorKind.LOST,
   },
   {
-    name: 'an answer that is cut off',
+    name: 'a truncated response',
     target: () =>
       open(
         startScripted((res) => {
--- a/test/adapters/http-vm-list.test.ts
+++ b/test/adapters/http-vm-list.test.ts
@@ -38,7 +38,7 @@
 }
 
 describe('HttpVmList', () => {
-  it('reads live and leaving VMs, also those registered while down', async () => {
+  it('reads live and draining VMs, also those registered during an outage', async () => {
     const url = await open(startPlatform({vmLagMs: 0}));
     const leaving = {...VM, name: 't2', state: VmState.LEAVING};
     await register(url, VM);
@@ -51,7 +51,7 @@
     expect((await list.read())._unsafeUnwrap()).toEqual([leaving]);
   });
 
-  it('shows the state of one lag ago', async () => {
+  it('returns the state before the lag', async () => {
     const url = await open(startPlatform({vmLagMs: LONG_LAG_MS}));
     await register(url, VM);
     const list = new HttpVmList({baseUrl: url});
@@ -73,7 +73,7 @@
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
-    name: 'silence',
+    name: 'a missing response',
     target: () => open(startScripted(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
--- a/test/adapters/service-path.test.ts
+++ b/test/adapters/service-path.test.ts
@@ -10,27 +10,27 @@
 
 const TARGETS = [
   {target: '/services/stock/items/7?unit=bag', isSafe: true},
-  {target: '/services/stock/a.b/..c/...', isPlain: true},
-  {target: '/services/stock/100%25', isPlain: true},
-  {target: '/services/stock/a%2Fb', isPlain: true},
-  {target: '/services/stock?path=../x', isPlain: true},
-  {target: '/services/stock//evil', isPlain: true},
-  {target: '/services/stock/..', isPlain: false},
-  {target: '/services/stock/.%2E/x', isPlain: false},
-  {target: '/services/stock/%252e%252e/x', isPlain: false},
-  {target: '/services/stock/a%2f..%2fx', isPlain: false},
-  {target: '/services/stock/..;a=b/x', isPlain: false},
-  {target: '/services/stock/%5C..', isPlain: false},
-  {target: '/services/stock/%00', isPlain: false},
-  {target: '/services/stock/%ff', isPlain: false},
+  {target: '/services/stock/a.b/..c/...', isSafe: true},
+  {target: '/services/stock/100%25', isSafe: true},
+  {target: '/services/stock/a%2Fb', isSafe: true},
+  {target: '/services/stock?path=../x', isSafe: true},
+  {target: '/services/stock//evil', isSafe: true},
+  {target: '/services/stock/..', isSafe: false},
+  {target: '/services/stock/.%2E/x', isSafe: false},
+  {target: '/services/stock/%252e%252e/x', isSafe: false},
+  {target: '/services/stock/a%2f..%2fx', isSafe: false},
+  {target: '/services/stock/..;a=b/x', isSafe: false},
+  {target: '/services/stock/%5C..', isSafe: false},
+  {target: '/services/stock/%00', isSafe: false},
+  {target: '/services/stock/%ff', isSafe: false},
 ];
 
-describe('isPlainTarget', () => {
-  it.each(TARGETS)('takes $target: $isPlain', ({target, isSafe}) => {
+describe('isSafeRequestTarget', () => {
+  it.each(TARGETS)('returns $isSafe for $target', ({target, isSafe}) => {
     expect(isSafeRequestTarget(target)).toBe(isSafe);
   });
 
-  it('takes nothing that a URL parser leads out of the root', () => {
+  it('rejects targets that a URL parser resolves outside the root', () => {
     const pieces = [
       '.',
       '..',
@@ -66,8 +66,8 @@
   {target: '/services/st%6fck/services/x', rest: '/services/x'},
 ];
 
-describe('cutServicePrefix', () => {
-  it.each(CUTS)('leaves $rest of $target', ({target, rest}) => {
+describe('stripServicePrefix', () => {
+  it.each(CUTS)('returns $rest for $target', ({target, rest}) => {
     expect(stripServicePrefix(target)).toBe(rest);
   });
 });
