--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -5,7 +5,7 @@
 import {join} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Kind} from '../../../platform/names.js';
+import {StoreObjectKind} from '../../../platform/names.js';
 import {KEY, SitePath} from '../../../stand-ins/site/config.js';
 import {registrationOf} from '../../../stand-ins/site/target.js';
 import {callSite} from '../../../tools/lab/site-caller.js';
@@ -126,7 +126,11 @@
     const place = {service: UNROUTED, zone: 'a', address: NOWHERE, state};
     const spec = registrationOf(place);
     const puts = Array.from({length: REGISTRATIONS}, (_, i) =>
-      store.ask('put', {kind: Kind.TARGETS, name: `extra-${i}`, spec}),
+      store.ask('put', {
+        kind: StoreObjectKind.TARGETS,
+        name: `extra-${i}`,
+        spec,
+      }),
     );
     await Promise.all(puts);
     await sleep(SETTLE_MS);
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -13,7 +13,7 @@
   parseBootSettings,
 } from '../../platform/boot-settings.js';
 import {CallerServer} from '../../platform/caller-server.js';
-import {BOOT_VARIABLE, Path} from '../../platform/names.js';
+import {SETTINGS_PATH_VARIABLE, Path} from '../../platform/names.js';
 import {createPlatformEdges} from '../../platform/platform-edges.js';
 import {SystemClock, SystemRandom} from '../core/clock/index.js';
 import {BoundedSink, createLogger} from '../core/logs/index.js';
@@ -54,7 +54,7 @@
   .addHelpText(
     'after',
     `
-The settings file is named by ${BOOT_VARIABLE}.
+The settings file is named by ${SETTINGS_PATH_VARIABLE}.
 Signals: SIGTERM begins a planned stop, SIGHUP reads the settings anew.
 Exit statuses: 0 stopped as planned, 2 bad settings.`,
   );
@@ -63,7 +63,7 @@
 
 async function main(): Promise<void> {
   const flags = program.parse().opts<Flags>();
-  const path = process.env[BOOT_VARIABLE] ?? '';
+  const path = process.env[SETTINGS_PATH_VARIABLE] ?? '';
   const settings = await readPatiently({
     read: () => loadBootSettings(path),
     clock: new SystemClock(),
@@ -101,7 +101,7 @@
     clock,
     handler: {
       handle: (req, res) => entry.handle(req, res),
-      isLeaving: () => entry.draining.get(),
+      isDraining: () => entry.draining.get(),
     },
   });
   entry.routes.subscribe((table) => {
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -52,10 +52,10 @@
   readonly random: RandomSource;
   readonly configs: StateSource<RoutingConfig>;
   readonly registrations: StateSource<TargetRecord>;
-  readonly culprits: StateSource<QuarantineRecord>;
-  readonly culpritNotes: StateWriter<QuarantineRecord>;
-  readonly losses: StateSource<RecordedLosses>;
-  readonly lossNotes: StateWriter<RecordedLosses>;
+  readonly quarantineSource: StateSource<QuarantineRecord>;
+  readonly quarantineWriter: StateWriter<QuarantineRecord>;
+  readonly lossSource: StateSource<RecordedLosses>;
+  readonly lossWriter: StateWriter<RecordedLosses>;
   readonly client: DirectTargets;
   readonly metrics: Metrics;
   readonly logger: Logger;
@@ -129,8 +129,8 @@
         quarantine,
         targets,
         prober,
-        records: options.lossNotes,
-        source: options.losses,
+        records: options.lossWriter,
+        source: options.lossSource,
         clock,
         random,
         metrics,
@@ -142,8 +142,8 @@
     };
     this.quarantineSync = new QuarantineSync({
       quarantine: this.ctx.quarantine,
-      records: options.culpritNotes,
-      source: options.culprits,
+      records: options.quarantineWriter,
+      source: options.quarantineSource,
       clock,
       random,
       logger,
--- a/stand-ins/site/target.ts
+++ b/stand-ins/site/target.ts
@@ -237,7 +237,7 @@
       res.writeHead(200, {'Instance-Id': this.id}).end();
       return;
     }
-    if (req.url === (Path.COPY_RUN as string)) {
+    if (req.url === (Path.COPY_KV_CACHE as string)) {
       await this.copyRun(res, body);
       return;
     }
@@ -246,8 +246,8 @@
       res.end();
       return;
     }
-    if (req.url?.startsWith(Path.COPIES) === true) {
-      this.freed.push(req.url.slice(Path.COPIES.length + 1));
+    if (req.url?.startsWith(Path.KV_COPIES) === true) {
+      this.freed.push(req.url.slice(Path.KV_COPIES.length + 1));
       res.end();
       return;
     }
@@ -323,7 +323,7 @@
 
   private stream(req: IncomingMessage, res: ServerResponse, body: string) {
     const attemptId = String(req.headers[Header.ATTEMPT_ID] ?? '');
-    const copyFrom = req.headers[Header.COPY_FROM];
+    const copyFrom = req.headers[Header.KV_COPY_FROM];
     const usesCopy = copyFrom !== undefined;
     const copyId = String(copyFrom).split('/').at(-1) ?? '';
     if (usesCopy && !this.copies.delete(copyId)) {
@@ -335,7 +335,7 @@
       req.socket.destroy();
       return;
     }
-    const copyTo = req.headers[Header.COPY_TO];
+    const copyTo = req.headers[Header.KV_COPY_TO];
     let next = Number(req.headers[Header.LAST_EVENT_ID] ?? 0) + 1;
     let timer: NodeJS.Timeout | undefined;
     res.on('close', () => {
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -3,7 +3,7 @@
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {Kind} from '../../platform/names.js';
+import {StoreObjectKind} from '../../platform/names.js';
 import {
   KEY,
   siteConfig,
@@ -37,7 +37,7 @@
 
   const putConfig = (version: number, keys?: string[]) =>
     site.store.put({
-      kind: Kind.CONFIG,
+      kind: StoreObjectKind.CONFIG,
       name: 'main',
       spec: siteConfig({version, keys}),
     });
@@ -110,7 +110,7 @@
     const [first] = site.targets;
     const valid = first!.registration({service: SiteService.DESK, zone: 'a'});
     site.store.put({
-      kind: Kind.TARGETS,
+      kind: StoreObjectKind.TARGETS,
       name: 'i-forged',
       spec: {...valid, ...spec},
     });
@@ -123,7 +123,7 @@
     site.store.mode = StoreMode.RESET;
     site.store.cutWaiters();
     await sleep(OUTAGE_DETECTION_MS);
-    site.store.remove({kind: Kind.TARGETS, name: first!.id});
+    site.store.remove({kind: StoreObjectKind.TARGETS, name: first!.id});
     site.store.mode = StoreMode.UP;
     const recoveredMs = performance.now();
     await waitFor(() => site.entry.isReady());
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -3,7 +3,7 @@
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {Header, Kind} from '../../platform/names.js';
+import {Header, StoreObjectKind} from '../../platform/names.js';
 import {POISON_LOSSES} from '../../src/core/poison/index.js';
 import {SitePath, SiteService} from '../../stand-ins/site/config.js';
 import type {StandInTarget} from '../../stand-ins/site/target.js';
@@ -137,7 +137,7 @@
           if (!text.includes('id: 5\n')) return;
           first = holder();
           first.crash();
-          site.store.remove({kind: Kind.TARGETS, name: first.id});
+          site.store.remove({kind: StoreObjectKind.TARGETS, name: first.id});
         }
         const hasAnother = site.targets.some(
           (target) => target !== first && target.copies.size > 0,
@@ -162,7 +162,7 @@
         if (first !== undefined || !text.includes('id: 5\n')) return;
         first = holder();
         first.crash();
-        site.store.remove({kind: Kind.TARGETS, name: first.id});
+        site.store.remove({kind: StoreObjectKind.TARGETS, name: first.id});
       },
     });
     const freed = () => site.targets.flatMap((target) => target.freed);
@@ -205,27 +205,29 @@
   it('is recorded in the store if it crashes engines', async () => {
     crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
-    const quarantined = () => site.store.namesOf(Kind.QUARANTINE);
+    const quarantined = () => site.store.namesOf(StoreObjectKind.QUARANTINE);
     await waitFor(() => quarantined().length === 1);
   });
 
   it('is refused if it crashed engines at another entry', async () => {
     crashTargetsOn('poison');
     await site.call({path: SitePath.STREAM, body: 'poison'});
-    await waitFor(() => site.store.namesOf(Kind.QUARANTINE).length === 1);
+    await waitFor(
+      () => site.store.namesOf(StoreObjectKind.QUARANTINE).length === 1,
+    );
     const other = await DirectSite.start();
     try {
-      const [name = ''] = site.store.namesOf(Kind.QUARANTINE);
+      const [name = ''] = site.store.namesOf(StoreObjectKind.QUARANTINE);
       const spec = {clientAccount: 'account-a', crashes: ['i-1']};
       const [target] = await other.addTargets([
         {service: SiteService.WRITERS, zone: 'a', pace: PACE},
       ]);
-      other.store.put({kind: Kind.QUARANTINE, name, spec});
+      other.store.put({kind: StoreObjectKind.QUARANTINE, name, spec});
       await new Promise((resolve) => setTimeout(resolve, PROPAGATION_MS));
       const reply = await other.call({path: SitePath.STREAM, body: 'poison'});
       expect(reply.status).toBe(503);
       expect(target!.runs).toHaveLength(0);
-      other.store.remove({kind: Kind.QUARANTINE, name});
+      other.store.remove({kind: StoreObjectKind.QUARANTINE, name});
       await new Promise((resolve) => setTimeout(resolve, PROPAGATION_MS));
       const released = await other.call({
         path: SitePath.STREAM,
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -4,8 +4,8 @@
 import {decodeConfig} from '../../platform/config-codec.js';
 import {
   decodeCallerHeaders,
-  decodeTargetHeaders,
-  encodeTargetHeaders,
+  decodeTargetResponseHeaders,
+  encodeTargetRequestHeaders,
 } from '../../platform/headers.js';
 import {decodeTarget} from '../../platform/target-codec.js';
 import {OperationKind} from '../../src/core/routes/index.js';
@@ -128,7 +128,7 @@
   );
 
   it('towards targets carry what we set', () => {
-    const flat = encodeTargetHeaders({
+    const flat = encodeTargetRequestHeaders({
       target: decodeTarget('i-1', {
         service: 's',
         address: '10.0.0.1:80',
@@ -165,6 +165,6 @@
     {raw: ['Instance-Load', 'much'], load: undefined},
     {raw: [], load: undefined},
   ])('of answers tell the load: $raw', ({raw: answer, load}) => {
-    expect(decodeTargetHeaders(answer).load).toEqual(load);
+    expect(decodeTargetResponseHeaders(answer).load).toEqual(load);
   });
 });
--- a/test/processes/direct-logs.test.ts
+++ b/test/processes/direct-logs.test.ts
@@ -10,7 +10,7 @@
 import {request} from 'undici';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {BOOT_VARIABLE, Kind} from '../../platform/names.js';
+import {SETTINGS_PATH_VARIABLE, StoreObjectKind} from '../../platform/names.js';
 import {bootFile, callersOf} from '../../stand-ins/site/boot-file.js';
 import {SitePath, siteConfig} from '../../stand-ins/site/config.js';
 import {StandInStore} from '../../stand-ins/site/store.js';
@@ -38,7 +38,7 @@
   beforeEach(async () => {
     await store.start();
     const spec = siteConfig({version: 1});
-    store.put({kind: Kind.CONFIG, name: 'main', spec});
+    store.put({kind: StoreObjectKind.CONFIG, name: 'main', spec});
     folder = mkdtempSync(join(tmpdir(), 'direct-logs-'));
     const path = join(folder, 'boot.json');
     const settings = bootFile({
@@ -52,7 +52,7 @@
     entry = spawn(process.execPath, ['dist/src/daemon/direct-main.js'], {
       // Nothing is ever read from this pipe.
       stdio: ['ignore', 'pipe', 'inherit'],
-      env: {...process.env, [BOOT_VARIABLE]: path},
+      env: {...process.env, [SETTINGS_PATH_VARIABLE]: path},
     });
     await waitUntil({what: 'the entry serves', check: isKnownKeyAccepted});
   });
--- a/test/stand-ins/site-store.test.ts
+++ b/test/stand-ins/site-store.test.ts
@@ -5,8 +5,8 @@
 import {afterEach, beforeEach, expect, it} from 'vitest';
 
 import {StoreSource} from '../../platform/store-client.js';
-import {Kind} from '../../platform/names.js';
-import {decodeLosses} from '../../platform/quarantine-codec.js';
+import {StoreObjectKind} from '../../platform/names.js';
+import {decodeRecordedLosses} from '../../platform/poison-codec.js';
 import {StandInStore} from '../../stand-ins/site/store.js';
 
 let store: StandInStore;
@@ -24,7 +24,7 @@
     const {hostname, port} = new URL(store.url);
     const socket = connect({host: hostname, port: Number(port)});
     await once(socket, 'connect');
-    const head = `${method} /-/objects/${Kind.LOSSES} HTTP/1.1\r\nHost: x\r\n`;
+    const head = `${method} /-/objects/${StoreObjectKind.LOSSES} HTTP/1.1\r\nHost: x\r\n`;
     socket.write(`${head}Content-Length: 100\r\n\r\n{"metadata"`);
     await new Promise((resolve) => setTimeout(resolve, 50));
     socket.resetAndDestroy();
@@ -33,8 +33,8 @@
     const {url} = store;
     const source = new StoreSource({
       url,
-      kind: Kind.LOSSES,
-      decode: decodeLosses,
+      kind: StoreObjectKind.LOSSES,
+      decode: decodeRecordedLosses,
     });
     const list = await source.list();
     expect(list._unsafeUnwrap().items).toEqual([]);
--- a/test/support/direct-entry.ts
+++ b/test/support/direct-entry.ts
@@ -56,7 +56,7 @@
       clock,
       handler: {
         handle: (req, res) => this.process.handle(req, res),
-        isLeaving: () => this.process.draining.get(),
+        isDraining: () => this.process.draining.get(),
       },
     });
   }
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -2,7 +2,7 @@
 import type {Agent} from 'node:http';
 
 import type {CallerServer} from '../../platform/caller-server.js';
-import {Kind} from '../../platform/names.js';
+import {StoreObjectKind} from '../../platform/names.js';
 import type {Logger} from '../../src/core/logs/index.js';
 import type {DirectProcess} from '../../src/direct/direct-process.js';
 import type {SitePath, SiteService} from '../../stand-ins/site/config.js';
@@ -54,7 +54,7 @@
     const store = new StandInStore();
     await store.start();
     store.put({
-      kind: Kind.CONFIG,
+      kind: StoreObjectKind.CONFIG,
       name: 'main',
       spec: siteConfig({version: 1}),
     });
@@ -139,7 +139,7 @@
   ): void {
     const {service, zone, state} = options;
     this.store.put({
-      kind: Kind.TARGETS,
+      kind: StoreObjectKind.TARGETS,
       name: target.id,
       spec: target.registration({service, zone, state}),
     });
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -1,7 +1,7 @@
 /** Plays the faults of a plan on a site. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Kind} from '../../platform/names.js';
+import {StoreObjectKind} from '../../platform/names.js';
 import {Direction} from '../../stand-ins/relay/relay.js';
 import {StoreMode} from '../../stand-ins/site/store.js';
 import {Fault} from '../../stand-ins/site/target-fault.js';
@@ -97,7 +97,7 @@
     ),
   // Another writer leaves what names no target; no other target may suffer.
   [FaultKind.STORE_JUNK]: async ({site, episode}) => {
-    const junk = {kind: Kind.TARGETS, name: `junk-${episode.atMs}`};
+    const junk = {kind: StoreObjectKind.TARGETS, name: `junk-${episode.atMs}`};
     const spec = {service: 7, address: 'nowhere', state: episode.variant};
     await site.store.ask('put', {...junk, spec});
     await sleep(episode.durationMs);
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -1,7 +1,7 @@
 /** The site of one run: a store, entries and targets, and who steers them. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Kind} from '../../platform/names.js';
+import {StoreObjectKind} from '../../platform/names.js';
 import type {Direction} from '../../stand-ins/relay/relay.js';
 import {KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
 import {Fault} from '../../stand-ins/site/target-fault.js';
@@ -116,7 +116,11 @@
     const sentMs = Date.now();
     const change = {version, movingTo, sentMs, ackMs: Infinity};
     this.history.configs.push(change);
-    await this.store.ask('put', {kind: Kind.CONFIG, name: 'main', spec});
+    await this.store.ask('put', {
+      kind: StoreObjectKind.CONFIG,
+      name: 'main',
+      spec,
+    });
     change.ackMs = Date.now();
   }
 
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -5,7 +5,7 @@
 
 import {request} from 'undici';
 
-import {BOOT_VARIABLE, Path} from '../../platform/names.js';
+import {SETTINGS_PATH_VARIABLE, Path} from '../../platform/names.js';
 import {Relay} from '../../stand-ins/relay/relay.js';
 import {
   bootFile,
@@ -99,7 +99,7 @@
       script: 'src/daemon/direct-main.js',
       args: [],
       preload: ['stand-ins/site/clock-fault.js'],
-      env: {[BOOT_VARIABLE]: this.settingsPath},
+      env: {[SETTINGS_PATH_VARIABLE]: this.settingsPath},
       onMessage: () => undefined,
       onLine: (line) => this.noteLine(line),
     });
--- a/tools/soak/soak-target.ts
+++ b/tools/soak/soak-target.ts
@@ -1,7 +1,7 @@
 /** A target of the soak: its process, and the relay in front of it. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Kind} from '../../platform/names.js';
+import {StoreObjectKind} from '../../platform/names.js';
 import {Relay} from '../../stand-ins/relay/relay.js';
 import {SiteService} from '../../stand-ins/site/config.js';
 import type {TargetReport} from '../../stand-ins/site/target-main.js';
@@ -80,13 +80,13 @@
     const {id, service, zone, store} = this.options;
     const address = `${HOST}:${this.relay.port}`;
     const spec = registrationOf({service, zone, address, state});
-    await store.ask('put', {kind: Kind.TARGETS, name: id, spec});
+    await store.ask('put', {kind: StoreObjectKind.TARGETS, name: id, spec});
   }
 
   /** Takes the target's registration away. */
   async unregister(): Promise<void> {
     const {id, store} = this.options;
-    await store.ask('remove', {kind: Kind.TARGETS, name: id});
+    await store.ask('remove', {kind: StoreObjectKind.TARGETS, name: id});
   }
 
   /** Kills the process; its registration lapses later. */
