--- a/src/cli/commands/apply/run-apply.ts
+++ b/src/cli/commands/apply/run-apply.ts
@@ -7,7 +7,7 @@
 import {
   diffDocuments,
   formatChange,
-  loadOrReport,
+  loadDeploymentOrReport,
 } from '../../config-files/index.js';
 import {reportError} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
@@ -21,7 +21,7 @@
   ctx: CliContext,
   options: ApplyOptions,
 ): Promise<ExitStatus> {
-  const loaded = await loadOrReport(ctx, options.files);
+  const loaded = await loadDeploymentOrReport(ctx, options.files);
   if (loaded.isErr()) {
     return ExitStatus.BAD_INPUT;
   }
--- a/src/cli/commands/call/run-call.ts
+++ b/src/cli/commands/call/run-call.ts
@@ -5,7 +5,7 @@
 } from '../../../core/edges/index.js';
 import {ENTRY_UNREACHABLE, Executed} from '../../../core/errors/index.js';
 import {SERVICES_PATH} from '../../consts.js';
-import type {HttpAnswer, HttpError} from '../../http/index.js';
+import type {HttpResponse, HttpError} from '../../http/index.js';
 import {callHttp, formatRefusal, HttpErrorKind} from '../../http/index.js';
 import {reportError} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
@@ -52,19 +52,19 @@
   return headers;
 }
 
-function reportJson(ctx: CliContext, answer: HttpAnswer): ExitStatus {
+function reportJson(ctx: CliContext, answer: HttpResponse): ExitStatus {
   const {status, body, problem, retryAfterMs} = answer;
   const report = problem === undefined ? {status, body} : {status, problem};
   ctx.out(`${JSON.stringify({...report, retryAfterMs})}\n`);
   return resolveStatus(answer);
 }
 
-function resolveStatus({status, problem}: HttpAnswer): ExitStatus {
+function resolveStatus({status, problem}: HttpResponse): ExitStatus {
   if (problem !== undefined) return ExitStatus.REFUSED;
   return status < FIRST_ERROR_STATUS ? ExitStatus.OK : ExitStatus.FAILED;
 }
 
-function reportAnswer(ctx: CliContext, answer: HttpAnswer): ExitStatus {
+function reportAnswer(ctx: CliContext, answer: HttpResponse): ExitStatus {
   const {status, body, problem, retryAfterMs} = answer;
   if (problem !== undefined) {
     ctx.err(`${formatRefusal(problem)}\n`);
--- a/src/cli/commands/check-platform/run-check-platform.ts
+++ b/src/cli/commands/check-platform/run-check-platform.ts
@@ -44,7 +44,7 @@
   {platform}: Pick<CliContext, 'platform'>,
   file: string,
 ): Promise<FileProblem[]> {
-  const settings = (await readText(file)).andThen(platform.readSettings);
+  const settings = (await readText(file)).andThen(platform.parseSettings);
   return settings.match(
     () => [],
     (detail) => [{file, subject: 'settings', detail}],
@@ -55,7 +55,7 @@
   {platform}: Pick<CliContext, 'platform'>,
   file: string,
 ): Promise<FileProblem[]> {
-  const config = (await readText(file)).andThen(platform.readConfig);
+  const config = (await readText(file)).andThen(platform.parseConfig);
   return config.match(
     (read) =>
       findRoutingProblems(read).map(({subject, detail}) => ({
--- a/src/cli/commands/check/run-check.ts
+++ b/src/cli/commands/check/run-check.ts
@@ -6,7 +6,10 @@
 } from '../../../core/config/index.js';
 import {PriorityClass} from '../../../core/config/index.js';
 import type {FilesError} from '../../config-files/index.js';
-import {loadDeployment, loadOrReport} from '../../config-files/index.js';
+import {
+  loadDeployment,
+  loadDeploymentOrReport,
+} from '../../config-files/index.js';
 import {formatTable} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
 import {ExitStatus} from '../../types.js';
@@ -23,7 +26,7 @@
   if (json === true) {
     return reportJson(ctx, await loadDeployment(files));
   }
-  const loaded = await loadOrReport(ctx, files);
+  const loaded = await loadDeploymentOrReport(ctx, files);
   if (loaded.isErr()) {
     return ExitStatus.BAD_INPUT;
   }
--- a/src/cli/commands/diff/run-diff.ts
+++ b/src/cli/commands/diff/run-diff.ts
@@ -2,7 +2,7 @@
 import {
   diffDocuments,
   formatChange,
-  loadOrReport,
+  loadDeploymentOrReport,
 } from '../../config-files/index.js';
 import {reportError} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
@@ -15,7 +15,7 @@
   ctx: CliContext,
   options: DiffOptions,
 ): Promise<ExitStatus> {
-  const loaded = await loadOrReport(ctx, options.files);
+  const loaded = await loadDeploymentOrReport(ctx, options.files);
   if (loaded.isErr()) {
     return ExitStatus.BAD_INPUT;
   }
--- a/src/cli/commands/generate/answer.ts
+++ b/src/cli/commands/generate/generation-output.ts
@@ -37,19 +37,19 @@
 type Chunk = GetType<typeof CHUNK>;
 
 /** Learns of the answer as it comes. */
-export interface AnswerListener {
+export interface OutputListener {
   onText(text: string): void;
   onRestart(): void;
 }
 
 /** An answer put together from the events of one or more streams. */
-export class Answer {
+export class GenerationOutput {
   private parts: string[] = [];
   private eventId: string | undefined;
   private finish: string | undefined;
   private restartCount = 0;
 
-  constructor(private readonly listener: AnswerListener) {}
+  constructor(private readonly listener: OutputListener) {}
 
   /** The text so far. */
   get text(): string {
--- a/src/cli/commands/generate/read-stream.ts
+++ b/src/cli/commands/generate/read-stream.ts
@@ -10,12 +10,12 @@
 import {Executed} from '../../../core/errors/index.js';
 import type {ProblemDocument} from '../../http/index.js';
 import {
-  createHttpError,
-  hasProblem,
+  toHttpError,
+  hasProblemContentType,
   parseProblem,
   parseRetryAfter,
 } from '../../http/index.js';
-import type {Answer} from './answer.js';
+import type {GenerationOutput} from './generation-output.js';
 import type {StreamEnd} from './types.js';
 import {StreamEndKind} from './types.js';
 
@@ -35,7 +35,7 @@
   url: string;
   key: string;
   body: string;
-  answer: Answer;
+  answer: GenerationOutput;
   /** Time left for the whole answer. */
   deadlineMs: number;
   signal: AbortSignal;
@@ -54,14 +54,14 @@
       ? await readEvents(res, answer)
       : await readRefusal(res);
   } catch (thrown) {
-    const {detail} = createHttpError(toHttpFailure(thrown));
+    const {detail} = toHttpError(toHttpFailure(thrown));
     return {kind: StreamEndKind.BROKEN, detail};
   }
 }
 
 function createHeaders(options: {
   key: string;
-  answer: Answer;
+  answer: GenerationOutput;
   deadlineMs: number;
 }): Record<string, string> {
   const headers: Record<string, string> = {
@@ -79,7 +79,7 @@
 
 async function readEvents(
   res: Dispatcher.ResponseData,
-  answer: Answer,
+  answer: GenerationOutput,
 ): Promise<StreamEnd> {
   let end: StreamEnd | undefined;
   const parser = createParser({
@@ -102,7 +102,7 @@
   const {statusCode: status, headers} = res;
   const text = await res.body.text();
   const retryAfterMs = parseRetryAfter(headers);
-  const problem = hasProblem(headers)
+  const problem = hasProblemContentType(headers)
     ? parseProblem(text).extract()
     : undefined;
   if (problem !== undefined) {
--- a/src/cli/commands/generate/run-generate.ts
+++ b/src/cli/commands/generate/run-generate.ts
@@ -11,7 +11,7 @@
 import {reportError} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
 import {ExitStatus} from '../../types.js';
-import {Answer} from './answer.js';
+import {GenerationOutput} from './generation-output.js';
 import {readStream} from './read-stream.js';
 import type {GenerateOptions, StreamEnd} from './types.js';
 import {StreamEndKind} from './types.js';
@@ -34,7 +34,7 @@
 
 /** One answer, over as many streams as it takes. */
 class GenerateRun {
-  private readonly answer: Answer;
+  private readonly answer: GenerationOutput;
   private readonly deadlineAt: number;
   private readonly signal: AbortSignal;
   private readonly body: string;
@@ -45,7 +45,7 @@
     private readonly ctx: CliContext,
     private readonly options: GenerateOptions,
   ) {
-    this.answer = new Answer({
+    this.answer = new GenerationOutput({
       onText: (text) => this.showText(text),
       onRestart: () => this.showRestart(),
     });
--- a/src/cli/config-files/load-deployment.ts
+++ b/src/cli/config-files/load-deployment.ts
@@ -71,7 +71,7 @@
  * Loads a deployment for a command; where it has problems, shows them and
  * fails.
  */
-export async function loadOrReport(
+export async function loadDeploymentOrReport(
   ctx: CliContext,
   dir: string,
 ): Promise<Result<CheckedDeployment, FilesError>> {
--- a/src/cli/http/call-http.ts
+++ b/src/cli/http/call-http.ts
@@ -10,8 +10,12 @@
   HttpFailureKind,
 } from '../../adapters/http-call.js';
 import {Layer} from '../../core/errors/index.js';
-import {hasProblem, parseProblem, parseRetryAfter} from './problem-document.js';
-import type {HttpAnswer, HttpError} from './types.js';
+import {
+  hasProblemContentType,
+  parseProblem,
+  parseRetryAfter,
+} from './problem-document.js';
+import type {HttpResponse, HttpError} from './types.js';
 import {HttpErrorKind} from './types.js';
 
 /** A run of the tool makes few calls; each opens its own connection. */
@@ -29,7 +33,7 @@
   headers: Readonly<Record<string, string>>;
   body?: string;
   timeoutMs: number;
-}): Promise<Result<HttpAnswer, HttpError>> {
+}): Promise<Result<HttpResponse, HttpError>> {
   const {headers, ...rest} = options;
   const fields = Object.entries(headers);
   const answer = await exchange({
@@ -37,11 +41,11 @@
     headers: fields.map(([name, value]) => ({name, value})),
     ...rest,
   });
-  return answer.map(toAnswer).mapErr(createHttpError);
+  return answer.map(toAnswer).mapErr(toHttpError);
 }
 
 /** Turns a failed exchange into an error of the tool. */
-export function createHttpError({kind, detail}: HttpFailure): HttpError {
+export function toHttpError({kind, detail}: HttpFailure): HttpError {
   const isSent = kind !== HttpFailureKind.NOT_SENT;
   return {
     layer: Layer.CLI,
@@ -50,13 +54,15 @@
   };
 }
 
-function toAnswer({status, headers, body}: RawAnswer): HttpAnswer {
+function toAnswer({status, headers, body}: RawAnswer): HttpResponse {
   const text = Buffer.from(body).toString('utf8');
   const map = Object.fromEntries(headers.map(({name, value}) => [name, value]));
   return {
     status,
     body: text,
-    problem: hasProblem(map) ? parseProblem(text).extract() : undefined,
+    problem: hasProblemContentType(map)
+      ? parseProblem(text).extract()
+      : undefined,
     retryAfterMs: parseRetryAfter(map),
   };
 }
--- a/src/cli/http/problem-document.ts
+++ b/src/cli/http/problem-document.ts
@@ -28,7 +28,7 @@
 }
 
 /** Says whether an answer claims to be a problem document. */
-export function hasProblem(headers: HeaderMap): boolean {
+export function hasProblemContentType(headers: HeaderMap): boolean {
   return String(headers['content-type'] ?? '').startsWith(PROBLEM_TYPE);
 }
 
--- a/src/cli/http/types.ts
+++ b/src/cli/http/types.ts
@@ -23,7 +23,7 @@
 }
 
 /** An answer that was read whole. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
   /** Present where the process itself refused the request. */
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -14,7 +14,7 @@
     out: (text) => process.stdout.write(text),
     err: (text) => process.stderr.write(text),
     createStore,
-    platform: {readSettings: parseBootSettings, readConfig: parseConfig},
+    platform: {parseSettings: parseBootSettings, parseConfig},
     clock: new SystemClock(),
     random: new SystemRandom(),
     operator: userInfo().username,
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -17,9 +17,9 @@
 }
 
 /** Reads texts in the platform's formats; errors are one line. */
-export interface PlatformTexts {
-  readonly readSettings: (text: string) => Result<DirectSettings, string>;
-  readonly readConfig: (text: string) => Result<RoutingConfig, string>;
+export interface PlatformParsers {
+  readonly parseSettings: (text: string) => Result<DirectSettings, string>;
+  readonly parseConfig: (text: string) => Result<RoutingConfig, string>;
 }
 
 /** What commands need from the outside. */
@@ -29,7 +29,7 @@
   /** Writes to the standard error. */
   err(text: string): void;
   createStore(options: {baseUrl: string}): Promise<ObjectStore>;
-  readonly platform: PlatformTexts;
+  readonly platform: PlatformParsers;
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Name of the operator where the command line gives none. */
--- a/test/cli/apply.test.ts
+++ b/test/cli/apply.test.ts
@@ -21,7 +21,7 @@
 const FAULTS = [
   {
     name: 'its answer is lost',
-    faults: [WriteFault.ANSWER_LOST],
+    faults: [WriteFault.RESPONSE_LOST],
     status: ExitStatus.OK,
     text: 'accepted at version 2',
     writes: 1,
@@ -42,21 +42,21 @@
   },
   {
     name: 'another operator is first',
-    faults: [WriteFault.OVERTAKEN],
+    faults: [WriteFault.PRECEDED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'bartek holds version 2',
     writes: 1,
   },
   {
     name: 'it is lost and another operator is first',
-    faults: [WriteFault.WRITE_LOST, WriteFault.OVERTAKEN],
+    faults: [WriteFault.WRITE_LOST, WriteFault.PRECEDED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'Yours may have been accepted first',
     writes: 2,
   },
   {
     name: 'its answer is lost and another operator replaces it',
-    faults: [WriteFault.REPLACED],
+    faults: [WriteFault.REPLACED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'Yours may have been accepted first',
     writes: 1,
--- a/test/cli/check-platform.test.ts
+++ b/test/cli/check-platform.test.ts
@@ -43,7 +43,7 @@
       {
         out: (text) => (out += text),
         err: (text) => (err += text),
-        platform: {readSettings: parseBootSettings, readConfig: parseConfig},
+        platform: {parseSettings: parseBootSettings, parseConfig},
       },
       options,
     );
--- a/test/cli/lib/memory-store.ts
+++ b/test/cli/lib/memory-store.ts
@@ -14,15 +14,15 @@
 /** What happens to one write. */
 export enum WriteFault {
   /** It takes effect and its answer is lost. */
-  ANSWER_LOST = 'answer_lost',
+  RESPONSE_LOST = 'answer_lost',
   /** It is lost before it takes effect. */
   WRITE_LOST = 'write_lost',
   /** The store refuses it. */
   UNAVAILABLE = 'unavailable',
   /** Another operator's write takes effect just before it. */
-  OVERTAKEN = 'overtaken',
+  PRECEDED_BY_OTHER = 'overtaken',
   /** It takes effect, its answer is lost, and another write replaces it. */
-  REPLACED = 'replaced',
+  REPLACED_BY_OTHER = 'replaced',
 }
 
 /** An object store in memory whose next writes can fail. */
@@ -88,7 +88,7 @@
         return errAsync(storeError(StoreErrorKind.UNKNOWN));
       case WriteFault.UNAVAILABLE:
         return errAsync(storeError(StoreErrorKind.UNAVAILABLE));
-      case WriteFault.OVERTAKEN:
+      case WriteFault.PRECEDED_BY_OTHER:
         this.put(key, this.otherValue);
         break;
     }
@@ -99,10 +99,11 @@
       return errAsync(storeError(isCreate ? EXISTS : CONFLICT));
     }
     const object = this.put(key, value);
-    if (fault === WriteFault.REPLACED) {
+    if (fault === WriteFault.REPLACED_BY_OTHER) {
       this.put(key, this.otherValue);
     }
-    return fault === WriteFault.ANSWER_LOST || fault === WriteFault.REPLACED
+    return fault === WriteFault.RESPONSE_LOST ||
+      fault === WriteFault.REPLACED_BY_OTHER
       ? errAsync(storeError(StoreErrorKind.UNKNOWN))
       : okAsync(object);
   }
--- a/test/cli/lib/run-tool.ts
+++ b/test/cli/lib/run-tool.ts
@@ -31,7 +31,7 @@
         err += text;
       },
       createStore: () => Promise.resolve(store),
-      platform: {readSettings: parseBootSettings, readConfig: parseConfig},
+      platform: {parseSettings: parseBootSettings, parseConfig},
       clock: new SystemClock(),
       random: new SeededRandom(SEED),
       operator: 'anna',
--- a/test/core/booking/grouped-claims.test.ts
+++ b/test/core/booking/grouped-claims.test.ts
@@ -87,7 +87,7 @@
 const FAULTS = fc.array(
   fc.constantFrom(
     undefined,
-    WriteFault.ANSWER_LOST,
+    WriteFault.RESPONSE_LOST,
     WriteFault.WRITE_LOST,
     WriteFault.UNAVAILABLE,
   ),
