--- a/test/platform/boot-settings.test.ts
+++ b/test/platform/boot-settings.test.ts
@@ -25,7 +25,7 @@
 `;
 
 describe('boot settings', () => {
-  it('turn into settings of our own; unknown fields are ignored', () => {
+  it('are decoded into direct settings; unknown fields are ignored', () => {
     const settings = parseBootSettings(FILE)._unsafeUnwrap();
     expect(settings).toMatchObject({
       vm: 'edge-a-1',
@@ -39,7 +39,7 @@
     });
   });
 
-  it('bound no keys where they are never taken away at once', () => {
+  it('have no revocation bound without strict revocation', () => {
     const text = FILE.replace('strict_revocation: true', '');
     expect(
       parseBootSettings(text)._unsafeUnwrap().keyRevocationMs,
@@ -47,21 +47,25 @@
   });
 
   it.each([
-    {name: 'a missing field', text: FILE.replace(/zone.*/, ''), tells: 'zone'},
     {
-      name: 'a number that is none',
+      name: 'a missing field',
+      text: FILE.replace(/zone.*/, ''),
+      expectedText: 'zone',
+    },
+    {
+      name: 'text in place of a number',
       text: FILE.replace('grace_s: 8', 'grace_s: long'),
-      tells: 'grace_s',
+      expectedText: 'grace_s',
     },
-    {name: 'text that is no YAML', text: 'a: [', tells: 'line'},
-    {name: 'an empty file', text: '', tells: 'object'},
-  ])('say in one line what is wrong: $name', ({text, tells}) => {
+    {name: 'invalid YAML', text: 'a: [', expectedText: 'line'},
+    {name: 'an empty file', text: '', expectedText: 'object'},
+  ])('report $name on a single line', ({text, expectedText}) => {
     const error = parseBootSettings(text)._unsafeUnwrapErr();
-    expect(error).toContain(tells);
+    expect(error).toContain(expectedText);
     expect(error).not.toContain('\n');
   });
 
-  it('name a file that is not there', () => {
+  it('report the path of a missing file', () => {
     const error = loadBootSettings('/nowhere/boot.yaml')._unsafeUnwrapErr();
     expect(error).toContain('/nowhere/boot.yaml');
   });
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -1,4 +1,4 @@
-/** What lies in the store and on the wire, decoded into our own types. */
+/** Decoding of stored objects and of headers. */
 import {describe, expect, it} from 'vitest';
 
 import {decodeConfig} from '../../platform/config-codec.js';
@@ -37,7 +37,7 @@
     expect(config.accounts).toHaveLength(1);
   });
 
-  it('repeats no operation of a kind that it does not know', () => {
+  it('treats an unknown kind of operation as unsafe', () => {
     const wire = siteConfig({version: 1});
     const routes = wire.routes.map((r) => ({...r, route_type: 'new'}));
     const config = decodeConfig('main', {...wire, routes}).unsafeCoerce();
@@ -46,15 +46,15 @@
 
   it.each([
     {name: 'another object', object: 'other', spec: siteConfig({version: 1})},
-    {name: 'half a configuration', object: 'main', spec: {version: 1}},
-    {name: 'none', object: 'main', spec: null},
-  ])('takes nothing from $name', ({object, spec}) => {
+    {name: 'an incomplete configuration', object: 'main', spec: {version: 1}},
+    {name: 'null', object: 'main', spec: null},
+  ])('decodes $name to Nothing', ({object, spec}) => {
     expect(decodeConfig(object, spec).isNothing()).toBe(true);
   });
 });
 
 describe('decodeTarget', () => {
-  const sound = {
+  const validSpec = {
     service: 's',
     address: '10.0.0.1:80',
     zone: 'a',
@@ -64,28 +64,32 @@
   };
 
   it.each([
-    {name: 'a ready one', spec: sound, isDraining: false},
+    {name: 'a ready target', spec: validSpec, isDraining: false},
     {
-      name: 'a leaving one',
-      spec: {...sound, state: 'draining'},
+      name: 'a draining target',
+      spec: {...validSpec, state: 'draining'},
       isDraining: true,
     },
-    {name: 'one with new fields', spec: {...sound, x: 1}, isDraining: false},
+    {
+      name: 'a target with unknown fields',
+      spec: {...validSpec, x: 1},
+      isDraining: false,
+    },
   ])('decodes $name', ({spec, isDraining}) => {
     const target = decodeTarget('i-1', spec).unsafeCoerce();
     expect(target).toMatchObject({id: 'i-1', dataCentre: 'a', isDraining});
   });
 
   it.each([
-    {...sound, slots: 0},
-    {...sound, slots: '4'},
-    {...sound, address: '10.0.0.1'},
-    {...sound, state: 7},
-    {...sound, state: 'asleep'},
-    {...sound, zone: undefined},
+    {...validSpec, slots: 0},
+    {...validSpec, slots: '4'},
+    {...validSpec, address: '10.0.0.1'},
+    {...validSpec, state: 7},
+    {...validSpec, state: 'asleep'},
+    {...validSpec, zone: undefined},
     'text',
     null,
-  ])('names no target: %j', (spec) => {
+  ])('decodes a malformed registration to Nothing: %j', (spec) => {
     expect(decodeTarget('i-1', spec).isNothing()).toBe(true);
   });
 });
@@ -105,7 +109,7 @@
     ...['X-Twice', '2'],
   ];
 
-  it('of callers are decoded once, and what is ours to set is dropped', () => {
+  it('of callers are decoded; system and connection headers are dropped', () => {
     const head = decodeCallerHeaders(raw);
     expect(head).toMatchObject({
       attemptId: 'a1',
@@ -120,14 +124,14 @@
   });
 
   it.each(['-1', '1e3', '', 'soon', '9999999999999'])(
-    'with a deadline of %j name none',
+    'with the malformed deadline %j have no deadline',
     (text) => {
       const head = decodeCallerHeaders(['Deadline-Ms', text]);
       expect(head.deadlineMs).toBeUndefined();
     },
   );
 
-  it('towards targets carry what we set', () => {
+  it('of requests to targets contain the system headers', () => {
     const flat = encodeTargetRequestHeaders({
       target: decodeTarget('i-1', {
         service: 's',
@@ -164,7 +168,7 @@
     {raw: ['Instance-Load', '3,1,8'], load: {running: 3, waiting: 1}},
     {raw: ['Instance-Load', 'much'], load: undefined},
     {raw: [], load: undefined},
-  ])('of answers tell the load: $raw', ({raw: answer, load}) => {
-    expect(decodeTargetResponseHeaders(answer).load).toEqual(load);
+  ])('of responses contain the load: $raw', ({raw: rawHeaders, load}) => {
+    expect(decodeTargetResponseHeaders(rawHeaders).load).toEqual(load);
   });
 });
