--- a/src/cli/backoff.ts
+++ b/src/cli/backoff.ts
@@ -7,15 +7,15 @@
 }
 
 /**
- * Returns the delay before a retry: it doubles up to a maximum, and half of it
- * is random, so that retries of many callers spread.
+ * Returns the delay before a retry. It doubles up to a maximum, and half of it
+ * is random, so that the retries of many callers are spread over time.
  *
  * @example
  * resolveBackoff({range: {firstMs: 100, maxMs: 2_000}, attempt: 3, random});
  */
 export function resolveBackoff(options: {
   range: BackoffRange;
-  /** Failed attempts so far, from 1. */
+  /** Number of failed attempts, from 1. */
   attempt: number;
   random: RandomSource;
 }): number {
--- a/src/cli/commands/apply/config-writer.ts
+++ b/src/cli/commands/apply/config-writer.ts
@@ -14,16 +14,16 @@
 import type {AcceptOutcome, AcceptRequest, CurrentConfig} from './types.js';
 import {AcceptKind} from './types.js';
 
-/** Writes of one document before the outcome is given up on. */
-const MAX_WRITES = 6;
+/** Maximum number of attempts to write one document. */
+const MAX_WRITE_ATTEMPTS = 6;
 
 const BACKOFF: BackoffRange = {firstMs: 200, maxMs: 2_000};
 
 /**
- * Writes the accepted configuration with a conditional update. Every write of
- * one document carries one nonce, so that a lost answer is settled by reading
- * back, and a write is repeated on the same condition only: at most one of
- * them takes effect.
+ * Writes the accepted configuration with a conditional update. All attempts to
+ * write a document carry the same nonce, so that reading it back shows whether
+ * a write without a response took effect. They also have the same condition,
+ * so that at most one of them takes effect.
  */
 export class ConfigWriter {
   private readonly store: ObjectStore;
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Accepts a document unless another operator was first.
+   * Accepts a document unless another operator's document was accepted first.
    *
    * @example
    * await writer.accept({document, operator: 'anna', expectedVersion: 4});
@@ -53,10 +53,10 @@
       return {kind: AcceptKind.FAILED, detail, isInDoubt: false};
     }
     const current = read.value;
-    if (holdsDocument(current, req)) {
+    if (isSameDocument(current, req)) {
       return {kind: AcceptKind.UNCHANGED, version: current.version};
     }
-    if (!meetsExpectation(current, req)) {
+    if (!matchesExpectedVersion(current, req)) {
       return {kind: AcceptKind.CONFLICT, current, isInDoubt: false};
     }
     const {document, operator} = req;
@@ -70,7 +70,7 @@
   ): Promise<AcceptOutcome> {
     let isInDoubt = false;
     let detail = '';
-    for (let attempt = 1; attempt <= MAX_WRITES; attempt++) {
+    for (let attempt = 1; attempt <= MAX_WRITE_ATTEMPTS; attempt++) {
       const written = await this.writeOnce(previous, value);
       if (written.isOk()) {
         const version = written.value;
@@ -81,11 +81,15 @@
       if (written.error.kind === StoreErrorKind.INVALID) {
         break;
       }
-      const settled = await this.settle(previous, value.nonce, isInDoubt);
-      if (settled !== undefined) {
-        return settled;
+      const outcome = await this.readBackOutcome(
+        previous,
+        value.nonce,
+        isInDoubt,
+      );
+      if (outcome !== undefined) {
+        return outcome;
       }
-      await this.pause(attempt);
+      await this.waitBeforeRetry(attempt);
     }
     return {kind: AcceptKind.FAILED, detail, isInDoubt};
   }
@@ -102,8 +106,11 @@
     return written.map(({version}) => version);
   }
 
-  /** Reads back; undefined where the store still holds `previous`. */
-  private async settle(
+  /**
+   * Reads the configuration back; undefined if the read fails or the store
+   * still holds `previous`.
+   */
+  private async readBackOutcome(
     previous: CurrentConfig,
     nonce: string,
     isInDoubt: boolean,
@@ -113,10 +120,10 @@
       return undefined;
     }
     const current = read.value;
-    const isOurs = current.stored
+    const isOwnWrite = current.stored
       .filter((stored) => stored.nonce === nonce)
       .isJust();
-    if (isOurs) {
+    if (isOwnWrite) {
       const {version} = current;
       return {kind: AcceptKind.ACCEPTED, version, previous};
     }
@@ -125,7 +132,7 @@
       : {kind: AcceptKind.CONFLICT, current, isInDoubt};
   }
 
-  private pause(attempt: number): Promise<void> {
+  private waitBeforeRetry(attempt: number): Promise<void> {
     const {random} = this;
     const delayMs = resolveBackoff({range: BACKOFF, attempt, random});
     return sleep(this.clock, delayMs);
@@ -145,13 +152,16 @@
   return ok({version, stored: version === 0 ? Nothing : stored});
 }
 
-function holdsDocument(current: CurrentConfig, req: AcceptRequest): boolean {
+function isSameDocument(current: CurrentConfig, req: AcceptRequest): boolean {
   return current.stored
     .filter(({document}) => isDeepStrictEqual(document, req.document))
     .isJust();
 }
 
-function meetsExpectation(current: CurrentConfig, req: AcceptRequest): boolean {
+function matchesExpectedVersion(
+  current: CurrentConfig,
+  req: AcceptRequest,
+): boolean {
   if (req.expectedVersion !== undefined) {
     return current.version === req.expectedVersion;
   }
--- a/src/cli/commands/apply/run-apply.ts
+++ b/src/cli/commands/apply/run-apply.ts
@@ -85,7 +85,7 @@
   document: ConfigDocument,
 ): void {
   const {current, isInDoubt} = outcome;
-  reportError(ctx, CONFIG_CONFLICT, describeWinner(current));
+  reportError(ctx, CONFIG_CONFLICT, describeCurrentConfig(current));
   if (isInDoubt) {
     ctx.err('  Yours may have been accepted first and replaced since.\n');
   }
@@ -93,7 +93,7 @@
   listChanges(current, document).forEach((line) => ctx.err(`  ${line}\n`));
 }
 
-function describeWinner({version, stored}: CurrentConfig): string {
+function describeCurrentConfig({version, stored}: CurrentConfig): string {
   if (version === 0) {
     return 'no configuration is accepted';
   }
--- a/src/cli/commands/apply/types.ts
+++ b/src/cli/commands/apply/types.ts
@@ -11,23 +11,23 @@
   readonly json?: boolean;
 }
 
-/** What an operator wants accepted. */
+/** A document to accept. */
 export interface AcceptRequest {
   readonly document: ConfigDocument;
   readonly operator: string;
-  /** Version that has to be in the store; 0 where there is none. */
+  /** Version that the store must hold; 0 for none. */
   readonly expectedVersion?: number;
 }
 
-/** The accepted configuration as the store holds it. */
+/** The accepted configuration in the store. */
 export interface CurrentConfig {
-  /** 0 where nothing was accepted yet. */
+  /** 0 if no configuration has been accepted. */
   readonly version: number;
-  /** Nothing where the object is absent or has another shape. */
+  /** Nothing if the object is absent or malformed. */
   readonly stored: Maybe<StoredConfig>;
 }
 
-/** How an attempt to accept a document ended. */
+/** Results of the acceptance of a document. */
 export enum AcceptKind {
   ACCEPTED = 'accepted',
   UNCHANGED = 'unchanged',
@@ -35,7 +35,7 @@
   FAILED = 'failed',
 }
 
-/** The outcome of an attempt to accept a document. */
+/** The outcome of the acceptance of a document. */
 export type AcceptOutcome =
   | {
       readonly kind: AcceptKind.ACCEPTED;
@@ -46,12 +46,12 @@
   | {
       readonly kind: AcceptKind.CONFLICT;
       readonly current: CurrentConfig;
-      /** Whether a write of ours may have held for a time. */
+      /** Whether an own write may have taken effect and been replaced. */
       readonly isInDoubt: boolean;
     }
   | {
       readonly kind: AcceptKind.FAILED;
       readonly detail: string;
-      /** Whether a write of ours may have taken effect. */
+      /** Whether an own write may have taken effect. */
       readonly isInDoubt: boolean;
     };
--- a/src/cli/commands/call/index.ts
+++ b/src/cli/commands/call/index.ts
@@ -5,7 +5,7 @@
 import type {CommandOptions} from '../../types.js';
 import type {CallOptions} from './types.js';
 
-/** Time for a call where none is given, in milliseconds. */
+/** Default deadline of a call, in milliseconds. */
 const DEFAULT_DEADLINE_MS = 60_000;
 
 /** Declares `call`. */
--- a/src/cli/commands/call/run-call.ts
+++ b/src/cli/commands/call/run-call.ts
@@ -12,25 +12,27 @@
 import {ExitStatus} from '../../types.js';
 import type {CallOptions} from './types.js';
 
-/** Time for an answer to arrive after the deadline, in milliseconds. */
-const ANSWER_GRACE_MS = 1_000;
+/** Time to wait for a response after the deadline, in milliseconds. */
+const RESPONSE_GRACE_MS = 1_000;
 
 /** Runs `call`. */
 export async function runCall(
   ctx: CliContext,
   options: CallOptions,
 ): Promise<ExitStatus> {
-  const answer = await callHttp({
+  const response = await callHttp({
     url: createUrl(options),
     method: options.method.toUpperCase(),
     headers: createHeaders(options),
     body: options.body,
-    // The entry's own refusal at the deadline should arrive.
-    timeoutMs: options.deadline + ANSWER_GRACE_MS,
+    // Leaves time for the entry's own refusal at the deadline.
+    timeoutMs: options.deadline + RESPONSE_GRACE_MS,
   });
-  return answer.match(
+  return response.match(
     (value) =>
-      options.json === true ? reportJson(ctx, value) : reportAnswer(ctx, value),
+      options.json === true
+        ? reportJson(ctx, value)
+        : reportResponse(ctx, value),
     (error) => reportFailure(ctx, error),
   );
 }
@@ -52,11 +54,11 @@
   return headers;
 }
 
-function reportJson(ctx: CliContext, answer: HttpResponse): ExitStatus {
-  const {status, body, problem, retryAfterMs} = answer;
+function reportJson(ctx: CliContext, response: HttpResponse): ExitStatus {
+  const {status, body, problem, retryAfterMs} = response;
   const report = problem === undefined ? {status, body} : {status, problem};
   ctx.out(`${JSON.stringify({...report, retryAfterMs})}\n`);
-  return resolveStatus(answer);
+  return resolveStatus(response);
 }
 
 function resolveStatus({status, problem}: HttpResponse): ExitStatus {
@@ -64,18 +66,18 @@
   return status < FIRST_ERROR_STATUS ? ExitStatus.OK : ExitStatus.FAILED;
 }
 
-function reportAnswer(ctx: CliContext, answer: HttpResponse): ExitStatus {
-  const {status, body, problem, retryAfterMs} = answer;
+function reportResponse(ctx: CliContext, response: HttpResponse): ExitStatus {
+  const {status, body, problem, retryAfterMs} = response;
   if (problem !== undefined) {
     ctx.err(`${formatRefusal(problem)}\n`);
     ctx.err(
       retryAfterMs === undefined ? '' : `retry after ${retryAfterMs} ms\n`,
     );
-    return resolveStatus(answer);
+    return resolveStatus(response);
   }
   ctx.err(`status ${status}\n`);
   ctx.out(body === '' || body.endsWith('\n') ? body : `${body}\n`);
-  return resolveStatus(answer);
+  return resolveStatus(response);
 }
 
 function reportFailure(ctx: CliContext, error: HttpError): ExitStatus {
--- a/src/cli/commands/check-platform/run-check-platform.ts
+++ b/src/cli/commands/check-platform/run-check-platform.ts
@@ -8,7 +8,7 @@
 import {ExitStatus} from '../../types.js';
 import type {CheckPlatformOptions} from './types.js';
 
-/** What is wrong in a file; `subject` is the part of it. */
+/** A problem in a file; `subject` is the part of the file. */
 interface FileProblem {
   readonly file: string;
   readonly subject: string;
@@ -22,7 +22,7 @@
 ): Promise<ExitStatus> {
   const {settings, routes, json} = options;
   if (settings === undefined && routes === undefined) {
-    ctx.err('name a file with --settings or --routes\n');
+    ctx.err('specify a file with --settings or --routes\n');
     return ExitStatus.BAD_INPUT;
   }
   const problems = [
--- a/src/cli/commands/drain/index.ts
+++ b/src/cli/commands/drain/index.ts
@@ -5,7 +5,7 @@
 import type {CommandOptions} from '../../types.js';
 import type {DrainOptions} from './types.js';
 
-/** Time to wait where none is given, in milliseconds. */
+/** Default time to wait, in milliseconds. */
 const DEFAULT_DEADLINE_MS = 600_000;
 
 /** Declares `drain`. */
--- a/src/cli/commands/drain/run-drain.ts
+++ b/src/cli/commands/drain/run-drain.ts
@@ -12,10 +12,10 @@
 import {ExitStatus} from '../../types.js';
 import type {DrainOptions} from './types.js';
 
-/** Time between two looks at a draining process, in milliseconds. */
+/** Time between two status requests to a draining process, in milliseconds. */
 const POLL_PERIOD_MS = 250;
 
-/** How far a planned stop has come. */
+/** Progress of a graceful shutdown. */
 enum DrainState {
   DRAINING = 'draining',
   GONE = 'gone',
@@ -26,27 +26,27 @@
   ctx: CliContext,
   options: DrainOptions,
 ): Promise<ExitStatus> {
-  const answer = await callHttp({
+  const response = await callHttp({
     url: `${options.operators}${DRAIN_PATH}`,
     method: 'POST',
     headers: {},
     timeoutMs: OPERATORS_TIMEOUT_MS,
   });
-  if (answer.isErr()) {
-    reportError(ctx, PROCESS_UNREACHABLE, answer.error.detail);
+  if (response.isErr()) {
+    reportError(ctx, PROCESS_UNREACHABLE, response.error.detail);
     return ExitStatus.FAILED;
   }
-  const {status, problem} = answer.value;
+  const {status, problem} = response.value;
   if (status >= FIRST_ERROR_STATUS) {
     const refusal = problem && formatRefusal(problem);
     ctx.err(`${refusal ?? `refused: status ${status}`}\n`);
     return ExitStatus.REFUSED;
   }
-  report(ctx, options, DrainState.DRAINING);
+  reportState(ctx, options, DrainState.DRAINING);
   return options.wait === true ? waitUntilGone(ctx, options) : ExitStatus.OK;
 }
 
-function report(
+function reportState(
   ctx: CliContext,
   {operators, json}: DrainOptions,
   state: DrainState,
@@ -55,7 +55,10 @@
   ctx.out(`${line}\n`);
 }
 
-/** Waits until nothing listens any more; silence alone is not enough. */
+/**
+ * Waits until connections to the process are refused; a missing response is
+ * not enough.
+ */
 async function waitUntilGone(
   ctx: CliContext,
   options: DrainOptions,
@@ -64,7 +67,7 @@
   while (ctx.clock.now() < deadlineAt) {
     const status = await readStatus(options.operators);
     if (status.isErr() && status.error.kind === HttpErrorKind.NOT_SENT) {
-      report(ctx, options, DrainState.GONE);
+      reportState(ctx, options, DrainState.GONE);
       return ExitStatus.OK;
     }
     await sleep(ctx.clock, POLL_PERIOD_MS);
--- a/src/cli/commands/explain/run-explain.ts
+++ b/src/cli/commands/explain/run-explain.ts
@@ -15,18 +15,18 @@
   const {id, files, json} = options;
   let lines: LogLine[];
   try {
-    lines = (await readTexts(files)).flatMap(toLines);
+    lines = (await readTexts(files)).flatMap(parseLogLines);
   } catch (e) {
     ctx.err(`${e instanceof Error ? e.message : String(e)}\n`);
     return ExitStatus.BAD_INPUT;
   }
-  const story = buildTimeline({lines, id});
-  if (story.length === 0) {
-    ctx.err(`no line names the request ${id}\n`);
+  const timeline = buildTimeline({lines, id});
+  if (timeline.length === 0) {
+    ctx.err(`no log line contains the request id ${id}\n`);
     return ExitStatus.BAD_INPUT;
   }
-  if (json === true) ctx.out(`${JSON.stringify(story, null, 2)}\n`);
-  else ctx.out(story.map(formatLine).join(''));
+  if (json === true) ctx.out(`${JSON.stringify(timeline, null, 2)}\n`);
+  else ctx.out(timeline.map(formatLine).join(''));
   return ExitStatus.OK;
 }
 
@@ -35,14 +35,14 @@
   return Promise.all(files.map((file) => readFile(file, 'utf8')));
 }
 
-function toLines(content: string): LogLine[] {
+function parseLogLines(content: string): LogLine[] {
   return content.split('\n').flatMap((line) => parseLogLine(line) ?? []);
 }
 
 function formatLine({relation, line}: RelatedLine): string {
   const {timestamp, vm, message, fields} = line;
-  const facts = Object.entries(fields)
+  const formattedFields = Object.entries(fields)
     .filter(([name]) => name !== 'id' && name !== 'role')
     .map(([name, value]) => `${name}=${JSON.stringify(value)}`);
-  return `${timestamp} ${vm} [${relation}] ${message} ${facts.join(' ')}\n`;
+  return `${timestamp} ${vm} [${relation}] ${message} ${formattedFields.join(' ')}\n`;
 }
--- a/src/cli/commands/generate/generation-output.ts
+++ b/src/cli/commands/generate/generation-output.ts
@@ -14,14 +14,14 @@
 import type {StreamEnd} from './types.js';
 import {StreamEndKind} from './types.js';
 
-/** Data of the event that ends an answer. */
+/** Data of the event that ends the output. */
 const DONE_DATA = '[DONE]';
 
-/** Event types besides the plain ones, which carry text. */
+/** Types of events that carry no text; text events have no type. */
 enum EventType {
-  /** The answer so far is void; a new one starts from position 0. */
+  /** The previous output is void; new output starts at position 0. */
   RESTART = 'restart',
-  /** A problem document that ends the answer. */
+  /** A problem document that ends the output. */
   ERROR = 'error',
 }
 
@@ -36,42 +36,42 @@
 
 type Chunk = GetType<typeof CHUNK>;
 
-/** Learns of the answer as it comes. */
+/** Receives the output while it is generated. */
 export interface OutputListener {
   onText(text: string): void;
   onRestart(): void;
 }
 
-/** An answer put together from the events of one or more streams. */
+/** Assembles the output of a generation from the events of its streams. */
 export class GenerationOutput {
   private parts: string[] = [];
-  private eventId: string | undefined;
-  private finish: string | undefined;
+  private currentEventId: string | undefined;
+  private currentFinishReason: string | undefined;
   private restartCount = 0;
 
   constructor(private readonly listener: OutputListener) {}
 
-  /** The text so far. */
+  /** The text received since the last restart. */
   get text(): string {
     return this.parts.join('');
   }
 
-  /** Id of the last event that was taken in. */
+  /** Id of the last processed event. */
   get lastEventId(): string | undefined {
-    return this.eventId;
+    return this.currentEventId;
   }
 
-  /** Why the engine ended the answer. */
+  /** Why the engine ended the output. */
   get finishReason(): string | undefined {
-    return this.finish;
+    return this.currentFinishReason;
   }
 
-  /** How often the answer started over. */
+  /** Number of times that the output was restarted. */
   get restarts(): number {
     return this.restartCount;
   }
 
-  /** Takes an event in; returns the end where the event is the last. */
+  /** Processes an event; returns how the stream ended if it is the last one. */
   onEvent(event: EventSourceMessage): StreamEnd | undefined {
     switch (event.event) {
       case EventType.RESTART:
@@ -85,8 +85,8 @@
 
   private restart({id}: EventSourceMessage): undefined {
     this.parts = [];
-    this.finish = undefined;
-    this.eventId = id;
+    this.currentFinishReason = undefined;
+    this.currentEventId = id;
     this.restartCount++;
     this.listener.onRestart();
   }
@@ -100,17 +100,17 @@
       const detail = 'an event has an unknown shape';
       return {kind: StreamEndKind.BROKEN, detail};
     }
-    this.eventId = id ?? this.eventId;
-    this.take(chunk);
+    this.currentEventId = id ?? this.currentEventId;
+    this.appendChunk(chunk);
     return undefined;
   }
 
-  private take(chunk: Chunk): void {
+  private appendChunk(chunk: Chunk): void {
     const [choice] = chunk.choices;
     if (choice === undefined) {
       return;
     }
-    this.finish = choice.finish_reason ?? this.finish;
+    this.currentFinishReason = choice.finish_reason ?? this.currentFinishReason;
     if (choice.text !== '') {
       this.parts.push(choice.text);
       this.listener.onText(choice.text);
--- a/src/cli/commands/generate/index.ts
+++ b/src/cli/commands/generate/index.ts
@@ -5,10 +5,10 @@
 import type {CommandOptions} from '../../types.js';
 import type {GenerateOptions} from './types.js';
 
-/** Tokens of an answer where no number is given. */
+/** Default maximum number of output tokens. */
 const DEFAULT_MAX_TOKENS = 256;
 
-/** Time for an answer where none is given, in milliseconds. */
+/** Default deadline for the complete output, in milliseconds. */
 const DEFAULT_DEADLINE_MS = 600_000;
 
 /** Declares `generate`. */
--- a/src/cli/commands/generate/read-stream.ts
+++ b/src/cli/commands/generate/read-stream.ts
@@ -19,28 +19,28 @@
 import type {StreamEnd} from './types.js';
 import {StreamEndKind} from './types.js';
 
-/** Silence after which a stream counts as broken, in milliseconds. */
+/** Time without data after which a stream counts as broken, in milliseconds. */
 const STREAM_TIMEOUT_MS = 30_000;
 
 const OK_STATUS = 200;
 
-/** First HTTP status by which a server blames itself. */
-const FIRST_SERVER_ERROR = 500;
+/** First HTTP status that reports a server error. */
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
- * Posts a completion to one entry and feeds its events to the answer, until
- * the answer ends or the connection breaks.
+ * Requests a completion from one entry and passes its events to `output`,
+ * until the output ends or the connection breaks.
  */
 export async function readStream(options: {
   url: string;
   key: string;
   body: string;
-  answer: GenerationOutput;
-  /** Time left for the whole answer. */
+  output: GenerationOutput;
+  /** Time left for the complete output, in milliseconds. */
   deadlineMs: number;
   signal: AbortSignal;
 }): Promise<StreamEnd> {
-  const {url, body, answer, signal} = options;
+  const {url, body, output, signal} = options;
   try {
     const res = await request(url, {
       method: 'POST',
@@ -51,7 +51,7 @@
       signal,
     });
     return res.statusCode === OK_STATUS
-      ? await readEvents(res, answer)
+      ? await readEvents(res, output)
       : await readRefusal(res);
   } catch (thrown) {
     const {detail} = toHttpError(toHttpFailure(thrown));
@@ -61,7 +61,7 @@
 
 function createHeaders(options: {
   key: string;
-  answer: GenerationOutput;
+  output: GenerationOutput;
   deadlineMs: number;
 }): Record<string, string> {
   const headers: Record<string, string> = {
@@ -70,7 +70,7 @@
     'content-type': 'application/json',
     [DEADLINE_HEADER]: String(options.deadlineMs),
   };
-  const {lastEventId} = options.answer;
+  const {lastEventId} = options.output;
   if (lastEventId !== undefined) {
     headers[LAST_EVENT_ID_HEADER] = lastEventId;
   }
@@ -79,12 +79,12 @@
 
 async function readEvents(
   res: Dispatcher.ResponseData,
-  answer: GenerationOutput,
+  output: GenerationOutput,
 ): Promise<StreamEnd> {
   let end: StreamEnd | undefined;
   const parser = createParser({
     onEvent: (event) => {
-      end ??= answer.onEvent(event);
+      end ??= output.onEvent(event);
     },
   });
   const decoder = new TextDecoder();
@@ -94,7 +94,7 @@
       return end;
     }
   }
-  const detail = 'the stream closed before the answer ended';
+  const detail = 'the stream closed before the output was complete';
   return {kind: StreamEndKind.BROKEN, detail};
 }
 
@@ -108,7 +108,7 @@
   if (problem !== undefined) {
     return {kind: StreamEndKind.REFUSED, problem, retryAfterMs};
   }
-  if (status < FIRST_SERVER_ERROR) {
+  if (status < FIRST_SERVER_ERROR_STATUS) {
     const unnamed = createUnnamedProblem(status, text);
     return {kind: StreamEndKind.REFUSED, problem: unnamed};
   }
@@ -116,7 +116,7 @@
   return {kind: StreamEndKind.BROKEN, detail, retryAfterMs};
 }
 
-/** Stands for a refusal that comes from something else than an entry. */
+/** Creates a problem document for a refusal that an entry did not generate. */
 function createUnnamedProblem(status: number, detail: string): ProblemDocument {
   return {status, title: '', detail, reason: 'unnamed', ran: Executed.UNKNOWN};
 }
--- a/src/cli/commands/generate/run-generate.ts
+++ b/src/cli/commands/generate/run-generate.ts
@@ -18,8 +18,8 @@
 
 const BACKOFF: BackoffRange = {firstMs: 100, maxMs: 2_000};
 
-/** Refusals of one entry that another entry need not give. */
-const ENTRY_REASONS: ReadonlySet<string> = new Set([
+/** Reasons for refusals that apply to one entry only. */
+const ENTRY_SPECIFIC_REASONS: ReadonlySet<string> = new Set([
   RefusalReason.LEAVING,
   RefusalReason.NOT_READY,
 ]);
@@ -32,20 +32,20 @@
   return new GenerateRun(ctx, options).run();
 }
 
-/** One answer, over as many streams as it takes. */
+/** One generation, whose output is read from one or more streams. */
 class GenerateRun {
-  private readonly answer: GenerationOutput;
+  private readonly output: GenerationOutput;
   private readonly deadlineAt: number;
   private readonly signal: AbortSignal;
   private readonly body: string;
-  private streams = 0;
-  private failures = 0;
+  private streamCount = 0;
+  private consecutiveFailures = 0;
 
   constructor(
     private readonly ctx: CliContext,
     private readonly options: GenerateOptions,
   ) {
-    this.answer = new GenerationOutput({
+    this.output = new GenerationOutput({
       onText: (text) => this.showText(text),
       onRestart: () => this.showRestart(),
     });
@@ -56,32 +56,32 @@
 
   async run(): Promise<ExitStatus> {
     for (;;) {
-      const before = this.answer.lastEventId;
+      const previousEventId = this.output.lastEventId;
       const end = await this.readNext();
       if (end.kind === StreamEndKind.DONE) {
-        return this.finish();
+        return this.reportOutput();
       }
       if (end.kind === StreamEndKind.REFUSED && !this.canRetry(end)) {
         this.ctx.err(`\n${formatRefusal(end.problem)}\n`);
         return ExitStatus.REFUSED;
       }
-      const hasProgress = this.answer.lastEventId !== before;
-      this.failures = hasProgress ? 1 : this.failures + 1;
+      const hasProgress = this.output.lastEventId !== previousEventId;
+      this.consecutiveFailures = hasProgress ? 1 : this.consecutiveFailures + 1;
       if (!(await this.waitForRetry(end))) {
-        return this.giveUp(end);
+        return this.reportFailure(end);
       }
     }
   }
 
   private readNext(): Promise<StreamEnd> {
     const {entry, key} = this.options;
-    const base = entry[this.streams % entry.length] ?? '';
-    this.streams++;
-    const {answer, body, signal} = this;
+    const base = entry[this.streamCount % entry.length] ?? '';
+    this.streamCount++;
+    const {output, body, signal} = this;
     const url = `${base}${COMPLETIONS_PATH}`;
     const leftMs = this.deadlineAt - this.ctx.clock.now();
     const deadlineMs = Math.max(1, Math.floor(leftMs));
-    return readStream({url, key, body, answer, deadlineMs, signal});
+    return readStream({url, key, body, output, deadlineMs, signal});
   }
 
   private canRetry(end: StreamEnd & {kind: StreamEndKind.REFUSED}): boolean {
@@ -89,21 +89,21 @@
     if (problem.ran !== Executed.NO) {
       return false;
     }
-    const isResume = this.answer.lastEventId !== undefined;
+    const isResume = this.output.lastEventId !== undefined;
     return (
-      ENTRY_REASONS.has(problem.reason) ||
+      ENTRY_SPECIFIC_REASONS.has(problem.reason) ||
       (isResume && retryAfterMs !== undefined)
     );
   }
 
-  /** Returns false where the deadline comes first. */
+  /** Waits before a retry; returns false if the deadline would pass first. */
   private async waitForRetry(end: StreamEnd): Promise<boolean> {
     const {clock, random} = this.ctx;
-    const attempt = this.failures;
+    const attempt = this.consecutiveFailures;
     const backoffMs = resolveBackoff({range: BACKOFF, attempt, random});
-    const askedMs =
+    const requestedMs =
       end.kind === StreamEndKind.DONE ? 0 : (end.retryAfterMs ?? 0);
-    const delayMs = Math.max(backoffMs, askedMs);
+    const delayMs = Math.max(backoffMs, requestedMs);
     if (clock.now() + delayMs >= this.deadlineAt) {
       return false;
     }
@@ -122,16 +122,16 @@
     this.ctx.err('\nthe answer starts over; discard the text above\n');
   }
 
-  private finish(): ExitStatus {
-    const {text, finishReason, restarts} = this.answer;
-    const report = {text, finishReason, restarts, streams: this.streams};
+  private reportOutput(): ExitStatus {
+    const {text, finishReason, restarts} = this.output;
+    const report = {text, finishReason, restarts, streams: this.streamCount};
     this.ctx.out(
       this.options.json === true ? `${JSON.stringify(report)}\n` : '\n',
     );
     return ExitStatus.OK;
   }
 
-  private giveUp(end: StreamEnd): ExitStatus {
+  private reportFailure(end: StreamEnd): ExitStatus {
     this.ctx.err('\n');
     reportError(this.ctx, ENTRY_UNREACHABLE, describeEnd(end));
     return ExitStatus.FAILED;
--- a/src/cli/commands/generate/types.ts
+++ b/src/cli/commands/generate/types.ts
@@ -11,17 +11,17 @@
   readonly json?: boolean;
 }
 
-/** How one stream of an answer ended. */
+/** How one stream of a generation ended. */
 export enum StreamEndKind {
-  /** The answer is whole. */
+  /** The output is complete. */
   DONE = 'done',
-  /** The connection broke; the answer can be continued. */
+  /** The connection broke; the generation can be resumed. */
   BROKEN = 'broken',
   /** The request was refused. */
   REFUSED = 'refused',
 }
 
-/** The end of one stream of an answer. */
+/** The end of one stream of a generation. */
 export type StreamEnd =
   | {readonly kind: StreamEndKind.DONE}
   | {
--- a/src/cli/commands/index.ts
+++ b/src/cli/commands/index.ts
@@ -1,4 +1,4 @@
-/** The commands; each loads its code when it runs. */
+/** The commands; each loads its implementation when it runs. */
 import type {CommandFactory} from '../types.js';
 import {createApplyCommand} from './apply/index.js';
 import {createCallCommand} from './call/index.js';
--- a/src/cli/commands/status/run-status.ts
+++ b/src/cli/commands/status/run-status.ts
@@ -33,7 +33,7 @@
 ): Promise<ExitStatus> {
   const reports = await Promise.all(options.operators.map(createReport));
   if (options.json === true) {
-    ctx.out(`${JSON.stringify(reports.map(resolveJson), null, 2)}\n`);
+    ctx.out(`${JSON.stringify(reports.map(toJson), null, 2)}\n`);
   } else {
     ctx.out(formatTable({header: HEADER, rows: reports.map(formatRow)}));
   }
@@ -46,7 +46,7 @@
   return {url, status: await readStatus(url)};
 }
 
-function resolveJson({url, status}: ProcessReport) {
+function toJson({url, status}: ProcessReport) {
   return status.match(
     (value) => ({url, status: value}),
     ({kind, detail}) => ({url, error: {kind, detail}}),
--- a/src/cli/config-files/diff-documents.ts
+++ b/src/cli/config-files/diff-documents.ts
@@ -2,23 +2,23 @@
 
 import type {ConfigDocument} from '../../core/config/index.js';
 
-/** Scope of changes in the base. */
+/** Scope of changes in `base.yaml`. */
 const BASE_SCOPE = 'base';
 
-/** One value that two documents differ in. */
+/** One value that differs between two documents. */
 export interface ConfigChange {
-  /** The site of the overlay, or `base`. */
+  /** `base`, or `site NAME` for the overlay of a site. */
   readonly scope: string;
   /** Keys joined by dots; empty for the whole file. */
   readonly path: string;
-  /** Undefined where it was absent. */
+  /** Undefined if the value was absent. */
   readonly before: unknown;
-  /** Undefined where it is absent. */
+  /** Undefined if the value is absent. */
   readonly after: unknown;
 }
 
 /**
- * Lists the values that differ, by site and path.
+ * Lists the values that differ, by scope and path.
  *
  * @example
  * diffDocuments({before: accepted, after: local}).map(formatChange);
@@ -27,15 +27,15 @@
   before: ConfigDocument | undefined;
   after: ConfigDocument | undefined;
 }): ConfigChange[] {
-  const before = resolveScopes(options.before);
-  const after = resolveScopes(options.after);
+  const before = contentByScope(options.before);
+  const after = contentByScope(options.after);
   const scopes = new Set([...before.keys(), ...after.keys()]);
   return [...scopes].flatMap((scope) =>
     diffValues(scope, [], before.get(scope), after.get(scope)),
   );
 }
 
-function resolveScopes(
+function contentByScope(
   document: ConfigDocument | undefined,
 ): Map<string, unknown> {
   if (document === undefined) {
@@ -56,7 +56,7 @@
   if (isDeepStrictEqual(before, after)) {
     return [];
   }
-  if (!isMap(before) || !isMap(after)) {
+  if (!isPlainObject(before) || !isPlainObject(after)) {
     return [{scope, path: path.join('.'), before, after}];
   }
   const keys = new Set([...Object.keys(before), ...Object.keys(after)]);
@@ -65,20 +65,20 @@
   );
 }
 
-function isMap(value: unknown): value is Record<string, unknown> {
+function isPlainObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
 /**
- * Writes a change on one line.
+ * Formats a change as one line.
  *
  * @example
  * formatChange(change); // base limits.maxTokens: 4096 -> 8192
  */
 export function formatChange(change: ConfigChange): string {
   const {scope, path, before, after} = change;
-  const where = path === '' ? scope : `${scope} ${path}`;
-  return `${where}: ${formatValue(before)} -> ${formatValue(after)}`;
+  const location = path === '' ? scope : `${scope} ${path}`;
+  return `${location}: ${formatValue(before)} -> ${formatValue(after)}`;
 }
 
 function formatValue(value: unknown): string {
--- a/src/cli/config-files/load-deployment.ts
+++ b/src/cli/config-files/load-deployment.ts
@@ -68,8 +68,8 @@
 }
 
 /**
- * Loads a deployment for a command; where it has problems, shows them and
- * fails.
+ * Loads a deployment for a command; prints its problems and fails if it has
+ * any.
  */
 export async function loadDeploymentOrReport(
   ctx: CliContext,
--- a/src/cli/consts.ts
+++ b/src/cli/consts.ts
@@ -1,7 +1,7 @@
 /** Name of the tool. */
 export const TOOL_NAME = 'plantainrill';
 
-/** Exit statuses as the help shows them. */
+/** Exit statuses, as shown in the help. */
 export const EXIT_STATUS_HELP = `
 Exit status:
   0  done
@@ -10,17 +10,17 @@
   3  conflict with another operator
   4  refused`;
 
-/** Path of generations at an entry. */
+/** Path for generations at an entry. */
 export const COMPLETIONS_PATH = '/v1/completions';
 
-/** Path of plain services at an entry; the service's name follows. */
+/** Path for plain services at an entry; followed by the service's name. */
 export const SERVICES_PATH = '/services';
 
 /** Path of a process's status at its operators address. */
 export const STATUS_PATH = '/status';
 
-/** Path that makes a process leave. */
+/** Path that starts the graceful shutdown of a process. */
 export const DRAIN_PATH = '/drain';
 
-/** Time for a call to a process's operators address, in milliseconds. */
+/** Timeout of a call to a process's operators address, in milliseconds. */
 export const OPERATORS_TIMEOUT_MS = 5_000;
--- a/src/cli/create-store.ts
+++ b/src/cli/create-store.ts
@@ -1,6 +1,6 @@
 import type {ObjectStore} from '../core/edges/index.js';
 
-/** Connects to the platform's object API. */
+/** Creates a client for the platform's object store. */
 export async function createStore(options: {
   baseUrl: string;
 }): Promise<ObjectStore> {
--- a/src/cli/http/call-http.ts
+++ b/src/cli/http/call-http.ts
@@ -1,7 +1,7 @@
 import type {Result} from 'neverthrow';
 
 import type {
-  HttpAnswer as RawAnswer,
+  HttpAnswer as AdapterResponse,
   HttpFailure,
 } from '../../adapters/http-call.js';
 import {
@@ -18,11 +18,11 @@
 import type {HttpResponse, HttpError} from './types.js';
 import {HttpErrorKind} from './types.js';
 
-/** A run of the tool makes few calls; each opens its own connection. */
+/** Each call opens its own connection, as the tool makes few calls. */
 const POOL = createPool({keepsAlive: false});
 
 /**
- * Sends one request and reads its answer whole.
+ * Sends a request and reads the complete response.
  *
  * @example
  * await callHttp({url, method: 'GET', headers: {}, timeoutMs: 2_000});
@@ -36,15 +36,15 @@
 }): Promise<Result<HttpResponse, HttpError>> {
   const {headers, ...rest} = options;
   const fields = Object.entries(headers);
-  const answer = await exchange({
+  const response = await exchange({
     dispatcher: POOL,
     headers: fields.map(([name, value]) => ({name, value})),
     ...rest,
   });
-  return answer.map(toAnswer).mapErr(toHttpError);
+  return response.map(toResponse).mapErr(toHttpError);
 }
 
-/** Turns a failed exchange into an error of the tool. */
+/** Converts a failure of the HTTP adapter into an error of the tool. */
 export function toHttpError({kind, detail}: HttpFailure): HttpError {
   const isSent = kind !== HttpFailureKind.NOT_SENT;
   return {
@@ -54,15 +54,17 @@
   };
 }
 
-function toAnswer({status, headers, body}: RawAnswer): HttpResponse {
+function toResponse({status, headers, body}: AdapterResponse): HttpResponse {
   const text = Buffer.from(body).toString('utf8');
-  const map = Object.fromEntries(headers.map(({name, value}) => [name, value]));
+  const headerMap = Object.fromEntries(
+    headers.map(({name, value}) => [name, value]),
+  );
   return {
     status,
     body: text,
-    problem: hasProblemContentType(map)
+    problem: hasProblemContentType(headerMap)
       ? parseProblem(text).extract()
       : undefined,
-    retryAfterMs: parseRetryAfter(map),
+    retryAfterMs: parseRetryAfter(headerMap),
   };
 }
--- a/src/cli/http/index.ts
+++ b/src/cli/http/index.ts
@@ -1,4 +1,4 @@
-/** Calls of the tool to processes of a deployment. */
+/** HTTP calls to the processes of a deployment. */
 export * from './call-http.js';
 export * from './problem-document.js';
 export * from './types.js';
--- a/src/cli/http/problem-document.ts
+++ b/src/cli/http/problem-document.ts
@@ -17,22 +17,22 @@
   ran: enumeration(Executed),
 });
 
-/** Header fields as the HTTP client gives them. */
+/** Header fields in the form used by the HTTP client. */
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Reads a problem document; Nothing where the text is none. */
+/** Parses a problem document; Nothing if the text is not one. */
 export function parseProblem(text: string): Maybe<ProblemDocument> {
   return MaybeOf.encase((): unknown => JSON.parse(text)).chain((value) =>
     PROBLEM.decode(value).toMaybe(),
   );
 }
 
-/** Says whether an answer claims to be a problem document. */
+/** Whether the content type of a response is that of a problem document. */
 export function hasProblemContentType(headers: HeaderMap): boolean {
   return String(headers['content-type'] ?? '').startsWith(PROBLEM_TYPE);
 }
 
-/** Returns the seconds of `Retry-After` in milliseconds. */
+/** Returns `Retry-After`, given in whole seconds, in milliseconds. */
 export function parseRetryAfter(headers: HeaderMap): number | undefined {
   const text = headers['retry-after'];
   return typeof text === 'string' && /^\d+$/.test(text)
@@ -41,7 +41,7 @@
 }
 
 /**
- * Writes a refusal on one line.
+ * Formats a refusal as one line.
  *
  * @example
  * formatRefusal(problem); // refused: 503 overloaded (ran: no): queue is full
--- a/src/cli/http/types.ts
+++ b/src/cli/http/types.ts
@@ -1,19 +1,19 @@
 import type {Layer, LayerError, Executed} from '../../core/errors/index.js';
 
-/** Why a call of the tool got no answer. */
+/** Why a call has no usable response. */
 export enum HttpErrorKind {
-  /** No connection: the request certainly did not run. */
+  /** No connection was opened, so the request did not run. */
   NOT_SENT = 'http_not_sent',
-  /** The answer was lost: the request may have run. */
+  /** The response was lost, so the request may have run. */
   LOST = 'http_lost',
-  /** The answer has another shape. */
+  /** The response has an unknown format. */
   MALFORMED = 'http_malformed',
 }
 
-/** An error of a call of the tool. */
+/** An error of an HTTP call. */
 export type HttpError = LayerError<Layer.CLI, HttpErrorKind>;
 
-/** A refusal as an entry's problem document tells it. */
+/** A refusal, as described by an entry's problem document. */
 export interface ProblemDocument {
   readonly status: number;
   readonly title: string;
@@ -22,12 +22,12 @@
   readonly ran: Executed;
 }
 
-/** An answer that was read whole. */
+/** A response that was read completely. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: string;
-  /** Present where the process itself refused the request. */
+  /** Present if the entry or process itself refused the request. */
   readonly problem?: ProblemDocument;
-  /** Present where the answer says when to come back. */
+  /** Present if the response has a `Retry-After` header. */
   readonly retryAfterMs?: number;
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -21,5 +21,5 @@
   },
 });
 
-// Idle connections of the HTTP client must not keep the tool running.
+// Idle connections of the HTTP client would otherwise keep the process alive.
 process.stdout.write('', () => process.exit(status));
--- a/src/cli/operators/index.ts
+++ b/src/cli/operators/index.ts
@@ -1,3 +1,3 @@
-/** What processes tell their operators. */
+/** Reads the status of processes. */
 export * from './read-status.js';
 export * from './types.js';
--- a/src/cli/operators/read-status.ts
+++ b/src/cli/operators/read-status.ts
@@ -18,7 +18,7 @@
 });
 
 /**
- * Asks a process for its status.
+ * Requests the status of a process.
  *
  * @example
  * await readStatus('http://10.0.1.1:7002');
@@ -26,13 +26,13 @@
 export async function readStatus(
   baseUrl: string,
 ): Promise<Result<ProcessStatus, HttpError>> {
-  const answer = await callHttp({
+  const response = await callHttp({
     url: `${baseUrl}${STATUS_PATH}`,
     method: 'GET',
     headers: {},
     timeoutMs: OPERATORS_TIMEOUT_MS,
   });
-  return answer.andThen(({body}) => parseStatus(body));
+  return response.andThen(({body}) => parseStatus(body));
 }
 
 function parseStatus(body: string): Result<ProcessStatus, HttpError> {
--- a/src/cli/operators/types.ts
+++ b/src/cli/operators/types.ts
@@ -1,14 +1,14 @@
-/** What a process tells its operators at `/status`. */
+/** Status of a process, as reported at `/status`. */
 export interface ProcessStatus {
   readonly vm: string;
   readonly role: string;
   readonly dataCentre: string;
-  /** Whether it takes requests. */
+  /** Whether it accepts requests. */
   readonly ready: boolean;
   /** Whether it is shutting down. */
   readonly leaving: boolean;
-  /** Version of the configuration in force; 0 for none. */
+  /** Version of the active configuration; 0 for none. */
   readonly configVersion: number;
-  /** Time since that version came into force, in milliseconds. */
+  /** Time since that version was applied, in milliseconds. */
   readonly configAgeMs: number;
 }
--- a/src/cli/output/index.ts
+++ b/src/cli/output/index.ts
@@ -1,3 +1,3 @@
-/** What people and programs are shown. */
+/** Formats the output of the commands. */
 export * from './report-error.js';
 export * from './table.js';
--- a/src/cli/output/report-error.ts
+++ b/src/cli/output/report-error.ts
@@ -1,7 +1,7 @@
 import type {ErrorData} from '../../core/errors/index.js';
 import type {CliContext} from '../types.js';
 
-/** Tells the operator of an error from the catalogue. */
+/** Prints an error from the catalogue, with a detail and its hint. */
 export function reportError(
   ctx: CliContext,
   data: ErrorData,
--- a/src/cli/output/table.ts
+++ b/src/cli/output/table.ts
@@ -1,7 +1,7 @@
 const COLUMN_GAP = '  ';
 
 /**
- * Lays rows out in columns as wide as their longest cell.
+ * Formats rows in columns that are as wide as their longest cell.
  *
  * @example
  * formatTable({header: ['site', 'accounts'], rows: [['waw', '10']]});
--- a/src/cli/parse-options.ts
+++ b/src/cli/parse-options.ts
@@ -1,7 +1,7 @@
-/** Parsers of option values. */
+/** Parsers for option values. */
 import {InvalidArgumentError} from 'commander';
 
-/** Parses a whole number that is not negative. */
+/** Parses a non-negative integer. */
 export function parseCount(text: string): number {
   const value = Number(text);
   if (!/^\d+$/.test(text) || !Number.isSafeInteger(value)) {
@@ -10,7 +10,7 @@
   return value;
 }
 
-/** Parses a whole number above zero. */
+/** Parses a positive integer. */
 export function parsePositive(text: string): number {
   const value = parseCount(text);
   if (value === 0) {
@@ -19,7 +19,7 @@
   return value;
 }
 
-/** Parses a base URL; the result has no slash at its end. */
+/** Parses a base URL; trailing slashes are removed. */
 export function parseUrl(text: string): string {
   if (!URL.canParse(text) || !/^https?:$/.test(new URL(text).protocol)) {
     throw new InvalidArgumentError('It has to be an http or https URL.');
@@ -27,7 +27,7 @@
   return text.replace(/\/+$/, '');
 }
 
-/** Parses base URLs with commas between them. */
+/** Parses a comma-separated list of base URLs. */
 export function parseUrls(text: string): readonly string[] {
   return text.split(',').map((part) => parseUrl(part.trim()));
 }
--- a/src/cli/run-cli.ts
+++ b/src/cli/run-cli.ts
@@ -17,13 +17,13 @@
 }): Promise<ExitStatus> {
   const {args, ctx} = options;
   let status = ExitStatus.OK;
-  const finish = (ended: ExitStatus): void => {
-    status = ended;
+  const finish = (exitStatus: ExitStatus): void => {
+    status = exitStatus;
   };
   try {
     await createProgram({ctx, finish}).parseAsync(args, {from: 'user'});
   } catch (thrown) {
-    return resolveThrown(thrown);
+    return exitStatusOf(thrown);
   }
   return status;
 }
@@ -49,8 +49,8 @@
   });
 }
 
-/** The command line's own faults are bad input; its help is none. */
-function resolveThrown(thrown: unknown): ExitStatus {
+/** Invalid command lines are bad input; a request for help is a success. */
+function exitStatusOf(thrown: unknown): ExitStatus {
   if (!(thrown instanceof CommanderError)) {
     throw thrown;
   }
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -1,4 +1,4 @@
-/** Shapes shared by all commands. */
+/** Types shared by all commands. */
 import type {Command} from 'commander';
 import type {Result} from 'neverthrow';
 
@@ -7,7 +7,7 @@
 import type {RoutingConfig} from '../core/routes/index.js';
 import type {DirectSettings} from '../core/settings/direct-settings.js';
 
-/** What the tool tells the shell. */
+/** Exit statuses of the tool. */
 export enum ExitStatus {
   OK = 0,
   FAILED = 1,
@@ -16,13 +16,13 @@
   REFUSED = 4,
 }
 
-/** Reads texts in the platform's formats; errors are one line. */
+/** Parsers for the platform's file formats; errors are a single line. */
 export interface PlatformParsers {
   readonly parseSettings: (text: string) => Result<DirectSettings, string>;
   readonly parseConfig: (text: string) => Result<RoutingConfig, string>;
 }
 
-/** What commands need from the outside. */
+/** External dependencies of the commands. */
 export interface CliContext {
   /** Writes to the standard output. */
   out(text: string): void;
@@ -32,16 +32,16 @@
   readonly platform: PlatformParsers;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Name of the operator where the command line gives none. */
+  /** Name of the operator if the command line specifies none. */
   readonly operator: string;
 }
 
-/** What a command's declaration gets. */
+/** Options of a CommandFactory. */
 export interface CommandOptions {
   readonly ctx: CliContext;
-  /** Takes the status with which the tool ends. */
+  /** Sets the exit status of the tool. */
   readonly finish: (status: ExitStatus) => void;
 }
 
-/** Declares a command; its code is loaded when it runs. */
+/** Declares a command, whose implementation is loaded when it runs. */
 export type CommandFactory = (options: CommandOptions) => Command;
--- a/test/cli/apply.test.ts
+++ b/test/cli/apply.test.ts
@@ -8,7 +8,7 @@
 const FILES = 'examples/quickstart';
 const PLATFORM = ['--platform', 'http://127.0.0.1:7000'];
 
-const THEIRS = {
+const OTHER_OPERATOR_CONFIG = {
   nonce: 'theirs',
   operator: 'bartek',
   document: {base: {deployment: 'other'}, overlays: []},
@@ -20,14 +20,14 @@
 
 const FAULTS = [
   {
-    name: 'its answer is lost',
+    name: 'its response is lost',
     faults: [WriteFault.RESPONSE_LOST],
     status: ExitStatus.OK,
     text: 'accepted at version 2',
     writes: 1,
   },
   {
-    name: 'it is lost itself',
+    name: 'the request is lost',
     faults: [WriteFault.WRITE_LOST, WriteFault.WRITE_LOST],
     status: ExitStatus.OK,
     text: 'accepted at version 2',
@@ -41,21 +41,21 @@
     writes: 2,
   },
   {
-    name: 'another operator is first',
+    name: 'another operator writes first',
     faults: [WriteFault.PRECEDED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'bartek holds version 2',
     writes: 1,
   },
   {
-    name: 'it is lost and another operator is first',
+    name: 'the request is lost and another operator writes first',
     faults: [WriteFault.WRITE_LOST, WriteFault.PRECEDED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'Yours may have been accepted first',
     writes: 2,
   },
   {
-    name: 'its answer is lost and another operator replaces it',
+    name: 'its response is lost and another operator replaces it',
     faults: [WriteFault.REPLACED_BY_OTHER],
     status: ExitStatus.CONFLICT,
     text: 'Yours may have been accepted first',
@@ -64,7 +64,7 @@
 ];
 
 describe('apply', () => {
-  it('creates, and says so when there is nothing to do', async () => {
+  it('creates the configuration, and then reports it as unchanged', async () => {
     const store = new MemoryStore();
     const first = await apply(store);
     expect(first).toMatchObject({status: ExitStatus.OK, err: ''});
@@ -75,20 +75,23 @@
     expect(store.writes).toBe(1);
   });
 
-  it.each(FAULTS)('settles a write when $name', async (testCase) => {
-    const store = new MemoryStore();
-    store.put(CONFIG_OBJECT, THEIRS);
-    store.otherValue = THEIRS;
-    store.faults.push(...testCase.faults);
-    const {status, out, err} = await apply(store);
-    expect(status).toBe(testCase.status);
-    expect(out + err).toContain(testCase.text);
-    expect(store.writes).toBe(testCase.writes);
-  });
+  it.each(FAULTS)(
+    'resolves the outcome of a write when $name',
+    async (testCase) => {
+      const store = new MemoryStore();
+      store.put(CONFIG_OBJECT, OTHER_OPERATOR_CONFIG);
+      store.otherOperatorValue = OTHER_OPERATOR_CONFIG;
+      store.faults.push(...testCase.faults);
+      const {status, out, err} = await apply(store);
+      expect(status).toBe(testCase.status);
+      expect(out + err).toContain(testCase.text);
+      expect(store.writes).toBe(testCase.writes);
+    },
+  );
 
-  it('tells who won and how theirs differs', async () => {
+  it('reports the other operator and the differences', async () => {
     const store = new MemoryStore();
-    store.put(CONFIG_OBJECT, THEIRS);
+    store.put(CONFIG_OBJECT, OTHER_OPERATOR_CONFIG);
     const {status, err} = await apply(store, '--expect-version', '7');
     expect(status).toBe(ExitStatus.CONFLICT);
     expect(err).toContain('bartek holds version 1');
@@ -96,7 +99,7 @@
     expect(store.writes).toBe(0);
   });
 
-  it('overwrites an unknown shape at the expected version only', async () => {
+  it('overwrites a malformed object at the expected version only', async () => {
     const store = new MemoryStore();
     store.put(CONFIG_OBJECT, 'unknown');
     expect((await apply(store)).status).toBe(ExitStatus.CONFLICT);
@@ -118,9 +121,9 @@
   const diff = (store: MemoryStore): Promise<ToolRun> =>
     runTool(['diff', '-f', FILES, ...PLATFORM, '--json'], store);
 
-  it('lists what differs by site and path', async () => {
+  it('lists the differences by scope and path', async () => {
     const store = new MemoryStore();
-    store.put(CONFIG_OBJECT, THEIRS);
+    store.put(CONFIG_OBJECT, OTHER_OPERATOR_CONFIG);
     const {status, out} = await diff(store);
     const report = JSON.parse(out) as {changes: unknown[]};
     expect(status).toBe(ExitStatus.OK);
@@ -138,7 +141,7 @@
     });
   });
 
-  it('lists nothing once accepted', async () => {
+  it('lists nothing for the accepted configuration', async () => {
     const store = new MemoryStore();
     await apply(store);
     const report = JSON.parse((await diff(store)).out) as {changes: unknown[]};
--- a/test/cli/check-platform.test.ts
+++ b/test/cli/check-platform.test.ts
@@ -48,7 +48,7 @@
       options,
     );
 
-  it('says that files are fine', async () => {
+  it('reports valid files', async () => {
     const settings = write('boot.json', SETTINGS);
     const routes = write('routes.json', siteConfig({version: 1}));
     expect(await run({settings, routes})).toBe(ExitStatus.OK);
@@ -60,28 +60,28 @@
       name: 'settings without a field',
       option: 'settings',
       content: {...SETTINGS, zone: undefined},
-      tells: 'zone',
+      expectedText: 'zone',
     },
     {
       name: 'a configuration without a field',
       option: 'routes',
       content: {...siteConfig({version: 1}), limits: undefined},
-      tells: 'limits',
+      expectedText: 'limits',
     },
     {
-      name: 'a route to a service that is missing',
+      name: 'a route to a missing service',
       option: 'routes',
       content: {...siteConfig({version: 1}), services: []},
-      tells: 'no service "desk"',
+      expectedText: 'no service "desk"',
     },
-  ])('tells what is wrong: $name', async ({option, content, tells}) => {
+  ])('reports $name', async ({option, content, expectedText}) => {
     const file = write('file.json', content);
     expect(await run({[option]: file})).toBe(ExitStatus.BAD_INPUT);
-    expect(err).toContain(tells);
+    expect(err).toContain(expectedText);
     expect(err).toContain(file);
   });
 
-  it('tells the same as JSON', async () => {
+  it('reports problems as JSON', async () => {
     const routes = write('routes.json', {
       ...siteConfig({version: 1}),
       services: [],
@@ -96,7 +96,7 @@
     });
   });
 
-  it('asks for a file', async () => {
+  it('requires a readable file', async () => {
     expect(await run({})).toBe(ExitStatus.BAD_INPUT);
     expect(await run({settings: join(folder, 'none')})).toBe(
       ExitStatus.BAD_INPUT,
--- a/test/cli/check.test.ts
+++ b/test/cli/check.test.ts
@@ -16,7 +16,7 @@
 
 const CASES = [
   {
-    name: 'a clean deployment',
+    name: 'a valid deployment',
     args: ['check', '-f', 'examples/cerclerie-kerandel'],
     status: ExitStatus.OK,
     text: /^cognac +resources +schedules,notes,confirmations,stock +schedules,notes +10$/m,
@@ -28,13 +28,13 @@
     text: /base\.yaml:1:13 deployment: expected the name of the deployment, found 7\n/,
   },
   {
-    name: 'problems for programs',
+    name: 'problems as JSON',
     args: ['check', '-f', dir, '--json'],
     status: ExitStatus.BAD_INPUT,
     text: /"path": "deployment"/,
   },
   {
-    name: 'a directory that is not there',
+    name: 'a missing directory',
     args: ['check', '-f', join(dir, 'absent')],
     status: ExitStatus.BAD_INPUT,
     text: /Configuration unreadable/,
@@ -52,7 +52,7 @@
     text: /unknown command/,
   },
   {
-    name: 'a call for help',
+    name: 'the help of a command',
     args: ['apply', '--help'],
     status: ExitStatus.OK,
     text: /Examples:[^]+Exit status:/,
--- a/test/cli/explain.test.ts
+++ b/test/cli/explain.test.ts
@@ -33,7 +33,7 @@
       options,
     );
 
-  it('prints a line for each step', async () => {
+  it('prints each related log line', async () => {
     expect(await run({id: 'a', files: [file]})).toBe(ExitStatus.OK);
     expect(out).toBe(
       '2026-01-01T00:00:01.000Z entry-1 [request] refused status=503\n',
@@ -48,10 +48,10 @@
   });
 
   it.each([
-    {name: 'an unknown id', id: 'b', missing: false},
-    {name: 'a missing file', id: 'a', missing: true},
-  ])('says so of $name', async ({id, missing}) => {
-    const files = [missing ? join(folder, 'none') : file];
+    {name: 'an unknown id', id: 'b', isMissing: false},
+    {name: 'a missing file', id: 'a', isMissing: true},
+  ])('reports $name', async ({id, isMissing}) => {
+    const files = [isMissing ? join(folder, 'none') : file];
     expect(await run({id, files})).toBe(ExitStatus.BAD_INPUT);
     expect(err).not.toBe('');
   });
--- a/test/cli/generate.test.ts
+++ b/test/cli/generate.test.ts
@@ -9,21 +9,24 @@
 
 const DONE = 'data: [DONE]\n\n';
 
-interface SeenRequest {
+interface ReceivedRequest {
   readonly lastEventId: string | undefined;
   readonly body: string;
 }
 
-/** How an entry treats one request. */
-type Play = (res: ServerResponse) => void;
+/** Responds to one request in place of an entry. */
+type ResponseHandler = (res: ServerResponse) => void;
 
-function token(id: string, text: string, finish?: string): string {
+function tokenEvent(id: string, text: string, finish?: string): string {
   const choice = {text, finish_reason: finish ?? null};
   return `id: ${id}\ndata: ${JSON.stringify({choices: [choice]})}\n\n`;
 }
 
-/** Streams events and then ends, or breaks the connection. */
-function stream(events: readonly string[], breaks = false): Play {
+/** Streams events, and then ends the response or breaks the connection. */
+function streamEvents(
+  events: readonly string[],
+  breaks = false,
+): ResponseHandler {
   return (res) => {
     res.writeHead(200, {'content-type': 'text/event-stream'});
     res.write(events.join(''), () =>
@@ -36,7 +39,7 @@
   status: number,
   reason: string,
   options: {ran?: string; retryAfter?: string} = {},
-): Play {
+): ResponseHandler {
   return (res) => {
     const {ran = 'no', retryAfter} = options;
     res.writeHead(status, {
@@ -49,63 +52,76 @@
 
 const CASES = [
   {
-    name: 'reads a whole answer',
-    plays: [stream([token('1', 'one '), token('2', 'two', 'stop'), DONE])],
+    name: 'reads a complete output',
+    handlers: [
+      streamEvents([
+        tokenEvent('1', 'one '),
+        tokenEvent('2', 'two', 'stop'),
+        DONE,
+      ]),
+    ],
     status: ExitStatus.OK,
     report: {text: 'one two', finishReason: 'stop', restarts: 0, streams: 1},
     lastEventIds: [undefined],
   },
   {
-    name: 'goes on after a broken connection and after an early end',
-    plays: [
-      stream([token('1', 'one ')], true),
-      stream([token('2', 'two ')]),
-      stream([token('3', 'three', 'length'), DONE]),
+    name: 'resumes after a broken connection and after an early end',
+    handlers: [
+      streamEvents([tokenEvent('1', 'one ')], true),
+      streamEvents([tokenEvent('2', 'two ')]),
+      streamEvents([tokenEvent('3', 'three', 'length'), DONE]),
     ],
     status: ExitStatus.OK,
     report: {text: 'one two three', finishReason: 'length', streams: 3},
     lastEventIds: [undefined, '1', '2'],
   },
   {
-    name: 'starts over on a restart',
-    plays: [
-      stream([token('1', 'old ')], true),
-      stream(['event: restart\nid: r\ndata: {}\n\n', token('2', 'new'), DONE]),
+    name: 'discards the output at a restart',
+    handlers: [
+      streamEvents([tokenEvent('1', 'old ')], true),
+      streamEvents([
+        'event: restart\nid: r\ndata: {}\n\n',
+        tokenEvent('2', 'new'),
+        DONE,
+      ]),
     ],
     status: ExitStatus.OK,
     report: {text: 'new', restarts: 1, streams: 2},
     lastEventIds: [undefined, '1'],
   },
   {
-    name: 'asks another entry when one is leaving',
-    plays: [refuse(503, 'leaving'), stream([token('1', 'x'), DONE])],
+    name: 'tries another entry when one is draining',
+    handlers: [
+      refuse(503, 'leaving'),
+      streamEvents([tokenEvent('1', 'x'), DONE]),
+    ],
     status: ExitStatus.OK,
     report: {text: 'x', streams: 2},
     lastEventIds: [undefined, undefined],
   },
   {
-    name: 'takes a refusal of new work as final',
-    plays: [refuse(503, 'overloaded', {retryAfter: '0'})],
+    name: 'does not retry after a refusal of a new request',
+    handlers: [refuse(503, 'overloaded', {retryAfter: '0'})],
     status: ExitStatus.REFUSED,
     report: undefined,
     lastEventIds: [undefined],
   },
   {
-    name: 'comes back for a started answer',
-    plays: [
-      stream([token('1', 'a')], true),
+    name: 'retries a started generation after a refusal',
+    handlers: [
+      streamEvents([tokenEvent('1', 'a')], true),
       refuse(503, 'no_target', {retryAfter: '0'}),
-      stream([token('2', 'b'), DONE]),
+      streamEvents([tokenEvent('2', 'b'), DONE]),
     ],
     status: ExitStatus.OK,
     report: {text: 'ab', streams: 3},
     lastEventIds: [undefined, '1', '1'],
   },
   {
-    name: 'takes a refusal inside the stream as final',
-    plays: [
-      stream([
-        token('1', 'a'),
+    name: 'does not retry after a refusal inside the stream',
+    handlers: [
+      streamEvents([
+        tokenEvent('1', 'a'),
         `event: error\ndata: ${JSON.stringify({status: 422, title: 't', detail: 'd', reason: 'poison', ran: 'unknown'})}\n\n`,
       ]),
     ],
@@ -122,37 +138,38 @@
     await Promise.all(servers.splice(0).map(stopServer));
   });
 
-  /** Starts two entries that follow one script. */
+  /** Starts two entries that share one list of handlers, in request order. */
   async function startEntries(
-    plays: readonly Play[],
-  ): Promise<{urls: string; seen: SeenRequest[]}> {
-    const seen: SeenRequest[] = [];
+    handlers: readonly ResponseHandler[],
+  ): Promise<{urls: string; requests: ReceivedRequest[]}> {
+    const requests: ReceivedRequest[] = [];
     const start = (): Promise<TestServer> =>
       startServer((req, res) => {
         const lastEventId = req.headers['last-event-id'] as string | undefined;
         void readBody(req).then((body) => {
-          const play = plays[seen.length] ?? refuse(400, 'bad_request');
-          seen.push({lastEventId, body});
-          play(res);
+          const handler =
+            handlers[requests.length] ?? refuse(400, 'bad_request');
+          requests.push({lastEventId, body});
+          handler(res);
         });
       });
     servers.push(await start(), await start());
-    return {urls: servers.map(({url}) => url).join(','), seen};
+    return {urls: servers.map(({url}) => url).join(','), requests};
   }
 
-  it.each(CASES)('$name', async ({plays, status, report, lastEventIds}) => {
-    const {urls, seen} = await startEntries(plays);
+  it.each(CASES)('$name', async ({handlers, status, report, lastEventIds}) => {
+    const {urls, requests} = await startEntries(handlers);
     const args = ['--key', 'k', '--model', 'm', '--prompt', 'p', '--json'];
     const run = await runTool(['generate', '--entry', urls, ...args]);
     expect(run.status).toBe(status);
     if (report !== undefined) {
       expect(JSON.parse(run.out)).toMatchObject(report);
     }
-    expect(seen.map((req) => req.lastEventId)).toEqual(lastEventIds);
-    expect(new Set(seen.map(({body}) => body)).size).toBe(1);
+    expect(requests.map((req) => req.lastEventId)).toEqual(lastEventIds);
+    expect(new Set(requests.map(({body}) => body)).size).toBe(1);
   });
 
-  it('gives up at its deadline', async () => {
+  it('fails at its deadline', async () => {
     const args = ['--key', 'k', '--model', 'm', '--prompt', 'p'];
     const entry = ['--entry', 'http://127.0.0.1:1', '--deadline', '300'];
     const run = await runTool(['generate', ...entry, ...args]);
--- a/test/cli/lib/http-server.ts
+++ b/test/cli/lib/http-server.ts
@@ -2,13 +2,13 @@
 import {createServer} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** A server on a free port of this machine. */
+/** An HTTP server on a free local port. */
 export interface TestServer {
   readonly url: string;
   readonly server: Server;
 }
 
-/** Starts a server. */
+/** Starts a server on a free local port. */
 export async function startServer(
   listener: RequestListener,
 ): Promise<TestServer> {
@@ -27,7 +27,7 @@
   await closed;
 }
 
-/** Reads a request's body whole. */
+/** Reads the complete body of a request. */
 export async function readBody(req: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of req as AsyncIterable<Buffer>) {
--- a/test/cli/lib/memory-store.ts
+++ b/test/cli/lib/memory-store.ts
@@ -11,25 +11,25 @@
 import {StoreErrorKind} from '../../../src/core/edges/index.js';
 import {Layer} from '../../../src/core/errors/index.js';
 
-/** What happens to one write. */
+/** Faults of one write. */
 export enum WriteFault {
-  /** It takes effect and its answer is lost. */
+  /** The write takes effect, and its response is lost. */
   RESPONSE_LOST = 'answer_lost',
-  /** It is lost before it takes effect. */
+  /** The write is lost before it takes effect. */
   WRITE_LOST = 'write_lost',
-  /** The store refuses it. */
+  /** The store refuses the write. */
   UNAVAILABLE = 'unavailable',
-  /** Another operator's write takes effect just before it. */
+  /** Another operator's write takes effect just before this one. */
   PRECEDED_BY_OTHER = 'overtaken',
-  /** It takes effect, its answer is lost, and another write replaces it. */
+  /** The response is lost, and another operator's write replaces this one. */
   REPLACED_BY_OTHER = 'replaced',
 }
 
-/** An object store in memory whose next writes can fail. */
+/** An object store in memory with faults for its next writes. */
 export class MemoryStore implements ObjectStore {
   readonly faults: WriteFault[] = [];
-  /** Value that another operator writes. */
-  otherValue: unknown;
+  /** Value written by the other operator. */
+  otherOperatorValue: unknown;
   isReadable = true;
   writes = 0;
   private readonly objects = new Map<string, StoredObject>();
@@ -65,11 +65,11 @@
     throw new Error('not used');
   }
 
-  /** Writes without any condition. */
+  /** Writes unconditionally. */
   put(key: ObjectKey, value: unknown): StoredObject {
     this.version++;
     const {kind, name} = key;
-    // A value that was sent is JSON: undefined fields are gone.
+    // Values are stored as JSON, without undefined fields.
     const sent: unknown = JSON.parse(JSON.stringify(value));
     const object = {kind, name, version: this.version, value: sent};
     this.objects.set(idOf(key), object);
@@ -89,7 +89,7 @@
       case WriteFault.UNAVAILABLE:
         return errAsync(storeError(StoreErrorKind.UNAVAILABLE));
       case WriteFault.PRECEDED_BY_OTHER:
-        this.put(key, this.otherValue);
+        this.put(key, this.otherOperatorValue);
         break;
     }
     const current = this.objects.get(idOf(key))?.version ?? 0;
@@ -100,7 +100,7 @@
     }
     const object = this.put(key, value);
     if (fault === WriteFault.REPLACED_BY_OTHER) {
-      this.put(key, this.otherValue);
+      this.put(key, this.otherOperatorValue);
     }
     return fault === WriteFault.RESPONSE_LOST ||
       fault === WriteFault.REPLACED_BY_OTHER
--- a/test/cli/lib/run-tool.ts
+++ b/test/cli/lib/run-tool.ts
@@ -7,7 +7,7 @@
 
 const SEED = 20261204;
 
-/** What a run of the tool left behind. */
+/** Exit status and output of a run of the tool. */
 export interface ToolRun {
   readonly status: ExitStatus;
   readonly out: string;
--- a/test/cli/operate.test.ts
+++ b/test/cli/operate.test.ts
@@ -17,7 +17,7 @@
   configAgeMs: 9_000,
 };
 
-const NOBODY = 'http://127.0.0.1:1';
+const UNREACHABLE_URL = 'http://127.0.0.1:1';
 
 const servers: TestServer[] = [];
 
@@ -32,10 +32,10 @@
 }
 
 describe('status', () => {
-  it('shows each process, and those that do not answer', async () => {
+  it('shows each process, also if it does not respond', async () => {
     const {url} = await start((_req, res) => res.end(JSON.stringify(STATUS)));
     const bad = await start((_req, res) => res.end('{}'));
-    const urls = [url, bad.url, NOBODY].join(',');
+    const urls = [url, bad.url, UNREACHABLE_URL].join(',');
     const run = await runTool(['status', '--operators', urls]);
     expect(run.status).toBe(ExitStatus.FAILED);
     expect(run.out).toMatch(/entry-1 +entry +waw +yes +no +4 +9 s\n/);
@@ -45,23 +45,23 @@
 });
 
 describe('drain', () => {
-  it('waits until the process is gone', async () => {
-    let looks = 0;
+  it('waits until the process refuses connections', async () => {
+    let statusRequests = 0;
     const process = await start((req, res) => {
       res.setHeader('connection', 'close');
       res.end(req.method === 'POST' ? '' : JSON.stringify(STATUS));
-      looks += req.method === 'GET' ? 1 : 0;
-      if (looks === 2) {
+      statusRequests += req.method === 'GET' ? 1 : 0;
+      if (statusRequests === 2) {
         process.server.close();
       }
     });
     const args = ['drain', '--operators', process.url, '--wait'];
     const run = await runTool(args);
     expect(run).toMatchObject({status: ExitStatus.OK, out: 'draining\ngone\n'});
-    expect(looks).toBe(2);
+    expect(statusRequests).toBe(2);
   });
 
-  it('fails when the process stays', async () => {
+  it('fails if the process still listens at the deadline', async () => {
     const {url} = await start((_req, res) => res.end(JSON.stringify(STATUS)));
     const args = ['--operators', url, '--wait', '--deadline', '100'];
     const run = await runTool(['drain', ...args]);
@@ -77,7 +77,7 @@
   err: RegExp;
 }[] = [
   {
-    name: 'an answer',
+    name: 'a response',
     listener: (req, res) => {
       const {url, headers} = req;
       const fields = [url, headers.authorization, headers['idempotency-key']];
@@ -88,7 +88,7 @@
     err: /^status 200\n$/,
   },
   {
-    name: 'an error of the service',
+    name: 'an error response of the service',
     listener: (_req, res) => res.writeHead(409).end('taken'),
     status: ExitStatus.FAILED,
     out: 'taken\n',
@@ -109,14 +109,14 @@
     err: /refused: 503 store_unavailable \(ran: no\): d\nretry after 2000 ms/,
   },
   {
-    name: 'a lost answer',
+    name: 'a lost response',
     listener: (_req, res) => res.destroy(),
     status: ExitStatus.FAILED,
     out: '',
     err: /ran: unknown/,
   },
   {
-    name: 'no connection',
+    name: 'a failed connection',
     status: ExitStatus.FAILED,
     out: '',
     err: /ran: no/,
@@ -125,7 +125,8 @@
 
 describe('call', () => {
   it.each(CALLS)('reports $name', async ({listener, status, out, err}) => {
-    const entry = listener === undefined ? NOBODY : (await start(listener)).url;
+    const entry =
+      listener === undefined ? UNREACHABLE_URL : (await start(listener)).url;
     const target = ['--entry', entry, '--service', 'orders'];
     const key = ['--key', 'k', '--idempotency-key', 'key-1'];
     const req = ['--method', 'POST', '--path', '/new?x=1', '--body', '{}'];
