--- a/src/cli/commands/apply/run-apply.ts
+++ b/src/cli/commands/apply/run-apply.ts
@@ -7,7 +7,7 @@
 import {
   diffDocuments,
   formatChange,
-  loadOrReport,
+  loadDeploymentOrReport,
 } from '../../config-files/index.js';
 import {reportError} from '../../output/index.js';
 import type {CliContext} from '../../types.js';
@@ -21,7 +21,7 @@
   ctx: CliContext,
   options: ApplyOptions,
 ): Promise<ExitStatus> {
-  const loaded = await loadOrReport(ctx, options.files);
+  const loaded = await loadDeploymentOrReport(ctx, options.files);
   if (loaded.isErr()) {
     return ExitStatus.BAD_INPUT;
   }
@@ -85,7 +85,7 @@
   document: ConfigDocument,
 ): void {
   const {current, isInDoubt} = outcome;
-  reportError(ctx, CONFIG_CONFLICT, describeWinner(current));
+  reportError(ctx, CONFIG_CONFLICT, describeCurrentConfig(current));
   if (isInDoubt) {
     ctx.err('  Yours may have been accepted first and replaced since.\n');
   }
@@ -93,7 +93,7 @@
   listChanges(current, document).forEach((line) => ctx.err(`  ${line}\n`));
 }
 
-function describeWinner({version, stored}: CurrentConfig): string {
+function describeCurrentConfig({version, stored}: CurrentConfig): string {
   if (version === 0) {
     return 'no configuration is accepted';
   }
--- a/src/cli/http/call-http.ts
+++ b/src/cli/http/call-http.ts
@@ -1,7 +1,7 @@
 import type {Result} from 'neverthrow';
 
 import type {
-  HttpResponse as RawAnswer,
+  HttpResponse as AdapterResponse,
   HttpFailure,
 } from '../../adapters/http-call.js';
 import {
@@ -10,15 +10,19 @@
   HttpFailureKind,
 } from '../../adapters/http-call.js';
 import {Layer} from '../../core/errors/index.js';
-import {hasProblem, parseProblem, parseRetryAfter} from './problem-document.js';
-import type {HttpAnswer, HttpError} from './types.js';
+import {
+  hasProblemContentType,
+  parseProblem,
+  parseRetryAfter,
+} from './problem-document.js';
+import type {HttpResponse, HttpError} from './types.js';
 import {HttpErrorKind} from './types.js';
 
-/** A run of the tool makes few calls; each opens its own connection. */
+/** Each call opens its own connection, as the tool makes few calls. */
 const POOL = createPool({keepsAlive: false});
 
 /**
- * Sends one request and reads its answer whole.
+ * Sends a request and reads the complete response.
  *
  * @example
  * await callHttp({url, method: 'GET', headers: {}, timeoutMs: 2_000});
@@ -29,19 +33,19 @@
   headers: Readonly<Record<string, string>>;
   body?: string;
   timeoutMs: number;
-}): Promise<Result<HttpAnswer, HttpError>> {
+}): Promise<Result<HttpResponse, HttpError>> {
   const {headers, ...rest} = options;
   const fields = Object.entries(headers);
-  const answer = await exchange({
+  const response = await exchange({
     dispatcher: POOL,
     headers: fields.map(([name, value]) => ({name, value})),
     ...rest,
   });
-  return answer.map(toAnswer).mapErr(createHttpError);
+  return response.map(toResponse).mapErr(toHttpError);
 }
 
-/** Turns a failed exchange into an error of the tool. */
-export function createHttpError({kind, detail}: HttpFailure): HttpError {
+/** Converts a failure of the HTTP adapter into an error of the tool. */
+export function toHttpError({kind, detail}: HttpFailure): HttpError {
   const isSent = kind !== HttpFailureKind.NOT_SENT;
   return {
     layer: Layer.CLI,
@@ -50,13 +54,17 @@
   };
 }
 
-function toAnswer({status, headers, body}: RawAnswer): HttpAnswer {
+function toResponse({status, headers, body}: AdapterResponse): HttpResponse {
   const text = Buffer.from(body).toString('utf8');
-  const map = Object.fromEntries(headers.map(({name, value}) => [name, value]));
+  const headerMap = Object.fromEntries(
+    headers.map(({name, value}) => [name, value]),
+  );
   return {
     status,
     body: text,
-    problem: hasProblem(map) ? parseProblem(text).extract() : undefined,
-    retryAfterMs: parseRetryAfter(map),
+    problem: hasProblemContentType(headerMap)
+      ? parseProblem(text).extract()
+      : undefined,
+    retryAfterMs: parseRetryAfter(headerMap),
   };
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -14,12 +14,12 @@
     out: (text) => process.stdout.write(text),
     err: (text) => process.stderr.write(text),
     createStore,
-    platform: {readSettings: parseBootSettings, readConfig: parseConfig},
+    platform: {parseSettings: parseBootSettings, parseConfig},
     clock: new SystemClock(),
     random: new SystemRandom(),
     operator: userInfo().username,
   },
 });
 
-// Idle connections of the HTTP client must not keep the tool running.
+// Idle connections of the HTTP client would otherwise keep the process alive.
 process.stdout.write('', () => process.exit(status));
