--- a/bench/experiments/booking/failures.ts
+++ b/bench/experiments/booking/failures.ts
@@ -2,9 +2,9 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Site} from '../../../tools/lab/site.js';
-import type {Told} from '../../../test/support/bookings.js';
+import type {BookingResult} from '../../../test/support/bookings.js';
 import {
-  readRuns,
+  readExecutionCounts,
   setServiceFault,
   setStoreFault,
 } from '../../../test/support/bookings.js';
@@ -91,10 +91,10 @@
 /** Answers that the service's own count contradicts. */
 export async function countViolations(
   site: Site,
-  told: readonly Told[],
+  told: readonly BookingResult[],
   keyPrefix = 'key',
 ): Promise<number> {
-  const runs = await readRuns(site);
+  const runs = await readExecutionCounts(site);
   return told.filter(({ran}, i) => {
     const count = runs.get(`${keyPrefix}-${i}`) ?? 0;
     const isFalse = (ran === 'no' && count > 0) || (ran === 'yes' && count < 1);
--- a/bench/experiments/booking/load.ts
+++ b/bench/experiments/booking/load.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import type {Site} from '../../../tools/lab/site.js';
-import type {Told} from '../../../test/support/bookings.js';
+import type {BookingResult} from '../../../test/support/bookings.js';
 import {book} from '../../../test/support/bookings.js';
 import {Samples} from '../../lib/samples.js';
 
@@ -11,7 +11,7 @@
 /** What a load came to. */
 export interface LoadResult {
   readonly samples: Samples;
-  readonly told: readonly Told[];
+  readonly told: readonly BookingResult[];
 }
 
 /** Starts `rate` bookings a second for a time, however long each takes. */
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -15,8 +15,13 @@
   EngineOptions,
 } from '../../stand-ins/engine/types.js';
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
-import {generate, specOf} from '../support/generation.js';
-import {getJson, NOWHERE, post, startScripted} from '../support/http.js';
+import {generate, createSpec} from '../support/generation.js';
+import {
+  getJson,
+  UNREACHABLE_URL,
+  post,
+  startStubServer,
+} from '../support/http.js';
 
 const FAST = {paceMs: 1, prefillUsPerToken: 0, capacity: 1_000, reportLagMs: 0};
 const PROBE_TIMEOUT_MS = 10_000;
@@ -55,13 +60,13 @@
 describe('HttpEngineDriver.generate', () => {
   it.each(ANSWERS)('passes on answers $name', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
-    const outcome = await generate({driver, spec: specOf(request)});
+    const outcome = await generate({driver, spec: createSpec(request)});
     expect(outcome).toEqual(expectedAnswer(request));
   });
 
   it.each(ANSWERS)('resumes answers $name at every cut', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
-    const spec = specOf(request);
+    const spec = createSpec(request);
     const whole = expectedAnswer(request);
     const cuts = [...whole.tokens.keys(), whole.tokens.length];
     const resumed = cuts.map((cut) =>
@@ -74,7 +79,10 @@
 
   it('leaves the text empty inside a character', async () => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
-    const {tokens} = await generate({driver, spec: specOf({maxTokens: 100})});
+    const {tokens} = await generate({
+      driver,
+      spec: createSpec({maxTokens: 100}),
+    });
     const inside = tokens.findIndex((token) => token.text === '');
     expect(inside).toBeGreaterThanOrEqual(0);
     expect([...(tokens[inside + 1]?.text ?? '')]).toHaveLength(1);
@@ -89,7 +97,7 @@
       stop: [],
     }));
     const outcomes = await Promise.all(
-      requests.map((request) => generate({driver, spec: specOf(request)})),
+      requests.map((request) => generate({driver, spec: createSpec(request)})),
     );
     expect(outcomes).toEqual(requests.map(expectedAnswer));
   });
@@ -98,7 +106,7 @@
     const url = await openEngine();
     const driver = new HttpEngineDriver({baseUrl: url});
     const sink = {onTokens: vi.fn(), onFinish: vi.fn(), onFailure: vi.fn()};
-    const spec = specOf({prompt: '[length=100000]', maxTokens: 100_000});
+    const spec = createSpec({prompt: '[length=100000]', maxTokens: 100_000});
     const options = {requestId: 'r', spec, resumeFrom: [], sink};
     const stream = driver.generate(options);
     await vi.waitFor(() => expect(sink.onTokens).toHaveBeenCalled());
@@ -123,51 +131,53 @@
 const BROKEN_STREAMS = [
   {
     name: 'an error status',
-    answer: () => open(startScripted((res) => res.writeHead(503).end())),
+    answer: () => open(startStubServer((res) => res.writeHead(503).end())),
     kind: DriverErrorKind.REFUSED,
     length: 0,
   },
   {
     name: 'a refused connection',
-    answer: () => Promise.resolve(NOWHERE),
+    answer: () => Promise.resolve(UNREACHABLE_URL),
     kind: DriverErrorKind.NOT_SENT,
     length: 0,
   },
   {
     name: 'a connection that closes before an answer',
-    answer: () => open(startScripted((res) => res.destroy())),
+    answer: () => open(startStubServer((res) => res.destroy())),
     kind: DriverErrorKind.LOST,
     length: 0,
   },
   {
     name: 'a connection that breaks after a token',
     answer: () =>
-      open(startScripted((res) => res.write(event(null), () => res.destroy()))),
+      open(
+        startStubServer((res) => res.write(event(null), () => res.destroy())),
+      ),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'an end without a finish reason',
-    answer: () => open(startScripted((res) => res.end(event(null)))),
+    answer: () => open(startStubServer((res) => res.end(event(null)))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'a DONE without a finish reason',
     answer: () =>
-      open(startScripted((res) => res.end(`${event(null)}data: [DONE]\n\n`))),
+      open(startStubServer((res) => res.end(`${event(null)}data: [DONE]\n\n`))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'an event that is no JSON',
-    answer: () => open(startScripted((res) => res.end('data: {\n\n'))),
+    answer: () => open(startStubServer((res) => res.end('data: {\n\n'))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
   },
   {
     name: 'an unknown finish reason',
-    answer: () => open(startScripted((res) => res.end(event('tired')))),
+    answer: () => open(startStubServer((res) => res.end(event('tired')))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
   },
@@ -176,7 +186,7 @@
 describe('HttpEngineDriver failures', () => {
   it.each(BROKEN_STREAMS)('reports $name', async ({answer, kind, length}) => {
     const driver = new HttpEngineDriver({baseUrl: await answer()});
-    const outcome = await generate({driver, spec: specOf({})});
+    const outcome = await generate({driver, spec: createSpec({})});
     expect(outcome.err?.kind).toBe(kind);
     expect(outcome.finishReason).toBeUndefined();
     expect(outcome.tokens).toHaveLength(length);
@@ -189,17 +199,17 @@
       res.write(bytes.subarray(0, cut));
       setTimeout(() => res.end(bytes.subarray(cut)), PART_GAP_MS);
     };
-    const url = await open(startScripted(answer));
+    const url = await open(startStubServer(answer));
     const driver = new HttpEngineDriver({baseUrl: url});
-    const outcome = await generate({driver, spec: specOf({})});
+    const outcome = await generate({driver, spec: createSpec({})});
     expect(outcome.tokens).toEqual([{id: 1, text: 'é'}]);
   });
 
   it('takes nothing after the finish reason', async () => {
     const answer = event('stop') + event(null) + event('length');
-    const url = await open(startScripted((res) => res.end(answer)));
+    const url = await open(startStubServer((res) => res.end(answer)));
     const driver = new HttpEngineDriver({baseUrl: url});
-    const outcome = await generate({driver, spec: specOf({})});
+    const outcome = await generate({driver, spec: createSpec({})});
     expect(outcome.tokens).toHaveLength(1);
     expect(outcome.finishReason).toBe(FinishReason.STOP);
   });
@@ -208,31 +218,31 @@
 const BROKEN_PROBES = [
   {
     name: 'a refused connection',
-    answer: () => Promise.resolve(NOWHERE),
+    answer: () => Promise.resolve(UNREACHABLE_URL),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.NOT_SENT,
   },
   {
     name: 'silence',
-    answer: () => open(startScripted(() => undefined)),
+    answer: () => open(startStubServer(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: DriverErrorKind.TIMEOUT,
   },
   {
     name: 'an error status',
-    answer: () => open(startScripted((res) => res.writeHead(500).end())),
+    answer: () => open(startStubServer((res) => res.writeHead(500).end())),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.REFUSED,
   },
   {
     name: 'a report without its fields',
-    answer: () => open(startScripted((res) => res.end('{"running":1}'))),
+    answer: () => open(startStubServer((res) => res.end('{"running":1}'))),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.MALFORMED,
   },
   {
     name: 'a broken connection',
-    answer: () => open(startScripted((res) => res.destroy())),
+    answer: () => open(startStubServer((res) => res.destroy())),
     timeoutMs: PROBE_TIMEOUT_MS,
     kind: DriverErrorKind.LOST,
   },
@@ -241,7 +251,7 @@
 describe('HttpEngineDriver.probe', () => {
   it('returns the engine’s report', async () => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
-    await generate({driver, spec: specOf({})});
+    await generate({driver, spec: createSpec({})});
     const report = await driver.probe({timeoutMs: PROBE_TIMEOUT_MS});
     const {instance, cachedPrefixes, ...load} = report._unsafeUnwrap();
     expect(load).toEqual({running: 0, waiting: 0, capacity: FAST.capacity});
--- a/test/adapters/http-object-store.test.ts
+++ b/test/adapters/http-object-store.test.ts
@@ -10,7 +10,7 @@
 import {ObjectKind, StoreErrorKind} from '../../src/core/edges/index.js';
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
 import {startPlatform} from '../../stand-ins/platform/server.js';
-import {NOWHERE, post, startScripted} from '../support/http.js';
+import {UNREACHABLE_URL, post, startStubServer} from '../support/http.js';
 
 const KIND = ObjectKind.CLAIM;
 const KEY = {kind: KIND, name: 'firm/a b'};
@@ -139,7 +139,7 @@
   it.each(Object.entries(OPERATIONS))(
     'reports UNAVAILABLE for %s where nothing listens',
     async (_name, run) => {
-      store = new HttpObjectStore({baseUrl: NOWHERE});
+      store = new HttpObjectStore({baseUrl: UNREACHABLE_URL});
       expect(await errorKindOf(run)).toBe(StoreErrorKind.UNAVAILABLE);
     },
   );
@@ -232,7 +232,7 @@
     const line = {kind: KIND, name: 'ż', version: 1, value: 'ż'};
     const bytes = Buffer.from(`${JSON.stringify(line)}\n`);
     const cut = bytes.indexOf('ż') + 1;
-    const scripted = await startScripted((res) => {
+    const scripted = await startStubServer((res) => {
       res.write(bytes.subarray(0, cut));
       setTimeout(() => res.write(bytes.subarray(cut)), PART_GAP_MS);
     });
--- a/test/adapters/http-service-driver.test.ts
+++ b/test/adapters/http-service-driver.test.ts
@@ -4,7 +4,12 @@
 import {DriverErrorKind} from '../../src/core/edges/index.js';
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
 import {startService} from '../../stand-ins/service/server.js';
-import {getJson, NOWHERE, post, startScripted} from '../support/http.js';
+import {
+  getJson,
+  UNREACHABLE_URL,
+  post,
+  startStubServer,
+} from '../support/http.js';
 
 const TIMEOUT_MS = 10_000;
 const SHORT_TIMEOUT_MS = 100;
@@ -101,13 +106,13 @@
 const FAILURES = [
   {
     name: 'a refused connection',
-    target: () => Promise.resolve(NOWHERE),
+    target: () => Promise.resolve(UNREACHABLE_URL),
     timeoutMs: TIMEOUT_MS,
     kind: DriverErrorKind.NOT_SENT,
   },
   {
     name: 'a connection that breaks before the answer',
-    target: () => open(startScripted((res) => res.destroy())),
+    target: () => open(startStubServer((res) => res.destroy())),
     timeoutMs: TIMEOUT_MS,
     kind: DriverErrorKind.LOST,
   },
@@ -115,7 +120,7 @@
     name: 'an answer that is cut off',
     target: () =>
       open(
-        startScripted((res) => {
+        startStubServer((res) => {
           res.writeHead(200, {'content-length': '100'});
           res.write('{', () => res.destroy());
         }),
@@ -152,7 +157,7 @@
   });
 
   it('reports a malformed probe', async () => {
-    const url = await open(startScripted((res) => res.end('[]')));
+    const url = await open(startStubServer((res) => res.end('[]')));
     const driver = new HttpServiceDriver({baseUrl: url});
     const probed = await driver.probe({timeoutMs: TIMEOUT_MS});
     const {kind} = probed._unsafeUnwrapErr();
--- a/test/adapters/http-vm-list.test.ts
+++ b/test/adapters/http-vm-list.test.ts
@@ -4,7 +4,7 @@
 import {VmListErrorKind, VmRole, VmState} from '../../src/core/edges/index.js';
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
 import {startPlatform} from '../../stand-ins/platform/server.js';
-import {NOWHERE, post, startScripted} from '../support/http.js';
+import {UNREACHABLE_URL, post, startStubServer} from '../support/http.js';
 
 const VM = {
   name: 't1',
@@ -62,19 +62,19 @@
 const FAILURES = [
   {
     name: 'a refused connection',
-    target: () => Promise.resolve(NOWHERE),
+    target: () => Promise.resolve(UNREACHABLE_URL),
     timeoutMs: TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
     name: 'an error status',
-    target: () => open(startScripted((res) => res.writeHead(503).end())),
+    target: () => open(startStubServer((res) => res.writeHead(503).end())),
     timeoutMs: TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
     name: 'silence',
-    target: () => open(startScripted(() => undefined)),
+    target: () => open(startStubServer(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
@@ -82,7 +82,7 @@
     name: 'an unknown state',
     target: () => {
       const body = JSON.stringify({vms: [{...VM, state: 'asleep'}]});
-      return open(startScripted((res) => res.end(body)));
+      return open(startStubServer((res) => res.end(body)));
     },
     timeoutMs: TIMEOUT_MS,
     kind: VmListErrorKind.MALFORMED,
--- a/test/processes/booking.test.ts
+++ b/test/processes/booking.test.ts
@@ -5,10 +5,10 @@
 
 import {RefusalReason} from '../../src/core/errors/index.js';
 import {Site} from '../../tools/lab/site.js';
-import type {Told} from '../support/bookings.js';
+import type {BookingResult} from '../support/bookings.js';
 import {
   book,
-  countRuns,
+  countExecutions,
   setServiceFault,
   setStoreFault,
 } from '../support/bookings.js';
@@ -30,7 +30,7 @@
 
 interface Case {
   readonly name: string;
-  readonly run: () => Promise<Told[]>;
+  readonly run: () => Promise<BookingResult[]>;
   /** What each request was told, in order; `*` where it may be anything. */
   readonly told: readonly string[];
   /** Runs at the service; undefined where it may be 0 or 1. */
@@ -51,7 +51,7 @@
 async function bookWhile(
   happens: () => Promise<void>,
   deadlineMs?: number,
-): Promise<Told> {
+): Promise<BookingResult> {
   const told = book({url: url(0), key: KEY, deadlineMs});
   await sleep(150);
   await happens();
@@ -243,11 +243,11 @@
   },
 ];
 
-function repeat(deadlineMs?: number): Promise<Told> {
+function repeat(deadlineMs?: number): Promise<BookingResult> {
   return book({url: url(1), key: KEY, deadlineMs});
 }
 
-function fits(told: Told, expected: string): boolean {
+function fits(told: BookingResult, expected: string): boolean {
   const [ran, reason = '*'] = expected.split(' ');
   if (ran === '*') return true;
   if (told.ran !== ran) return false;
@@ -255,7 +255,7 @@
 }
 
 /** The promise itself, whatever else is expected. */
-function expectTrue(told: readonly Told[], runs: number): void {
+function expectTrue(told: readonly BookingResult[], runs: number): void {
   const no = told.some(
     ({ran, reason}) => ran === 'no' && reason !== OTHER_BODY,
   );
@@ -272,7 +272,7 @@
       site = await Site.create({entries: 2, engines: 0, orders: 2});
       const told = await run();
       await sleep(SETTLE_MS);
-      const runs = await countRuns(site, KEY);
+      const runs = await countExecutions(site, KEY);
       expectTrue(told, runs);
       const wrong = told.filter((one, i) => !fits(one, expected[i]!));
       expect(wrong, JSON.stringify(told)).toEqual([]);
--- a/test/processes/edges-raw.test.ts
+++ b/test/processes/edges-raw.test.ts
@@ -10,7 +10,7 @@
 import type {Daemon} from '../../tools/lab/lab.js';
 import {Site} from '../../tools/lab/site.js';
 import {readCounts} from '../support/callers.js';
-import {countOf, expectRefusal, sendRaw} from '../support/refusals.js';
+import {countRefusals, expectRefusal, sendRaw} from '../support/refusals.js';
 
 const BODY_BYTES = 4_096;
 const BODY_TIMEOUT_MS = 400;
@@ -116,9 +116,9 @@
 describe('a connection is refused and closed', () => {
   it.each(RAW_CASES)('for $name', async (row) => {
     const before = await readCounts(site);
-    const counted = await countOf(entry(), row.reason);
+    const counted = await countRefusals(entry(), row.reason);
     expectRefusal(await sendRaw(entry(), row.text.join('\r\n')), row);
-    expect(await countOf(entry(), row.reason)).toBe(counted + 1);
+    expect(await countRefusals(entry(), row.reason)).toBe(counted + 1);
     expect(await readCounts(site)).toEqual(before);
   });
 });
--- a/test/processes/edges.test.ts
+++ b/test/processes/edges.test.ts
@@ -7,10 +7,10 @@
 import {
   expectedText,
   readCounts,
-  readEvents,
+  parseEvents,
   send,
 } from '../support/callers.js';
-import {countOf, expectRefusal, sendRaw} from '../support/refusals.js';
+import {countRefusals, expectRefusal, sendRaw} from '../support/refusals.js';
 
 const BODY_BYTES = 4_096;
 const MAX_TOKENS = 100;
@@ -230,11 +230,11 @@
 
   it.each(cases)('for $name', async (row) => {
     const before = await readCounts(site);
-    const counted = await countOf(site.entries[0]!, row.reason);
+    const counted = await countRefusals(site.entries[0]!, row.reason);
     const {path = COMPLETIONS, method, headers, body} = row;
     const url = `${site.entries[0]!.callersUrl}${path}`;
     expectRefusal(await send({url, method, headers, body}), row);
-    expect(await countOf(site.entries[0]!, row.reason)).toBe(counted + 1);
+    expect(await countRefusals(site.entries[0]!, row.reason)).toBe(counted + 1);
     expect(await readCounts(site)).toEqual(before);
   });
 
@@ -261,7 +261,7 @@
     const [held, other] = site.entries.map((entry) => entry.callersUrl);
     const body = completion({prompt, max_tokens: MAX_TOKENS, stream: true});
     const first = await send({url: `${held}${COMPLETIONS}`, body});
-    const ids = readEvents(first.text).flatMap(({id}) => id ?? []);
+    const ids = parseEvents(first.text).flatMap(({id}) => id ?? []);
     const headers = {
       authorization: `Bearer ${OTHER_KEY}`,
       'last-event-id': ids[0]!,
@@ -278,7 +278,7 @@
     });
     const secret = expectedText(prompt, MAX_TOKENS).slice(-40);
     expect(elsewhere.text).not.toContain(secret);
-    const seen = readEvents(elsewhere.text).map(({data}) => data);
+    const seen = parseEvents(elsewhere.text).map(({data}) => data);
     expect(seen.join('')).not.toContain(secret);
   });
 });
--- a/test/processes/generation-agent-entry.test.ts
+++ b/test/processes/generation-agent-entry.test.ts
@@ -1,16 +1,17 @@
 /** The agent and the entry are lost under a generation at once. */
 import {expect} from 'vitest';
 
-import {Fault, Moment, Victim} from '../support/fault-site.js';
-import {describeLoss} from '../support/generation-loss.js';
+import {Fault, FaultStage, Component} from '../support/fault-site.js';
+import {describeComponentLoss} from '../support/generation-loss.js';
 
-describeLoss({
-  loses: 'its agent and its entry',
-  victims: [Victim.AGENT, Victim.ENTRY],
-  checkRestarts: ({restarts}, {fault, moment}) => {
+describeComponentLoss({
+  lost: 'its agent and its entry',
+  components: [Component.AGENT, Component.ENTRY],
+  checkRestarts: ({restarts}, {fault, stage}) => {
     // An entry that is cut off from callers still has its copy for others.
-    const isLost = fault !== Fault.CUT;
-    const isSeen = moment === Moment.MIDDLE || moment === Moment.BEFORE_FINAL;
+    const isLost = fault !== Fault.DISCONNECT;
+    const isSeen =
+      stage === FaultStage.MIDDLE || stage === FaultStage.BEFORE_FINAL_EVENT;
     if (!isLost) expect(restarts).toBe(0);
     else if (isSeen) expect(restarts).toBeGreaterThan(0);
   },
--- a/test/processes/generation-agent.test.ts
+++ b/test/processes/generation-agent.test.ts
@@ -1,5 +1,5 @@
 /** The agent is lost under a generation. */
-import {Victim} from '../support/fault-site.js';
-import {describeLoss} from '../support/generation-loss.js';
+import {Component} from '../support/fault-site.js';
+import {describeComponentLoss} from '../support/generation-loss.js';
 
-describeLoss({loses: 'its agent', victims: [Victim.AGENT]});
+describeComponentLoss({lost: 'its agent', components: [Component.AGENT]});
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -4,11 +4,11 @@
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
 import type {NamedValues} from '../../tools/lab/lab.js';
 import {
-  expectedText,
+  expectedTextOf,
   Fault,
   FaultSite,
-  Moment,
-  Victim,
+  FaultStage,
+  Component,
 } from '../support/fault-site.js';
 
 const LENGTH = 40;
@@ -52,17 +52,17 @@
       engineFlags: {'pace-ms': 15, ...flags},
     });
     const ask = {prompt: PROMPT, maxTokens, stop};
-    const transcript = await faultSite.run({
-      ask,
+    const transcript = await faultSite.runWithFault({
+      req: ask,
       faultCase: {
         fault: Fault.KILL,
-        victims: [Victim.ENGINE],
-        moment: Moment.MIDDLE,
+        components: [Component.ENGINE],
+        stage: FaultStage.MIDDLE,
       },
-      breakAt: LENGTH / 2 - 2,
+      faultPosition: LENGTH / 2 - 2,
     });
     expect(transcript.errors).toEqual([]);
-    expect(transcript.text).toBe(expectedText(ask));
+    expect(transcript.text).toBe(expectedTextOf(ask));
     expect(transcript.ends).toBe(1);
     expect(transcript.finishReason).toBe(finish);
   });
--- a/test/processes/generation-engine-agent.test.ts
+++ b/test/processes/generation-engine-agent.test.ts
@@ -1,8 +1,8 @@
 /** The engine and the agent are lost under a generation at once. */
-import {Victim} from '../support/fault-site.js';
-import {describeLoss} from '../support/generation-loss.js';
+import {Component} from '../support/fault-site.js';
+import {describeComponentLoss} from '../support/generation-loss.js';
 
-describeLoss({
-  loses: 'its engine and its agent',
-  victims: [Victim.ENGINE, Victim.AGENT],
+describeComponentLoss({
+  lost: 'its engine and its agent',
+  components: [Component.ENGINE, Component.AGENT],
 });
--- a/test/processes/generation-engine.test.ts
+++ b/test/processes/generation-engine.test.ts
@@ -1,5 +1,5 @@
 /** The engine is lost under a generation. */
-import {Victim} from '../support/fault-site.js';
-import {describeLoss} from '../support/generation-loss.js';
+import {Component} from '../support/fault-site.js';
+import {describeComponentLoss} from '../support/generation-loss.js';
 
-describeLoss({loses: 'its engine', victims: [Victim.ENGINE]});
+describeComponentLoss({lost: 'its engine', components: [Component.ENGINE]});
--- a/test/processes/generation-entry.test.ts
+++ b/test/processes/generation-entry.test.ts
@@ -1,5 +1,5 @@
 /** The entry is lost under a generation. */
-import {Victim} from '../support/fault-site.js';
-import {describeLoss} from '../support/generation-loss.js';
+import {Component} from '../support/fault-site.js';
+import {describeComponentLoss} from '../support/generation-loss.js';
 
-describeLoss({loses: 'its entry', victims: [Victim.ENTRY]});
+describeComponentLoss({lost: 'its entry', components: [Component.ENTRY]});
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -4,7 +4,11 @@
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import {sendControl, waitUntil} from '../../tools/lab/lab.js';
 import type {Target} from '../../tools/lab/site.js';
-import {createAsk, expectedText, FaultSite} from '../support/fault-site.js';
+import {
+  createRequest,
+  expectedTextOf,
+  FaultSite,
+} from '../support/fault-site.js';
 
 const LONG = {prompt: 'a long one [length=4000]', maxTokens: 4_000};
 
@@ -79,9 +83,9 @@
   it('moves off a target that leaves, with nothing cut off', async () => {
     let victim: Promise<Target> | undefined;
     const ask = {prompt: 'moved [length=150]', maxTokens: 150};
-    const transcript = await faultSite.read({
-      ask,
-      onPiece: (t) => {
+    const transcript = await faultSite.readGeneration({
+      req: ask,
+      onChunk: (t) => {
         if (t.pieces < 20) return;
         victim ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.terminate();
@@ -90,7 +94,7 @@
       },
     });
     const target = (await victim)!;
-    expect(transcript.text).toBe(expectedText(ask));
+    expect(transcript.text).toBe(expectedTextOf(ask));
     expect(transcript.ends).toBe(1);
     expect(transcript.restarts).toBe(0);
     expect(transcript.lastEventId.split(':')[2]).not.toBe(target.vm);
@@ -102,10 +106,12 @@
     const {engines} = faultSite.site;
     const before = await countStarted(engines);
     await setFault(engines, 'slow', 40);
-    const ask = createAsk('slow');
-    const transcript = await faultSite.read({ask: {...ask, maxTokens: 6}});
+    const ask = createRequest('slow');
+    const transcript = await faultSite.readGeneration({
+      req: {...ask, maxTokens: 6},
+    });
     await setFault(engines, 'none', 1);
-    expect(transcript.text).toBe(expectedText({...ask, maxTokens: 6}));
+    expect(transcript.text).toBe(expectedTextOf({...ask, maxTokens: 6}));
     expect(transcript.ends).toBe(1);
     expect((await countStarted(engines)) - before).toBe(1);
   });
--- a/test/processes/generation-poison.test.ts
+++ b/test/processes/generation-poison.test.ts
@@ -9,7 +9,7 @@
 } from '../../tools/lab/caller.js';
 import {waitUntil} from '../../tools/lab/lab.js';
 import {Site} from '../../tools/lab/site.js';
-import {expectedText} from '../support/fault-site.js';
+import {expectedTextOf} from '../support/fault-site.js';
 
 const MARK = 'CRASH-ME';
 const INNOCENTS = 8;
@@ -50,7 +50,7 @@
     expect(poisoned.ends).toBe(0);
     innocents.forEach((transcript, i) => {
       expect(transcript.errors).toEqual([]);
-      expect(transcript.text).toBe(expectedText(asks[i]!));
+      expect(transcript.text).toBe(expectedTextOf(asks[i]!));
       expect(transcript.ends).toBe(1);
     });
     expect(countDead(site)).toBe(2);
--- a/test/processes/whole-path.test.ts
+++ b/test/processes/whole-path.test.ts
@@ -8,11 +8,11 @@
 import {TransportErrorKind} from '../../src/core/protocol/index.js';
 import {sendControl} from '../../tools/lab/lab.js';
 import {Site} from '../../tools/lab/site.js';
-import type {Reply} from '../support/callers.js';
+import type {HttpResponse} from '../support/callers.js';
 import {
   expectedText,
   readCounts,
-  readEvents,
+  parseEvents,
   send,
 } from '../support/callers.js';
 
@@ -88,7 +88,11 @@
   },
 ];
 
-function ask(shape: Shape, topic: string, fields: object): Promise<Reply> {
+function ask(
+  shape: Shape,
+  topic: string,
+  fields: object,
+): Promise<HttpResponse> {
   const body = {
     model: 'quote-writer',
     max_tokens: MAX_TOKENS,
@@ -125,7 +129,7 @@
     const reply = await ask(shape, topic, fields);
     expect(reply.status).toBe(200);
     expect(reply.headers['content-type']).toMatch(/^text\/event-stream/);
-    const events = readEvents(reply.text);
+    const events = parseEvents(reply.text);
     expect(events.filter(({data}) => data === '[DONE]')).toHaveLength(1);
     expect(events.at(-1)?.data).toBe('[DONE]');
     expect(events.every(({event}) => event === undefined)).toBe(true);
@@ -187,7 +191,7 @@
 describe('plain services', () => {
   it('runs a booking once for one key at two entries', async () => {
     const before = await readCounts(site);
-    const replies: Reply[] = [];
+    const replies: HttpResponse[] = [];
     for (const index of [0, 1, 0]) {
       const url = `${entryUrl(index)}/services/orders/bookings`;
       const headers = {'idempotency-key': 'whole-path-1'};
@@ -214,7 +218,7 @@
 const METRIC_LINE =
   /^(# (HELP|TYPE) [a-z_]+ .+|[a-z_]+(\{[a-z_]+="[^"\n]*"\})? (NaN|[-+0-9.e]+))$/;
 
-async function readMetrics(url: string): Promise<Reply> {
+async function readMetrics(url: string): Promise<HttpResponse> {
   return send({url: `${url}/metrics`, method: 'GET'});
 }
 
--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -10,7 +10,7 @@
 } from '../../stand-ins/engine/types.js';
 import {EarlyEnd} from '../../stand-ins/engine/types.js';
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
-import {generate, specOf} from '../support/generation.js';
+import {generate, createSpec} from '../support/generation.js';
 import {getJson, post} from '../support/http.js';
 import type {Program} from '../support/program.js';
 import {startProgram} from '../support/program.js';
@@ -47,7 +47,7 @@
     const ended: string[] = [];
     const runs = [0, 2, 1].map(async (priority) => {
       const requestId = `r${priority}`;
-      await generate({driver, spec: specOf({priority}), requestId});
+      await generate({driver, spec: createSpec({priority}), requestId});
       ended.push(requestId);
     });
     await vi.waitFor(() => expectRequests(url, runs.length), 10_000);
@@ -59,7 +59,7 @@
   it('computes a cached prefix only once', async () => {
     const url = await openEngine({});
     const driver = new HttpEngineDriver({baseUrl: url});
-    const spec = specOf({prompt: 'x'.repeat(400), maxTokens: 32});
+    const spec = createSpec({prompt: 'x'.repeat(400), maxTokens: 32});
     const {tokens} = await generate({driver, spec});
     const first = await getJson<EngineCounts>(`${url}/counts`);
     await generate({driver, spec, resumeFrom: tokens.slice(0, 16)});
@@ -72,7 +72,7 @@
     const url = await openEngine({});
     await post(`${url}/faults`, {kind: 'fail_fast'});
     const driver = new HttpEngineDriver({baseUrl: url});
-    const outcome = await generate({driver, spec: specOf({})});
+    const outcome = await generate({driver, spec: createSpec({})});
     expect(outcome.err?.kind).toBe(DriverErrorKind.REFUSED);
   });
 });
@@ -92,7 +92,7 @@
   it.each(EARLY_ENDS)('says $earlyEnd', async ({earlyEnd, finishReason}) => {
     const url = await openEngine({earlyEnd});
     const driver = new HttpEngineDriver({baseUrl: url});
-    const spec = specOf({});
+    const spec = createSpec({});
     const whole = await generate({driver, spec});
     expect(whole).toEqual(expectedAnswer(spec));
     const resumeFrom = whole.tokens.slice(0, 10);
@@ -113,10 +113,10 @@
     const driver = new HttpEngineDriver({baseUrl: program.url});
     const other = generate({
       driver,
-      spec: specOf({prompt: '[length=1000000]', maxTokens: 1_000_000}),
+      spec: createSpec({prompt: '[length=1000000]', maxTokens: 1_000_000}),
     });
     const prompt = 'poison [crash-after=7]';
-    const crashed = await generate({driver, spec: specOf({prompt})});
+    const crashed = await generate({driver, spec: createSpec({prompt})});
     expect(await program.exited).toBe(1);
     expect(crashed.err?.kind).toBe(DriverErrorKind.LOST);
     expect(crashed.tokens).toHaveLength(7);
--- a/test/support/bookings.ts
+++ b/test/support/bookings.ts
@@ -6,7 +6,7 @@
 import {send} from './callers.js';
 
 /** What a caller was told of one request. */
-export interface Told {
+export interface BookingResult {
   /** `yes`, `no`, `unknown`, or `none` where the connection broke. */
   readonly ran: string;
   readonly reason: string;
@@ -28,7 +28,7 @@
   deadlineMs?: number;
   firstUse?: boolean;
   pallets?: number;
-}): Promise<Told> {
+}): Promise<BookingResult> {
   const {url, key, deadlineMs = 8_000, firstUse, pallets = 3} = options;
   const startedMs = performance.now();
   const took = (): number => performance.now() - startedMs;
@@ -55,12 +55,17 @@
 }
 
 /** How often a key ran, by the ledger that outlives the services. */
-export async function countRuns(site: Site, key: string): Promise<number> {
-  return (await readRuns(site)).get(key) ?? 0;
+export async function countExecutions(
+  site: Site,
+  key: string,
+): Promise<number> {
+  return (await readExecutionCounts(site)).get(key) ?? 0;
 }
 
 /** Runs by key, by the ledger that outlives the services. */
-export async function readRuns(site: Site): Promise<Map<string, number>> {
+export async function readExecutionCounts(
+  site: Site,
+): Promise<Map<string, number>> {
   const {perKey} = (await sendControl({url: `${site.ledger.url}/counts`})) as {
     perKey: Array<{key: string; count: number}>;
   };
--- a/test/support/callers.ts
+++ b/test/support/callers.ts
@@ -9,14 +9,14 @@
 import type {Site, Target} from '../../tools/lab/site.js';
 
 /** A response that was read whole. */
-export interface Reply {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
 /** One server-sent event. */
-export interface SentEvent {
+export interface ServerSentEvent {
   readonly event?: string;
   readonly id?: string;
   readonly data: string;
@@ -38,7 +38,7 @@
   method?: 'GET' | 'POST';
   headers?: Readonly<Record<string, string>>;
   body?: string;
-}): Promise<Reply> {
+}): Promise<HttpResponse> {
   const {url, method = 'POST', headers = {}, body} = options;
   const res = await request(url, {
     method,
@@ -54,8 +54,8 @@
 }
 
 /** Cuts the text of a stream into its events. */
-export function readEvents(text: string): SentEvent[] {
-  const events: SentEvent[] = [];
+export function parseEvents(text: string): ServerSentEvent[] {
+  const events: ServerSentEvent[] = [];
   const parser = createParser({onEvent: (event) => events.push(event)});
   parser.feed(text);
   return events;
@@ -69,8 +69,8 @@
 
 /** Adds up what the site's stand-ins counted. */
 export async function readCounts(site: Site): Promise<SiteCounts> {
-  const engines = await Promise.all(site.engines.map(countsOf));
-  const stock = await Promise.all(site.stock.map(countsOf));
+  const engines = await Promise.all(site.engines.map(readTargetCounts));
+  const stock = await Promise.all(site.stock.map(readTargetCounts));
   const ledger = (await sendControl({url: `${site.ledger.url}/counts`})) as {
     perKey: Array<{count: number}>;
   };
@@ -87,7 +87,9 @@
   };
 }
 
-async function countsOf(target: Target): Promise<Record<string, number>> {
+async function readTargetCounts(
+  target: Target,
+): Promise<Record<string, number>> {
   const url = `${target.standIn.url}/counts`;
   return (await sendControl({url})) as Record<string, number>;
 }
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -10,58 +10,58 @@
 /** How something is lost. */
 export enum Fault {
   KILL = 'kill',
-  FREEZE = 'freeze',
-  CUT = 'cut',
+  PAUSE = 'freeze',
+  DISCONNECT = 'cut',
 }
 
 /** What is lost. */
-export enum Victim {
+export enum Component {
   ENGINE = 'engine',
   AGENT = 'agent',
   ENTRY = 'entry',
 }
 
 /** When it is lost, in the course of the answer. */
-export enum Moment {
+export enum FaultStage {
   START = 'start',
   MIDDLE = 'middle',
   LAST_TOKEN = 'last token',
   /** The caller has every token and no final event. */
-  BEFORE_FINAL = 'before the final event',
+  BEFORE_FINAL_EVENT = 'before the final event',
 }
 
 /** Silence after which a caller turns to the next entry, in milliseconds. */
-const CALLER_PATIENCE_MS = 1_500;
+const CALLER_IDLE_TIMEOUT_MS = 1_500;
 
-const MAX_TRIES = 20;
+const MAX_ATTEMPTS = 20;
 
-interface EntrySeat {
+interface RelayedEntry {
   readonly daemon: Daemon;
   /** Between the caller and the entry. */
   readonly relay: StandIn;
 }
 
 /** Undoes a fault. */
-export type Repair = () => Promise<void>;
+export type Undo = () => Promise<void>;
 
 /** What a case loses, and when. */
 export interface FaultCase {
   readonly fault: Fault;
-  readonly victims: readonly Victim[];
-  readonly moment: Moment;
+  readonly components: readonly Component[];
+  readonly stage: FaultStage;
 }
 
 /** The answer as the engine's own text gives it. */
-export function expectedText(ask: Ask): string {
-  const {prompt, maxTokens, stop = []} = ask;
+export function expectedTextOf(req: Ask): string {
+  const {prompt, maxTokens, stop = []} = req;
   const {tokens} = expectedAnswer({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
 }
 
 /** Runs generations on a site and loses parts of it under them. */
 export class FaultSite {
-  private readonly seats: EntrySeat[] = [];
-  private turn = 0;
+  private readonly entries: RelayedEntry[] = [];
+  private nextIndex = 0;
 
   private constructor(readonly site: Site) {}
 
@@ -90,83 +90,91 @@
   }
 
   /** Reads a whole answer and loses the victims of the case at its moment. */
-  async run(options: {
-    ask: Ask;
+  async runWithFault(options: {
+    req: Ask;
     faultCase: FaultCase;
     /** Position of the fault; by the moment where none is given. */
-    breakAt?: number;
+    faultPosition?: number;
   }): Promise<Transcript> {
-    const {ask, faultCase} = options;
-    const {moment} = faultCase;
-    const {breakAt = positionAt(moment, ask)} = options;
-    const first = this.turn++;
-    const repairs: Repair[] = [];
-    let broken: Promise<void> | undefined;
-    const breakNow = (found: () => Promise<Target>): void => {
-      broken ??= found().then((target) =>
-        this.breakAll({faultCase, first, target, repairs}),
+    const {req, faultCase} = options;
+    const {stage} = faultCase;
+    const {faultPosition = positionOfStage(stage, req)} = options;
+    const firstIndex = this.nextIndex++;
+    const undos: Undo[] = [];
+    let injection: Promise<void> | undefined;
+    const injectOnce = (findTarget: () => Promise<Target>): void => {
+      injection ??= findTarget().then((target) =>
+        this.injectFault({faultCase, firstIndex, target, undos}),
       );
     };
-    const transcript = await this.read({
-      ask,
-      first,
-      cutAt: moment === Moment.BEFORE_FINAL ? ask.maxTokens : undefined,
+    const transcript = await this.readGeneration({
+      req,
+      firstIndex,
+      disconnectAt:
+        stage === FaultStage.BEFORE_FINAL_EVENT ? req.maxTokens : undefined,
       onStart: () => {
-        if (moment === Moment.START) breakNow(() => this.awaitWorking());
+        if (stage === FaultStage.START)
+          injectOnce(() => this.waitForBusyEngine());
       },
-      onPiece: (t) => {
-        if (positionOf(t) < breakAt) return;
-        breakNow(() => this.targetOf(t));
+      onChunk: (t) => {
+        if (positionOf(t) < faultPosition) return;
+        injectOnce(() => this.targetOf(t));
       },
-      onCut: () => broken,
+      onDisconnect: () => injection,
     });
-    await broken;
-    for (const repair of repairs) await repair();
+    await injection;
+    for (const undo of undos) await undo();
     await this.site.waitUntilUsable();
     return transcript;
   }
 
   /** Reads an answer to its end, at another entry after each break. */
-  async read(options: {
-    ask: Ask;
-    first?: number;
-    cutAt?: number;
+  async readGeneration(options: {
+    req: Ask;
+    firstIndex?: number;
+    disconnectAt?: number;
     onStart?: () => void;
-    onPiece?: (transcript: Transcript) => void;
-    onCut?: () => Promise<void> | undefined;
+    onChunk?: (transcript: Transcript) => void;
+    onDisconnect?: () => Promise<void> | undefined;
   }): Promise<Transcript> {
-    const {ask, first = this.turn++, cutAt, onStart, onCut} = options;
+    const {
+      req,
+      firstIndex = this.nextIndex++,
+      disconnectAt,
+      onStart,
+      onDisconnect,
+    } = options;
     let transcript = createTranscript();
     onStart?.();
-    let cut = false;
-    for (let i = 0; i < MAX_TRIES; i++) {
-      const seat = this.seats[(first + i) % this.seats.length]!;
+    let hasDisconnected = false;
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      const entry = this.entries[(firstIndex + i) % this.entries.length]!;
       const abort = new AbortController();
-      const give = (): void => abort.abort();
-      let timer = setTimeout(give, CALLER_PATIENCE_MS);
+      const abortRead = (): void => abort.abort();
+      let timer = setTimeout(abortRead, CALLER_IDLE_TIMEOUT_MS);
       const current = transcript;
-      let kept: Transcript | undefined;
+      let snapshot: Transcript | undefined;
       await readStream({
-        url: seat.relay.url,
-        ask,
+        url: entry.relay.url,
+        ask: req,
         transcript: current,
         signal: abort.signal,
         onPiece: (t) => {
           clearTimeout(timer);
-          timer = setTimeout(give, CALLER_PATIENCE_MS);
-          if (!cut && positionOf(t) === cutAt) {
-            cut = true;
-            kept = structuredClone(t);
-            options.onPiece?.(t);
+          timer = setTimeout(abortRead, CALLER_IDLE_TIMEOUT_MS);
+          if (!hasDisconnected && positionOf(t) === disconnectAt) {
+            hasDisconnected = true;
+            snapshot = structuredClone(t);
+            options.onChunk?.(t);
             abort.abort();
           }
-          options.onPiece?.(t);
+          options.onChunk?.(t);
         },
       }).catch(() => undefined);
       clearTimeout(timer);
-      if (kept !== undefined) {
-        transcript = kept;
-        await onCut?.();
+      if (snapshot !== undefined) {
+        transcript = snapshot;
+        await onDisconnect?.();
         continue;
       }
       if (transcript.ends > 0 || transcript.errors.length > 0) break;
@@ -178,7 +186,7 @@
   async targetOf(transcript: Transcript): Promise<Target> {
     const vm = transcript.lastEventId.split(':')[2];
     const known = this.site.engines.find((target) => target.vm === vm);
-    return known ?? (await this.findWorking());
+    return known ?? (await this.findBusyEngine());
   }
 
   async addEntry(): Promise<void> {
@@ -188,41 +196,41 @@
       name: 'relay',
       flags: {to},
     });
-    this.seats.push({daemon, relay});
+    this.entries.push({daemon, relay});
   }
 
-  private async breakAll(options: {
+  private async injectFault(options: {
     faultCase: FaultCase;
-    first: number;
+    firstIndex: number;
     target: Target;
-    repairs: Repair[];
+    undos: Undo[];
   }): Promise<void> {
-    const {faultCase, first, target, repairs} = options;
-    const seat = this.seats[first % this.seats.length]!;
-    for (const victim of faultCase.victims) {
-      const repair =
-        victim === Victim.ENTRY
-          ? await this.breakEntry(seat, faultCase.fault)
-          : await this.breakTarget(target, victim, faultCase.fault);
-      repairs.push(repair);
+    const {faultCase, firstIndex, target, undos} = options;
+    const entry = this.entries[firstIndex % this.entries.length]!;
+    for (const component of faultCase.components) {
+      const undo =
+        component === Component.ENTRY
+          ? await this.injectEntryFault(entry, faultCase.fault)
+          : await this.injectTargetFault(target, component, faultCase.fault);
+      undos.push(undo);
     }
   }
 
-  private async breakTarget(
+  private async injectTargetFault(
     target: Target,
-    victim: Victim,
+    component: Component,
     fault: Fault,
-  ): Promise<Repair> {
-    const isEngine = victim === Victim.ENGINE;
+  ): Promise<Undo> {
+    const isEngine = component === Component.ENGINE;
     const proc = isEngine ? target.standIn.proc : target.agent.proc;
     switch (fault) {
       case Fault.KILL:
         proc.kill();
         return () => this.replaceTarget(target);
-      case Fault.FREEZE:
+      case Fault.PAUSE:
         proc.freeze();
         return () => Promise.resolve(proc.thaw());
-      case Fault.CUT: {
+      case Fault.DISCONNECT: {
         const relay = isEngine ? target.targetRelay! : target.agentRelay!;
         await controlRelay(relay, 'cut');
         return () => controlRelay(relay, 'mend');
@@ -230,18 +238,21 @@
     }
   }
 
-  private async breakEntry(seat: EntrySeat, fault: Fault): Promise<Repair> {
-    const {proc} = seat.daemon;
+  private async injectEntryFault(
+    entry: RelayedEntry,
+    fault: Fault,
+  ): Promise<Undo> {
+    const {proc} = entry.daemon;
     switch (fault) {
       case Fault.KILL:
         proc.kill();
-        return () => this.replaceEntry(seat);
-      case Fault.FREEZE:
+        return () => this.replaceEntry(entry);
+      case Fault.PAUSE:
         proc.freeze();
         return () => Promise.resolve(proc.thaw());
-      case Fault.CUT:
-        await controlRelay(seat.relay, 'cut');
-        return () => controlRelay(seat.relay, 'mend');
+      case Fault.DISCONNECT:
+        await controlRelay(entry.relay, 'cut');
+        return () => controlRelay(entry.relay, 'mend');
     }
   }
 
@@ -252,25 +263,25 @@
     await this.site.addEngine();
   }
 
-  private async replaceEntry(seat: EntrySeat): Promise<void> {
-    await seat.daemon.proc.exited;
-    this.seats.splice(this.seats.indexOf(seat), 1);
+  private async replaceEntry(entry: RelayedEntry): Promise<void> {
+    await entry.daemon.proc.exited;
+    this.entries.splice(this.entries.indexOf(entry), 1);
     await this.addEntry();
   }
 
-  private async awaitWorking(): Promise<Target> {
+  private async waitForBusyEngine(): Promise<Target> {
     let found: Target | undefined;
     await waitUntil({
       what: 'an engine works',
       check: async () => {
-        found = await this.findWorking();
+        found = await this.findBusyEngine();
         return true;
       },
     });
     return found!;
   }
 
-  private async findWorking(): Promise<Target> {
+  private async findBusyEngine(): Promise<Target> {
     for (const target of this.site.engines) {
       if (!target.standIn.proc.isRunning) continue;
       const url = `${target.standIn.url}/counts`;
@@ -290,35 +301,35 @@
   return Number(transcript.lastEventId.split(':').at(-1));
 }
 
-function positionAt(moment: Moment, ask: Ask): number {
-  switch (moment) {
-    case Moment.START:
+function positionOfStage(stage: FaultStage, req: Ask): number {
+  switch (stage) {
+    case FaultStage.START:
       return Number.POSITIVE_INFINITY;
-    case Moment.MIDDLE:
-      return Math.floor(ask.maxTokens / 2);
-    case Moment.LAST_TOKEN:
-      return ask.maxTokens - 1;
-    case Moment.BEFORE_FINAL:
-      return ask.maxTokens;
+    case FaultStage.MIDDLE:
+      return Math.floor(req.maxTokens / 2);
+    case FaultStage.LAST_TOKEN:
+      return req.maxTokens - 1;
+    case FaultStage.BEFORE_FINAL_EVENT:
+      return req.maxTokens;
   }
 }
 
 /** Every fault at every moment, for one set of victims. */
 export function createFaultCases(
-  victims: readonly Victim[],
+  components: readonly Component[],
 ): ReadonlyArray<FaultCase & {name: string}> {
   return Object.values(Fault).flatMap((fault) =>
-    Object.values(Moment).map((moment) => ({
+    Object.values(FaultStage).map((stage) => ({
       fault,
-      victims,
-      moment,
-      name: `${fault} ${victims.join(' and ')} at ${moment}`,
+      components,
+      stage,
+      name: `${fault} ${components.join(' and ')} at ${stage}`,
     })),
   );
 }
 
 /** A request whose answer ends at `maxTokens`, inside a character or not. */
-export function createAsk(name: string): Ask {
+export function createRequest(name: string): Ask {
   const maxTokens = 24;
   const prompt = `${name}: zażółć [length=${maxTokens + 9}]`;
   return {prompt, maxTokens};
--- a/test/support/generation-loss.ts
+++ b/test/support/generation-loss.ts
@@ -2,25 +2,25 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import type {Transcript} from '../../tools/lab/caller.js';
-import type {FaultCase, Victim} from './fault-site.js';
+import type {FaultCase, Component} from './fault-site.js';
 import {
-  createAsk,
+  createRequest,
   createFaultCases,
-  expectedText,
+  expectedTextOf,
   FaultSite,
 } from './fault-site.js';
 
 /** Declares that a generation is whole, whenever and however it loses them. */
-export function describeLoss(options: {
+export function describeComponentLoss(options: {
   /** What is lost, as the suite's title names it. */
-  loses: string;
-  victims: readonly Victim[];
+  lost: string;
+  components: readonly Component[];
   /** How often callers may have seen the answer begin anew: never. */
   checkRestarts?: (transcript: Transcript, faultCase: FaultCase) => void;
 }): void {
-  const {loses, victims, checkRestarts = expectNoRestart} = options;
+  const {lost, components, checkRestarts = expectNoRestart} = options;
 
-  describe(`a generation that loses ${loses}`, () => {
+  describe(`a generation that loses ${lost}`, () => {
     let faultSite: FaultSite;
 
     beforeAll(async () => {
@@ -29,13 +29,13 @@
 
     afterAll(() => faultSite?.close());
 
-    it.each(createFaultCases(victims))(
+    it.each(createFaultCases(components))(
       'is whole after $name',
       async ({name, ...faultCase}) => {
-        const ask = createAsk(name);
-        const transcript = await faultSite.run({ask, faultCase});
+        const req = createRequest(name);
+        const transcript = await faultSite.runWithFault({req, faultCase});
         expect(transcript.errors).toEqual([]);
-        expect(transcript.text).toBe(expectedText(ask));
+        expect(transcript.text).toBe(expectedTextOf(req));
         expect(transcript.ends).toBe(1);
         expect(transcript.finishReason).toBe('length');
         checkRestarts(transcript, faultCase);
--- a/test/support/generation.ts
+++ b/test/support/generation.ts
@@ -8,14 +8,14 @@
 } from '../../src/core/edges/index.js';
 
 /** What became of one generation. */
-export interface Outcome {
+export interface GenerationResult {
   readonly tokens: Token[];
   readonly finishReason?: FinishReason;
   readonly err?: DriverError;
 }
 
 /** A request with defaults for what a test leaves out. */
-export function specOf(fields: Partial<GenerationSpec>): GenerationSpec {
+export function createSpec(fields: Partial<GenerationSpec>): GenerationSpec {
   return {
     model: 'm',
     prompt: 'Draft a pallet quote',
@@ -33,7 +33,7 @@
   spec: GenerationSpec;
   requestId?: string;
   resumeFrom?: readonly Token[];
-}): Promise<Outcome> {
+}): Promise<GenerationResult> {
   const {driver, spec, requestId = 'r', resumeFrom = []} = options;
   const tokens = [...resumeFrom];
   return new Promise((resolve, reject) => {
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -5,7 +5,7 @@
 import {startServer} from '../../stand-ins/lib/http-server.js';
 
 /** Address on which nothing listens: port 1 is reserved and unused. */
-export const NOWHERE = 'http://127.0.0.1:1';
+export const UNREACHABLE_URL = 'http://127.0.0.1:1';
 
 /** Posts a JSON body to a control path. */
 export async function post(url: string, body: object = {}): Promise<Response> {
@@ -18,8 +18,8 @@
 }
 
 /** Starts a server that answers every request in the same way. */
-export function startScripted(
-  answer: (res: ServerResponse) => void,
+export function startStubServer(
+  respond: (res: ServerResponse) => void,
 ): Promise<RunningServer> {
   const handle = ({
     req,
@@ -28,7 +28,7 @@
     res: ServerResponse;
   }): void => {
     req.resume();
-    req.on('end', () => answer(res));
+    req.on('end', () => respond(res));
   };
   return startServer({address: '127.0.0.1', port: 0, handle});
 }
--- a/test/support/refusals.ts
+++ b/test/support/refusals.ts
@@ -5,7 +5,7 @@
 
 import type {RefusalReason} from '../../src/core/errors/index.js';
 import type {Daemon} from '../../tools/lab/lab.js';
-import type {Reply} from './callers.js';
+import type {HttpResponse} from './callers.js';
 import {send} from './callers.js';
 
 interface Problem {
@@ -18,7 +18,7 @@
 
 /** Checks that a reply is a whole problem document for a request that did not run. */
 export function expectRefusal(
-  reply: Reply,
+  reply: HttpResponse,
   {status, reason}: {status: number; reason: RefusalReason},
 ): void {
   expect([reply.status, reply.text]).toEqual([status, expect.any(String)]);
@@ -30,7 +30,7 @@
 }
 
 /** Reads an entry's counter of a refusal. */
-export async function countOf(
+export async function countRefusals(
   entry: Daemon,
   reason: RefusalReason,
 ): Promise<number> {
@@ -42,19 +42,19 @@
 }
 
 /** Sends text as it is and reads until the connection closes. */
-export function sendRaw(entry: Daemon, text: string): Promise<Reply> {
+export function sendRaw(entry: Daemon, text: string): Promise<HttpResponse> {
   const {port, hostname} = new URL(entry.callersUrl);
   return new Promise((resolve, reject) => {
     const socket = connect({host: hostname, port: Number(port)});
     let received = '';
     socket.on('data', (chunk) => (received += chunk.toString()));
     socket.on('error', reject);
-    socket.on('close', () => resolve(parseReply(received)));
+    socket.on('close', () => resolve(parseResponse(received)));
     socket.write(text);
   });
 }
 
-function parseReply(received: string): Reply {
+function parseResponse(received: string): HttpResponse {
   const [head = '', text = ''] = received.split('\r\n\r\n', 2);
   const [statusLine = '', ...lines] = head.split('\r\n');
   const fields = lines.map((line) => line.split(': ', 2) as [string, string]);
