--- a/test/support/bookings.ts
+++ b/test/support/bookings.ts
@@ -1,18 +1,18 @@
-/** Bookings of callers, and what the service's own ledger counted. */
+/** Sends bookings, reads the ledger's execution counts and sets faults. */
 import {Codec, number, optional, string} from 'purify-ts';
 
 import {sendControl} from '../../tools/lab/lab.js';
 import type {Site} from '../../tools/lab/site.js';
 import {send} from './callers.js';
 
-/** What a caller was told of one request. */
+/** Result of one booking as its caller sees it. */
 export interface BookingResult {
-  /** `yes`, `no`, `unknown`, or `none` where the connection broke. */
+  /** `yes`, `no` or `unknown`; `none` if the connection broke. */
   readonly ran: string;
   readonly reason: string;
   readonly retryAfter: string;
   readonly text: string;
-  readonly tookMs: number;
+  readonly elapsedMs: number;
 }
 
 const PROBLEM = Codec.interface({
@@ -21,7 +21,7 @@
   status: optional(number),
 });
 
-/** Books once at one entry. */
+/** Sends one booking to an entry. */
 export async function book(options: {
   url: string;
   key: string;
@@ -31,7 +31,7 @@
 }): Promise<BookingResult> {
   const {url, key, deadlineMs = 8_000, firstUse, pallets = 3} = options;
   const startedMs = performance.now();
-  const took = (): number => performance.now() - startedMs;
+  const elapsed = (): number => performance.now() - startedMs;
   try {
     const {status, headers, text} = await send({
       url: `${url}/services/orders/bookings`,
@@ -44,17 +44,23 @@
     });
     const retryAfter = String(headers['retry-after'] ?? '');
     if (status < 300) {
-      return {ran: 'yes', reason: '', retryAfter, text, tookMs: took()};
+      return {ran: 'yes', reason: '', retryAfter, text, elapsedMs: elapsed()};
     }
     const problem = PROBLEM.decode(JSON.parse(text)).unsafeCoerce();
     const {reason, ran} = problem;
-    return {ran, reason, retryAfter, text, tookMs: took()};
+    return {ran, reason, retryAfter, text, elapsedMs: elapsed()};
   } catch {
-    return {ran: 'none', reason: '', retryAfter: '', text: '', tookMs: took()};
+    return {
+      ran: 'none',
+      reason: '',
+      retryAfter: '',
+      text: '',
+      elapsedMs: elapsed(),
+    };
   }
 }
 
-/** How often a key ran, by the ledger that outlives the services. */
+/** Executions for one key, from the ledger, which outlives the services. */
 export async function countExecutions(
   site: Site,
   key: string,
@@ -62,7 +68,7 @@
   return (await readExecutionCounts(site)).get(key) ?? 0;
 }
 
-/** Runs by key, by the ledger that outlives the services. */
+/** Executions by key, from the ledger, which outlives the services. */
 export async function readExecutionCounts(
   site: Site,
 ): Promise<Map<string, number>> {
@@ -72,7 +78,7 @@
   return new Map(perKey.map((row) => [row.key, row.count]));
 }
 
-/** Orders a fault of the platform. */
+/** Sets a fault of the stand-in platform. */
 export async function setStoreFault(
   site: Site,
   body: {mode: string; count?: number; delayMs?: number},
@@ -80,7 +86,7 @@
   await sendControl({url: `${site.platform.url}/faults`, method: 'POST', body});
 }
 
-/** Orders a fault of every order service. */
+/** Sets a fault of every order service. */
 export async function setServiceFault(
   site: Site,
   body: {kind: string; factor?: number},
--- a/test/support/callers.ts
+++ b/test/support/callers.ts
@@ -1,4 +1,4 @@
-/** Requests of callers to an entry, and what the stand-ins counted. */
+/** Sends requests to an entry and reads the counters of the stand-ins. */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
@@ -8,7 +8,7 @@
 import {sendControl} from '../../tools/lab/lab.js';
 import type {Site, Target} from '../../tools/lab/site.js';
 
-/** A response that was read whole. */
+/** An HTTP response with its complete body. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -22,17 +22,17 @@
   readonly data: string;
 }
 
-/** What the stand-ins counted so far. */
+/** Totals of the stand-ins' counters. */
 export interface SiteCounts {
   readonly generations: number;
   readonly tokens: number;
   readonly bookings: number;
   readonly lookups: number;
-  /** Calls to the platform about claims. */
+  /** Platform calls for objects of kind `claim`. */
   readonly claimCalls: number;
 }
 
-/** Sends a request as the demo client account, and reads the answer whole. */
+/** Sends a request as the demo client account; reads the whole response. */
 export async function send(options: {
   url: string;
   method?: 'GET' | 'POST';
@@ -53,7 +53,7 @@
   return {status: res.statusCode, headers: res.headers, text};
 }
 
-/** Cuts the text of a stream into its events. */
+/** Parses the body of an event stream. */
 export function parseEvents(text: string): ServerSentEvent[] {
   const events: ServerSentEvent[] = [];
   const parser = createParser({onEvent: (event) => events.push(event)});
@@ -61,13 +61,13 @@
   return events;
 }
 
-/** The whole text that an engine gives to a prompt. */
+/** The complete text that an engine generates for a prompt. */
 export function expectedText(prompt: string, maxTokens: number): string {
   const {tokens} = expectedAnswer({prompt, maxTokens, stop: []});
   return tokens.map((token) => token.text).join('');
 }
 
-/** Adds up what the site's stand-ins counted. */
+/** Sums up the counters of the site's stand-ins. */
 export async function readCounts(site: Site): Promise<SiteCounts> {
   const engines = await Promise.all(site.engines.map(readTargetCounts));
   const stock = await Promise.all(site.stock.map(readTargetCounts));
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,4 +1,4 @@
-/** A small site on which tests lose engines, agents and entries. */
+/** A small site in which tests fail engines, agents and entries. */
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
 import type {Ask, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
@@ -7,58 +7,58 @@
 import type {SiteOptions, Target} from '../../tools/lab/site.js';
 import {Site} from '../../tools/lab/site.js';
 
-/** How something is lost. */
+/** How a component fails. */
 export enum Fault {
   KILL = 'kill',
   PAUSE = 'freeze',
   DISCONNECT = 'cut',
 }
 
-/** What is lost. */
+/** The component that fails. */
 export enum Component {
   ENGINE = 'engine',
   AGENT = 'agent',
   ENTRY = 'entry',
 }
 
-/** When it is lost, in the course of the answer. */
+/** Stage of the generation at which the fault is injected. */
 export enum FaultStage {
   START = 'start',
   MIDDLE = 'middle',
   LAST_TOKEN = 'last token',
-  /** The caller has every token and no final event. */
+  /** The caller has received every token but no final event. */
   BEFORE_FINAL_EVENT = 'before the final event',
 }
 
-/** Silence after which a caller turns to the next entry, in milliseconds. */
+/** Idle time before a caller switches to the next entry, in milliseconds. */
 const CALLER_IDLE_TIMEOUT_MS = 1_500;
 
 const MAX_ATTEMPTS = 20;
 
 interface RelayedEntry {
   readonly daemon: Daemon;
-  /** Between the caller and the entry. */
+  /** Forwards the callers' connections to the entry. */
   readonly relay: StandIn;
 }
 
 /** Undoes a fault. */
 export type Undo = () => Promise<void>;
 
-/** What a case loses, and when. */
+/** Which components of a test case fail, how and when. */
 export interface FaultCase {
   readonly fault: Fault;
   readonly components: readonly Component[];
   readonly stage: FaultStage;
 }
 
-/** The answer as the engine's own text gives it. */
+/** The complete text that an engine generates for a request. */
 export function expectedTextOf(req: Ask): string {
   const {prompt, maxTokens, stop = []} = req;
   const {tokens} = expectedAnswer({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
 }
 
-/** Runs generations on a site and loses parts of it under them. */
+/** Runs generations on a site and injects faults while they run. */
 export class FaultSite {
   private readonly entries: RelayedEntry[] = [];
   private nextIndex = 0;
@@ -89,11 +89,11 @@
     return this.site.close();
   }
 
-  /** Reads a whole answer and loses the victims of the case at its moment. */
+  /** Reads a whole generation and injects the case's fault at its stage. */
   async runWithFault(options: {
     req: Ask;
     faultCase: FaultCase;
-    /** Position of the fault; by the moment where none is given. */
+    /** Tokens received before the fault; by default set by the stage. */
     faultPosition?: number;
   }): Promise<Transcript> {
     const {req, faultCase} = options;
@@ -128,7 +128,7 @@
     return transcript;
   }
 
-  /** Reads an answer to its end, at another entry after each break. */
+  /** Reads a generation to its end, at the next entry after each break. */
   async readGeneration(options: {
     req: Ask;
     firstIndex?: number;
@@ -182,7 +182,7 @@
     return transcript;
   }
 
-  /** The target where an answer runs, as its last event says. */
+  /** The target that runs a generation, according to its last event. */
   async targetOf(transcript: Transcript): Promise<Target> {
     const vm = transcript.lastEventId.split(':')[2];
     const known = this.site.engines.find((target) => target.vm === vm);
@@ -272,7 +272,7 @@
   private async waitForBusyEngine(): Promise<Target> {
     let found: Target | undefined;
     await waitUntil({
-      what: 'an engine works',
+      what: 'an engine is generating',
       check: async () => {
         found = await this.findBusyEngine();
         return true;
@@ -292,11 +292,11 @@
       };
       if (started > finished + cancelled) return target;
     }
-    throw new Error('no engine works');
+    throw new Error('no engine is generating');
   }
 }
 
-/** Tokens that a caller has, as its last event says. */
+/** Number of tokens that a caller has received, from its last event. */
 function positionOf(transcript: Transcript): number {
   return Number(transcript.lastEventId.split(':').at(-1));
 }
@@ -314,7 +314,7 @@
   }
 }
 
-/** Every fault at every moment, for one set of victims. */
+/** Every fault at every stage, for one set of components. */
 export function createFaultCases(
   components: readonly Component[],
 ): ReadonlyArray<FaultCase & {name: string}> {
@@ -328,7 +328,7 @@
   );
 }
 
-/** A request whose answer ends at `maxTokens`, inside a character or not. */
+/** A request that ends at `maxTokens`, possibly within a character. */
 export function createRequest(name: string): Ask {
   const maxTokens = 24;
   const prompt = `${name}: zażółć [length=${maxTokens + 9}]`;
--- a/test/support/generation-loss.ts
+++ b/test/support/generation-loss.ts
@@ -1,4 +1,4 @@
-/** The suite of a generation that loses some of its processes. */
+/** Test suite for generations that lose some of their processes. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import type {Transcript} from '../../tools/lab/caller.js';
@@ -10,12 +10,12 @@
   FaultSite,
 } from './fault-site.js';
 
-/** Declares that a generation is whole, whenever and however it loses them. */
+/** Tests that a generation completes after every fault at every stage. */
 export function describeComponentLoss(options: {
-  /** What is lost, as the suite's title names it. */
+  /** The lost components, as the suite's title names them. */
   lost: string;
   components: readonly Component[];
-  /** How often callers may have seen the answer begin anew: never. */
+  /** Checks the restarts that the caller received; by default there is none. */
   checkRestarts?: (transcript: Transcript, faultCase: FaultCase) => void;
 }): void {
   const {lost, components, checkRestarts = expectNoRestart} = options;
@@ -30,7 +30,7 @@
     afterAll(() => faultSite?.close());
 
     it.each(createFaultCases(components))(
-      'is whole after $name',
+      'is complete after $name',
       async ({name, ...faultCase}) => {
         const req = createRequest(name);
         const transcript = await faultSite.runWithFault({req, faultCase});
--- a/test/support/generation.ts
+++ b/test/support/generation.ts
@@ -1,4 +1,4 @@
-/** Runs generations through a driver and collects what its sink gets. */
+/** Runs generations through a driver and collects their tokens. */
 import type {
   DriverError,
   EngineDriver,
@@ -7,14 +7,14 @@
   Token,
 } from '../../src/core/edges/index.js';
 
-/** What became of one generation. */
+/** Result of one generation. */
 export interface GenerationResult {
   readonly tokens: Token[];
   readonly finishReason?: FinishReason;
   readonly err?: DriverError;
 }
 
-/** A request with defaults for what a test leaves out. */
+/** A generation request with defaults for missing fields. */
 export function createSpec(fields: Partial<GenerationSpec>): GenerationSpec {
   return {
     model: 'm',
@@ -27,7 +27,7 @@
   };
 }
 
-/** Runs a generation to its end; checks that positions have no gap. */
+/** Runs a generation to its end; rejects if token positions have a gap. */
 export function generate(options: {
   driver: EngineDriver;
   spec: GenerationSpec;
@@ -39,7 +39,8 @@
   return new Promise((resolve, reject) => {
     const sink = {
       onTokens: (batch: {position: number; tokens: readonly Token[]}) => {
-        if (batch.position !== tokens.length) reject(new Error('gap'));
+        if (batch.position !== tokens.length)
+          reject(new Error('gap in token positions'));
         tokens.push(...batch.tokens);
       },
       onFinish: (finishReason: FinishReason) => resolve({tokens, finishReason}),
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -1,4 +1,4 @@
-/** What the tests of adapters and stand-ins share. */
+/** HTTP helpers for the tests of adapters and stand-ins. */
 import type {ServerResponse} from 'node:http';
 
 import type {RunningServer} from '../../stand-ins/lib/http-server.js';
@@ -17,7 +17,7 @@
   return (await (await fetch(url)).json()) as T;
 }
 
-/** Starts a server that answers every request in the same way. */
+/** Starts a server that responds to every request in the same way. */
 export function startStubServer(
   respond: (res: ServerResponse) => void,
 ): Promise<RunningServer> {
--- a/test/support/program.ts
+++ b/test/support/program.ts
@@ -1,4 +1,4 @@
-/** Starts programs of the build, on port 0. */
+/** Starts built programs on free ports. */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
--- a/test/support/refusals.ts
+++ b/test/support/refusals.ts
@@ -1,4 +1,4 @@
-/** What callers read when they are refused. */
+/** Checks refusals as callers and operators see them. */
 import {connect} from 'node:net';
 
 import {expect} from 'vitest';
@@ -16,20 +16,20 @@
   readonly detail: string;
 }
 
-/** Checks that a reply is a whole problem document for a request that did not run. */
+/** Checks for a complete problem document of a request that did not run. */
 export function expectRefusal(
-  reply: HttpResponse,
+  res: HttpResponse,
   {status, reason}: {status: number; reason: RefusalReason},
 ): void {
-  expect([reply.status, reply.text]).toEqual([status, expect.any(String)]);
-  expect(reply.headers['content-type']).toBe('application/problem+json');
-  const problem = JSON.parse(reply.text) as Problem;
+  expect([res.status, res.text]).toEqual([status, expect.any(String)]);
+  expect(res.headers['content-type']).toBe('application/problem+json');
+  const problem = JSON.parse(res.text) as Problem;
   expect(problem).toMatchObject({status, reason, ran: 'no'});
   expect(problem.hint).not.toBe('');
   expect(problem.detail).not.toBe('');
 }
 
-/** Reads an entry's counter of a refusal. */
+/** Reads an entry's counter of refusals with one reason. */
 export async function countRefusals(
   entry: Daemon,
   reason: RefusalReason,
@@ -41,7 +41,7 @@
   return Number(found?.slice(line.length));
 }
 
-/** Sends text as it is and reads until the connection closes. */
+/** Sends raw text and reads until the connection closes. */
 export function sendRaw(entry: Daemon, text: string): Promise<HttpResponse> {
   const {port, hostname} = new URL(entry.callersUrl);
   return new Promise((resolve, reject) => {
