--- a/test/docs/pages.test.ts
+++ b/test/docs/pages.test.ts
@@ -1,4 +1,4 @@
-/** Pages keep up with the code, and the repository with its own rules. */
+/** Checks that the docs match the code, and the rules for repository files. */
 import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import {dirname, join} from 'node:path';
 import {fileURLToPath} from 'node:url';
@@ -23,7 +23,7 @@
 
 const PAGES = listFiles().filter((file) => file.endsWith('.md'));
 
-/** Lists all files but those that are installed or built. */
+/** Lists all files except installed and built ones. */
 function listFiles(folder = ''): string[] {
   const options = {withFileTypes: true} as const;
   return readdirSync(join(ROOT_PATH, folder), options).flatMap((entry) => {
@@ -40,7 +40,7 @@
 describe('docs/operators/refusals.md', () => {
   const page = read('docs/operators/refusals.md').replace(/ +/g, ' ');
 
-  it.each(Object.values(RefusalReason))('tells of %s', (reason) => {
+  it.each(Object.values(RefusalReason))('documents %s', (reason) => {
     const {data, status} = REFUSALS[reason];
     const row = `| \`${reason}\` | ${status} | ${data.message} | ${data.hint} | `;
     expect(page).toContain(row);
@@ -56,7 +56,7 @@
     ...Object.values(TransportErrorKind),
   ];
 
-  it.each(names)('tells of %s', (name) => {
+  it.each(names)('documents %s', (name) => {
     expect(page).toContain(`\`${name}\``);
   });
 });
@@ -64,7 +64,7 @@
 describe('docs/operators/cli.md', () => {
   const page = read('docs/operators/cli.md').replace(/ +/g, ' ');
 
-  it('tells of each command', async () => {
+  it('documents each command', async () => {
     const {out} = await runTool(['--help']);
     const commands = [...out.matchAll(/^ {2}([a-z-]+) \[/gm)].map((m) => m[1]);
     const commandNames = commands.filter((name) => name !== 'help');
@@ -72,7 +72,7 @@
     for (const name of commandNames) expect(page).toContain(`| \`${name}\` |`);
   });
 
-  it('tells of each exit status', () => {
+  it('documents each exit status', () => {
     const statuses = Object.values(ExitStatus).filter(Number.isInteger);
     for (const status of statuses) expect(page).toContain(`| ${status} | `);
   });
@@ -89,7 +89,7 @@
   });
 });
 
-/** Folders of a machine, put together so that this file holds none. */
+/** Absolute folders of a machine; assembled so that this file has none. */
 const MACHINE_PATHS = ['home', 'work', 'root', 'Users', 'tmp']
   .map((folder) => `(?<![\\w.\\-}])/${folder}/`)
   .join('|');
@@ -101,14 +101,14 @@
 const NOTICES = ['copyright', 'spdx', 'licensed under'].join('|');
 
 const RULES = [
-  {name: 'a path of a machine', pattern: MACHINE_PATHS, files: /./},
-  {name: 'a host of a registry', pattern: REGISTRIES, files: /./},
-  {name: 'a notice in a source file', pattern: NOTICES, files: /\.ts$/},
+  {name: 'absolute path of a machine', pattern: MACHINE_PATHS, files: /./},
+  {name: 'host of a package registry', pattern: REGISTRIES, files: /./},
+  {name: 'copyright notice in a source file', pattern: NOTICES, files: /\.ts$/},
 ];
 
 const THIS_FILE = 'test/docs/pages.test.ts';
 
-describe('the repository holds no', () => {
+describe('the repository contains no', () => {
   const files = listFiles().filter((file) => file !== THIS_FILE);
 
   it.each(RULES)('$name', ({pattern, files: filePattern}) => {
