--- a/test/processes/booking.test.ts
+++ b/test/processes/booking.test.ts
@@ -1,4 +1,4 @@
-/** Bookings while processes die, freeze and wake, and the store fails. */
+/** Bookings while processes crash or pause and while the store fails. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {afterEach, describe, expect, it} from 'vitest';
@@ -13,11 +13,11 @@
   setStoreFault,
 } from '../support/bookings.js';
 
-/** The entry's own time for a booking, shorter than a freeze. */
+/** Deadline of a booking at the entry, shorter than a pause. */
 const SHORT_DEADLINE_MS = 1_500;
 /** Longer than every timeout of the entry and the agent. */
 const PAUSE_MS = 3_000;
-/** By now outcomes are recorded, and late effects have come. */
+/** Time until outcomes are recorded and delayed effects have occurred. */
 const SETTLE_TIME_MS = 1_200;
 
 const KEY = 'pallet-1';
@@ -31,11 +31,14 @@
 interface BookingCase {
   readonly name: string;
   readonly run: () => Promise<BookingResult[]>;
-  /** What each request was told, in order; `*` where it may be anything. */
+  /** `ran reason` of each result, in order; `*` matches anything. */
   readonly expected: readonly string[];
-  /** Runs at the service; undefined where it may be 0 or 1. */
+  /** Executions at the service; undefined if both 0 and 1 are allowed. */
   readonly executions?: number;
-  /** A thawed agent may end the run; then no answer may tell of an outcome. */
+  /**
+   * A resumed agent may abort the execution, so that none is allowed too; then
+   * no response may report an outcome.
+   */
   readonly mayAbort?: true;
 }
 
@@ -47,7 +50,7 @@
   return site.orders.map(({agent}) => agent.proc);
 }
 
-/** Books at entry 0 while something happens. */
+/** Performs an action while a booking at entry 0 is in progress. */
 async function bookDuring(
   action: () => Promise<void>,
   deadlineMs?: number,
@@ -94,7 +97,7 @@
     executions: 1,
   },
   {
-    name: 'the agents are killed after the answer: the outcome is recorded',
+    name: 'the agents are killed after the response: the outcome is recorded',
     run: async () => {
       const first = await book({url: url(0), key: KEY});
       await sleep(SETTLE_TIME_MS);
@@ -105,7 +108,7 @@
     executions: 1,
   },
   {
-    name: 'the agents are killed while it runs',
+    name: 'the agents are killed during the execution',
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookDuring(async () => {
@@ -117,7 +120,7 @@
     expected: ['unknown outcome_unknown', 'unknown *'],
   },
   {
-    name: 'the agents freeze past every timeout and wake',
+    name: 'the agents are paused beyond every timeout and resumed',
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookDuring(async () => {
@@ -132,7 +135,7 @@
     executions: 1,
   },
   {
-    name: 'the entry is killed while it runs',
+    name: 'the entry is killed during the execution',
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookDuring(async () => {
@@ -145,7 +148,7 @@
     executions: 1,
   },
   {
-    name: 'the entry freezes between claim and send, and wakes late',
+    name: 'the entry is paused between claim and send, and resumed late',
     run: async () => {
       await setStoreFault(site, {mode: 'slow', delayMs: 400});
       const entry = site.entries[0]!.proc;
@@ -163,7 +166,7 @@
     executions: 1,
   },
   {
-    name: 'the answer of the claim is lost',
+    name: 'the response to the claim is lost',
     run: async () => {
       await setStoreFault(site, {mode: 'lose_write_answer', count: 1});
       return [await book({url: url(0), key: KEY})];
@@ -190,7 +193,7 @@
     executions: 0,
   },
   {
-    name: 'no target can be reached: the key is void for good',
+    name: 'no target is reachable: the key is voided permanently',
     run: async () => {
       agents().forEach((proc) => proc.kill());
       await sleep(SETTLE_TIME_MS);
@@ -200,7 +203,7 @@
     executions: 0,
   },
   {
-    name: 'two at a time: killed entry, and the store goes down',
+    name: 'two faults: the entry is killed and the store is down',
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookDuring(async () => {
@@ -215,7 +218,7 @@
     executions: 1,
   },
   {
-    name: 'two at a time: frozen agents, and the claim loses its answer',
+    name: 'two faults: the agents are paused and the claim response is lost',
     run: async () => {
       await setStoreFault(site, {mode: 'lose_write_answer', count: 1});
       await setServiceFault(site, {kind: 'slow', factor: 60});
@@ -231,7 +234,7 @@
     mayAbort: true,
   },
   {
-    name: 'two at a time: the service dies after the effect, agents too',
+    name: 'two faults: the service dies after the effect, the agents are killed',
     run: async () => {
       await setServiceFault(site, {kind: 'die_after_effect'});
       const first = await book({url: url(0), key: KEY});
@@ -254,7 +257,7 @@
   return reason === '*' || ran === 'yes' || result.reason === reason;
 }
 
-/** The promise itself, whatever else is expected. */
+/** Checks in every case that the results agree with the executions. */
 function expectConsistent(
   results: readonly BookingResult[],
   executions: number,
--- a/test/processes/cli.test.ts
+++ b/test/processes/cli.test.ts
@@ -104,7 +104,7 @@
 }
 
 describe('configuration', () => {
-  it('is checked, compared, accepted and in force at every entry', async () => {
+  it('is checked, compared, accepted and active at every entry', async () => {
     const platform = ['--platform', site.platform.url];
     const checked = await runTool(['check', '-f', files]);
     expect(checked.status).toBe(ExitStatus.OK);
@@ -125,7 +125,7 @@
     const operators = site.entries.map((entry) => entry.operatorsUrl).join(',');
     const status = ['status', '--operators', operators];
     await waitUntil({
-      what: 'the version is in force at both entries',
+      what: 'the version is active at both entries',
       timeoutMs: 60_000,
       check: async () => {
         const [rows] =
@@ -138,7 +138,7 @@
     expect(table.out).toMatch(/entry-1 +entry +waw +yes +no/);
   });
 
-  it('loses against another operator with status 3 and the difference', async () => {
+  it('conflicts with another operator: status 3 and the difference', async () => {
     editBase('maxConcurrent: 64', 'maxConcurrent: 63');
     const platform = ['--platform', site.platform.url];
     const expected = ['--expect-version', '1'];
@@ -148,7 +148,7 @@
     expect(run.err).toMatch(/anna holds version/);
   });
 
-  it('with a fault is refused with file, line and path, status 2', async () => {
+  it('with an error is refused with file, line and path, status 2', async () => {
     editBase('kind: generation', 'kind: generator');
     for (const command of ['check', 'apply', 'diff']) {
       const platform = ['--platform', site.platform.url];
@@ -173,7 +173,7 @@
     expect((await readCounts(site)).bookings).toBe(before.bookings + 1);
   });
 
-  it('tells a refusal with status 4, also as JSON', async () => {
+  it('reports a refusal with status 4, also as JSON', async () => {
     const args = callArgs('nobody', '/x');
     const run = await runTool(args);
     expect([run.status, run.out]).toEqual([ExitStatus.REFUSED, '']);
@@ -183,8 +183,8 @@
     expect(report.problem.reason).toBe(RefusalReason.UNKNOWN_SERVICE);
   });
 
-  it('sends its deadline, so that the entry itself gives up', async () => {
-    // A slow service still answers its probes, so the call is sent.
+  it('sends its deadline, so that the entry aborts the call', async () => {
+    // A slow service still responds to probes, so the call is sent.
     const setFault = (kind: string) => (target: Target) =>
       sendControl({
         url: `${target.standIn.url}/faults`,
@@ -209,7 +209,7 @@
 });
 
 describe('generate', () => {
-  it('goes on by itself when the entry is killed under it', async () => {
+  it('resumes automatically when its entry is killed', async () => {
     const tokens = 150;
     const prompt = `Hoop schedule for Cognac [length=${tokens}]`;
     const expected = expectedText(prompt, tokens);
@@ -225,7 +225,7 @@
     expect(run.out).toBe(`${expected}\n`);
   });
 
-  it('writes the whole answer as JSON', async () => {
+  it('writes the complete output as JSON', async () => {
     const prompt = 'A note on fitting';
     const [report, run] = await runJson<object>(generateArgs(prompt, 20));
     expect(run.status).toBe(ExitStatus.OK);
@@ -238,7 +238,7 @@
 });
 
 describe('drain', () => {
-  it('waits until the process is gone', async () => {
+  it('waits until the process has exited', async () => {
     const {operatorsUrl, proc} = site.stock[1]!.agent;
     const args = ['drain', '--operators', operatorsUrl, '--wait', '--json'];
     const run = await runTool(args);
@@ -253,7 +253,7 @@
 });
 
 describe('status', () => {
-  it('is 1 when a process does not answer', async () => {
+  it('is 1 when a process does not respond', async () => {
     const {operatorsUrl} = site.entries[1]!;
     const urls = `${operatorsUrl},http://127.0.0.1:1`;
     const run = await runTool(['status', '--operators', urls]);
@@ -263,7 +263,7 @@
   });
 });
 
-describe('the command line itself', () => {
+describe('the command line', () => {
   it.each([
     [['--help'], ExitStatus.OK],
     [['generate', '--help'], ExitStatus.OK],
--- a/test/processes/config.test.ts
+++ b/test/processes/config.test.ts
@@ -35,7 +35,7 @@
 let folder: string;
 let sampling: Promise<void>;
 let isSamplingStopped = false;
-/** The highest version that each process has shown. */
+/** The highest version that each process has reported. */
 const highestVersions = new Map<string, number>();
 const decreases: string[] = [];
 
@@ -59,7 +59,7 @@
   sampling = sampleVersions();
 }
 
-/** Looks at every process until the test ends: no version may fall. */
+/** Polls every process until the test ends: no version may decrease. */
 async function sampleVersions(): Promise<void> {
   while (!isSamplingStopped) {
     const statuses = await Promise.all(daemons().map(readStatus));
@@ -139,7 +139,7 @@
   selectDaemons: () => Daemon[] = daemons,
 ): Promise<void> {
   await waitUntil({
-    what: `version ${version} everywhere`,
+    what: `version ${version} is active at all processes`,
     timeoutMs: WAIT_MS,
     check: async () => {
       const versions = await Promise.all(selectDaemons().map(versionOf));
@@ -163,9 +163,9 @@
   return entry;
 }
 
-describe('a configuration in force', () => {
+describe('an active configuration', () => {
   it(
-    'reaches entries and agents, also those cut off from the platform',
+    'reaches entries and agents, even without access to the platform',
     async () => {
       await createSite({entries: 3, engines: 2, stock: 1});
       const relay = await site.lab.startStandIn({
@@ -185,7 +185,7 @@
   );
 
   it(
-    'is the newest after a pause during which others changed it',
+    'is the newest version after a process was paused during a change',
     async () => {
       await createSite({entries: 3, engines: 1});
       const [paused] = site.entries as [Daemon];
@@ -201,7 +201,7 @@
   );
 
   it(
-    'survives an outage in which only an old peer and the agents are left',
+    'survives an outage that leaves only an outdated peer and the agents',
     async () => {
       await createSite({entries: 2, engines: 1});
       const [stale, current] = site.entries as [Daemon, Daemon];
@@ -224,7 +224,7 @@
   );
 
   it(
-    'is not claimed by an entry that could ask nobody',
+    'is not reported by an entry that could not query any source',
     async () => {
       await createSite({entries: 1, engines: 1});
       await setFault({mode: 'down'});
@@ -245,11 +245,11 @@
 describe('apply', () => {
   const faults: Array<{name: string; fault: object}> = [
     {
-      name: 'the answer to the write is lost',
+      name: 'the response to the write is lost',
       fault: {mode: 'lose_write_answer', count: 1},
     },
     {
-      name: 'two answers in a row are lost',
+      name: 'two responses in a row are lost',
       fault: {mode: 'lose_write_answer', count: 2},
     },
     {
@@ -276,7 +276,7 @@
   );
 
   it(
-    'says when the platform is down, and can be repeated afterwards',
+    'fails while the platform is down, and can be retried afterwards',
     async () => {
       await createSite({entries: 2, engines: 0});
       const before = await storedVersion();
@@ -284,7 +284,7 @@
       expect((await apply('1')).status).not.toBe(0);
       await setFault({mode: 'ok'});
       expect((await apply('1')).status).toBe(0);
-      // The platform goes down right after it has accepted.
+      // The platform goes down immediately after it has accepted the version.
       await setFault({mode: 'down'});
       await setFault({mode: 'ok'});
       expect(await storedVersion()).toBe(before + 1);
@@ -294,11 +294,11 @@
   );
 
   it(
-    'tells the loser of a race who won and how theirs differs',
+    'reports the other operator and the difference after a conflict',
     async () => {
       await createSite({entries: 2, engines: 0});
       const before = await storedVersion();
-      // Both have read before either writes.
+      // The delay makes both read the version before either writes.
       await setFault({mode: 'slow', delayMs: 800});
       const outcomes = await Promise.all([apply('1'), apply('2')]);
       await setFault({mode: 'ok'});
--- a/test/processes/direct-logs.test.ts
+++ b/test/processes/direct-logs.test.ts
@@ -1,4 +1,4 @@
-/** The log of a direct entry whose reader has stopped. */
+/** A direct entry whose log pipe is not read. */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
@@ -22,11 +22,11 @@
 const METRICS_URL = `http://${ADDRESS}:9464/metrics`;
 const GRACE_PERIOD_S = 2;
 
-/** Each refusal writes a line with its id: far more than a pipe holds. */
+/** Each refusal logs a line with its id: far more than the pipe buffers. */
 const REFUSALS = 900;
 const ID_LENGTH = 2_000;
 
-/** A request that waits for the log would wait for ever. */
+/** A request that waited for the log would never get a response. */
 const MAX_LATENCY_MS = 1_000;
 
 describe('a direct entry whose log is not read', () => {
@@ -50,11 +50,11 @@
     });
     writeFileSync(path, JSON.stringify(settings));
     entry = spawn(process.execPath, ['dist/src/daemon/direct-main.js'], {
-      // Nothing is ever read from this pipe.
+      // Nothing reads from this pipe.
       stdio: ['ignore', 'pipe', 'inherit'],
       env: {...process.env, [BOOT_VARIABLE]: path},
     });
-    await waitUntil({what: 'the entry serves', check: isResponsive});
+    await waitUntil({what: 'the entry responds', check: isResponsive});
   });
 
   afterEach(async () => {
@@ -82,7 +82,7 @@
     return (await sendRefused(0)) < MAX_LATENCY_MS;
   }
 
-  it('slows no request, counts what it drops, and stops as planned', async () => {
+  it('delays no request, counts dropped lines and shuts down gracefully', async () => {
     let longestMs = 0;
     for (let number = 1; number <= REFUSALS; number++) {
       longestMs = Math.max(longestMs, await sendRefused(number));
--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -28,7 +28,7 @@
 
 afterEach(() => site.close());
 
-/** Reads one generation at the first entry; calls back at each piece. */
+/** Reads one generation at the first entry; calls back at each event. */
 async function generate(options: {
   tokens: number;
   onPiece?: (transcript: Transcript) => void;
@@ -65,7 +65,7 @@
     const {started, finished} = await countsOf(target);
     if (started > finished) return target;
   }
-  throw new Error('no engine works');
+  throw new Error('no engine is generating');
 }
 
 function drain(daemon: Daemon): Promise<unknown> {
@@ -87,7 +87,7 @@
   headers: {authorization: `Bearer ${DEMO_KEY}`},
 } as const;
 
-describe('a planned stop of an entry', () => {
+describe('a graceful shutdown of an entry', () => {
   const stops: Array<{
     name: string;
     stop: (entry: Daemon) => Promise<unknown>;
@@ -95,7 +95,7 @@
     {name: 'SIGTERM', stop: terminate},
     {name: 'drain', stop: drain},
     {
-      name: 'all at once, twice',
+      name: 'SIGTERM and drain, twice each',
       stop: async (entry) => {
         entry.proc.terminate();
         await drain(entry);
@@ -118,7 +118,7 @@
   ];
 
   it.each(stops)(
-    '$name: refuses new work as not run and ends what it has',
+    '$name: refuses new work as not run and finishes requests in progress',
     async ({stop}) => {
       await createSite({entries: 1, stock: 1, engineFlags: {'pace-ms': 20}});
       const entry = site.entries[0]!;
@@ -148,13 +148,13 @@
     TEST_MS,
   );
 
-  // Only where the caller vouches for a new key does a leaving entry know that
-  // no earlier request with it ran.
+  // Only if the caller marks the key as new can a draining entry rule out that
+  // an earlier request with it ran.
   it.each([
     {firstUse: 'true', ran: 'no'},
     {firstUse: 'false', ran: 'unknown'},
   ])(
-    'answers a request whose body was still on its way: ran $ran',
+    'refuses a request whose body is still arriving: ran $ran',
     async ({firstUse, ran}) => {
       await createSite({entries: 1, engines: 0, stock: 1});
       const entry = site.entries[0]!;
@@ -184,7 +184,7 @@
   );
 
   it(
-    'tells callers that come shortly after, also when it was idle',
+    'refuses requests that arrive shortly after, even if it was idle',
     async () => {
       await createSite({entries: 1, engines: 0, stock: 1});
       const entry = site.entries[0]!;
@@ -201,7 +201,7 @@
   );
 });
 
-describe('a planned stop of a target', () => {
+describe('a graceful shutdown of a target', () => {
   const stops: Array<{name: string; stop: (t: Target) => Promise<unknown>}> = [
     {name: 'SIGTERM', stop: ({agent}) => terminate(agent)},
     {name: 'drain', stop: ({agent}) => drain(agent)},
@@ -220,7 +220,7 @@
   ];
 
   it.each(stops)(
-    '$name: moves generations and exits with 0',
+    '$name: moves generations and exits with code 0',
     async ({stop}) => {
       await createSite({entries: 1, engineFlags: {'pace-ms': 20}});
       let leavingTarget: Promise<Target> | undefined;
@@ -245,7 +245,7 @@
   );
 
   it(
-    'leaving on the list while frozen: no new work, and exit 0 once it wakes',
+    'leaving on the list while paused: no new work, exit code 0 once resumed',
     async () => {
       await createSite({entries: 2, engineFlags: {'pace-ms': 5}});
       const [first, second] = site.engines as [Target, Target];
@@ -273,7 +273,7 @@
   );
 
   it(
-    'during a resume: the answer is whole and ends once',
+    'during a resume: the stream is complete and ends once',
     async () => {
       await createSite({entries: 1, engines: 3, engineFlags: {'pace-ms': 20}});
       let stopped: Target[] = [];
@@ -307,7 +307,7 @@
   }
 
   it(
-    'loses nothing and repeats nothing',
+    'loses no request and executes no booking twice',
     async () => {
       await createSite({
         entries: 2,
--- a/test/processes/edges-peers.test.ts
+++ b/test/processes/edges-peers.test.ts
@@ -1,4 +1,4 @@
-/** Bad input at the peers' port: closes that connection, harms nothing else. */
+/** Invalid input at the peers port closes only that connection. */
 import {connect} from 'node:net';
 
 import {Encoder} from 'cbor-x';
@@ -70,7 +70,7 @@
     kind: TransportErrorKind.FRAME_TOO_LARGE,
   },
   {
-    name: 'what is not CBOR',
+    name: 'invalid CBOR',
     bytes: Buffer.concat([
       GREETING,
       lengthPrefix(2),
@@ -94,17 +94,17 @@
     kind: TransportErrorKind.BAD_MESSAGE,
   },
   {
-    name: 'an order before the greeting',
+    name: 'a command before the greeting',
     bytes: encodeFrame(CANCEL),
     kind: TransportErrorKind.BAD_GREETING,
   },
   {
-    name: 'another version',
+    name: 'another protocol version',
     bytes: encodeFrame({...HELLO, protocol: PROTOCOL_VERSION + 1}),
     kind: TransportErrorKind.WRONG_PROTOCOL,
   },
   {
-    name: 'a role that is none',
+    name: 'an unknown role',
     bytes: frameOf({...HELLO, role: 'router'}),
     kind: TransportErrorKind.BAD_MESSAGE,
   },
@@ -114,7 +114,7 @@
     kind: TransportErrorKind.FRAME_TOO_LARGE,
   },
   {
-    name: 'silence',
+    name: 'no data',
     bytes: Buffer.alloc(0),
     kind: TransportErrorKind.GREETING_TIMEOUT,
   },
@@ -125,7 +125,7 @@
   },
 ];
 
-/** Sends bytes to a process's peers port and waits until it hangs up. */
+/** Sends bytes to a process's peers port and waits until it disconnects. */
 function sendBytes(port: number, bytes: Buffer): Promise<void> {
   return new Promise((resolve) => {
     const socket = connect({host: '127.0.0.1', port});
@@ -160,7 +160,7 @@
 });
 
 describe('a generation in flight', () => {
-  it('goes on unharmed while strangers send nonsense', async () => {
+  it('is unaffected by invalid input on other connections', async () => {
     const before = await readCounts(site);
     const transcript = createTranscript();
     const prompt = `Unharmed [length=${TOKENS}]`;
@@ -170,7 +170,7 @@
       transcript,
     });
     await waitUntil({
-      what: 'the answer has begun',
+      what: 'the generation has started',
       check: () => Promise.resolve(transcript.pieces > 0),
     });
     const ports = [site.entries[0]!, site.engines[0]!.agent];
--- a/test/processes/edges-raw.test.ts
+++ b/test/processes/edges-raw.test.ts
@@ -1,4 +1,4 @@
-/** Requests that no HTTP client would send: refused clearly, at no cost. */
+/** Malformed HTTP requests are refused with a reason and start no work. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {
@@ -37,7 +37,7 @@
 
 const RAW_CASES = [
   {
-    name: 'a body that comes too slowly',
+    name: 'a body that arrives too slowly',
     text: [
       `POST ${COMPLETIONS} HTTP/1.1`,
       'host: entry',
@@ -50,7 +50,7 @@
     reason: RefusalReason.BODY_TOO_SLOW,
   },
   {
-    name: 'a body over the limit that does not tell its length',
+    name: 'a body over the limit without content-length',
     text: [
       `POST ${COMPLETIONS} HTTP/1.1`,
       'host: entry',
@@ -88,7 +88,7 @@
     reason: RefusalReason.HEADERS_TOO_LARGE,
   },
   {
-    name: 'what is not HTTP',
+    name: 'invalid HTTP',
     text: ['nonsense', '', ''],
     status: 400,
     reason: RefusalReason.BAD_REQUEST,
@@ -106,7 +106,7 @@
     reason: RefusalReason.BAD_REQUEST,
   },
   {
-    name: `headers that stay unfinished for ${HEADERS_TIMEOUT_MS} ms`,
+    name: `headers that are incomplete after ${HEADERS_TIMEOUT_MS} ms`,
     text: [`GET /services/stock/stock/x HTTP/1.1`, 'host: en'],
     status: 408,
     reason: RefusalReason.HEADERS_TOO_SLOW,
--- a/test/processes/edges-responses.test.ts
+++ b/test/processes/edges-responses.test.ts
@@ -1,4 +1,4 @@
-/** What comes back from a target is bounded, whole and told truthfully. */
+/** Responses of targets: size limit, forwarding and the reported outcome. */
 import type {ServerResponse} from 'node:http';
 
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
@@ -30,7 +30,7 @@
   site = await Site.create({entries: 1, engines: 0});
   for (const service of ['orders', 'stock']) await addTarget(service);
   await waitUntil({
-    what: 'the entry can use both targets',
+    what: 'both targets are usable at the entry',
     timeoutMs: 60_000,
     check: async () => {
       const url = `${site.entries[0]!.operatorsUrl}/status`;
@@ -89,13 +89,13 @@
 }
 
 describe('a response of a plain service', () => {
-  it('is passed on up to its bound, which one frame holds', async () => {
+  it('is forwarded up to the size limit, which fits in one frame', async () => {
     expect(MAX_RESPONSE_BYTES).toBeLessThan(MAX_FRAME_BYTES);
     const res = await call('stock', `/bytes/${MAX_RESPONSE_BYTES}`);
     expect([res.status, res.text.length]).toEqual([200, MAX_RESPONSE_BYTES]);
   });
 
-  it('over the bound is refused, and the call is not sent again', async () => {
+  it('over the limit is refused, and the call is not retried', async () => {
     const before = calls;
     const res = await call('stock', `/bytes/${OVERSIZED_BYTES}`);
     expect(res.status).toBe(502);
@@ -106,7 +106,7 @@
     expect(calls).toBe(before + 1);
   });
 
-  it('over the bound never lets a booking run again', async () => {
+  it('over the limit never causes a second execution of a booking', async () => {
     const before = calls;
     for (let i = 0; i < 2; i++) {
       const res = await call('orders', `/bytes/${OVERSIZED_BYTES}`, 'large-1');
--- a/test/processes/edges.test.ts
+++ b/test/processes/edges.test.ts
@@ -1,4 +1,4 @@
-/** Bad input at the callers' edge: refused clearly, at no cost. */
+/** Invalid requests of callers are refused with a reason and start no work. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {RefusalReason} from '../../src/core/errors/index.js';
@@ -61,30 +61,30 @@
 }
 
 const BAD_BODIES: readonly HttpCase[] = [
-  ['no JSON', COMPLETIONS, '{'],
+  ['invalid JSON', COMPLETIONS, '{'],
   ['an empty body', COMPLETIONS, ''],
-  ['a list', COMPLETIONS, '[]'],
+  ['an array', COMPLETIONS, '[]'],
   ['no model', COMPLETIONS, '{"prompt":"x"}'],
   ['a prompt of the wrong type', COMPLETIONS, completion({prompt: 7})],
   ['max_tokens as text', COMPLETIONS, completion({max_tokens: '9'})],
   ['max_tokens of 0', COMPLETIONS, completion({max_tokens: 0})],
-  ['a broken max_tokens', COMPLETIONS, completion({max_tokens: 1.5})],
+  ['a fractional max_tokens', COMPLETIONS, completion({max_tokens: 1.5})],
   ['max_tokens over the limit', COMPLETIONS, completion({max_tokens: 101})],
   ['an empty stop string', COMPLETIONS, completion({stop: ['']})],
   ['five stop strings', COMPLETIONS, completion({stop: [...'abcde']})],
-  ['two answers at once', COMPLETIONS, completion({n: 2})],
+  ['two completions at once', COMPLETIONS, completion({n: 2})],
   ['a temperature out of range', COMPLETIONS, completion({temperature: -1})],
   ['stream as text', COMPLETIONS, completion({stream: 'yes'})],
   ['a chat without messages', CHAT, completion({})],
   ['a message without content', CHAT, completion({messages: [{role: 'user'}]})],
   [
-    'a picture in a message',
+    'an image in a message',
     CHAT,
     completion({
       messages: [{role: 'user', content: [{type: 'image_url', text: 'x'}]}],
     }),
   ],
-  ['a chat of no messages', CHAT, completion({messages: []})],
+  ['a chat with an empty message list', CHAT, completion({messages: []})],
 ].map(([name, path, body]) => ({
   name: name!,
   path: path!,
@@ -103,7 +103,8 @@
     name: `${name} at ${path}`,
     path,
     headers: {...KEY_HEADER, authorization: authorization!},
-    // A stranger is told of its key, never of its body.
+    // An unauthenticated request is refused for its key before its body is
+    // checked.
     body: '{'.repeat(BODY_BYTES + 1),
     status: 401,
     reason: RefusalReason.UNAUTHENTICATED,
@@ -189,7 +190,7 @@
     reason: RefusalReason.UNKNOWN_SERVICE,
   },
   {
-    name: 'a generation service asked as a plain one',
+    name: 'a generation service called as a plain service',
     path: '/services/drafts/health',
     method: 'GET',
     status: 404,
@@ -219,7 +220,7 @@
   })),
 ];
 
-describe('a caller is refused and nothing runs', () => {
+describe('a request is refused and nothing runs', () => {
   const cases = [
     ...BAD_BODIES,
     ...BAD_KEYS,
@@ -258,7 +259,7 @@
 });
 
 describe('an event id of another client account', () => {
-  it('is refused where the answer is held, and leaks nothing elsewhere', async () => {
+  it('is refused at the entry that holds the output, and leaks nothing at others', async () => {
     const prompt = 'A quote for one account only';
     const [holder, other] = site.entries.map((entry) => entry.callersUrl);
     const body = completion({prompt, max_tokens: MAX_TOKENS, stream: true});
@@ -286,10 +287,10 @@
 });
 
 describe('a path with an empty segment', () => {
-  it('stays at its service', async () => {
+  it('is forwarded to its own service', async () => {
     const url = `${site.entries[0]!.callersUrl}/services/stock//evil/stock`;
     const res = await send({url, method: 'GET'});
-    // The service's own answer: it knows no such path.
+    // The response of the service itself, which has no such path.
     expect(res.status).toBe(404);
     expect(res.headers['content-type']).toBe('application/json');
   });
--- a/test/processes/end-to-end.test.ts
+++ b/test/processes/end-to-end.test.ts
@@ -1,4 +1,4 @@
-/** The whole path through separate processes, checked from both ends. */
+/** Requests through separate processes, checked at both ends. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {ChatCompletionWriter} from '../../src/adapters/callers/completion-writer.js';
@@ -60,9 +60,9 @@
   readonly path: string;
   readonly object: string;
   readonly chunkObject: string;
-  /** The body of a request for an answer to `topic`. */
+  /** Body fields with `topic` as the prompt. */
   body(topic: string): object;
-  /** The prompt that engines get for it. */
+  /** The prompt that engines receive for `topic`. */
   prompt(topic: string): string;
   textOf(choice: Chunk['choices'][number]): string | undefined;
 }
@@ -104,7 +104,7 @@
 }
 
 describe.each(API_FORMATS)('a $name completion', (format) => {
-  it('comes whole in one document, and ran once', async () => {
+  it('is returned complete in one document, and ran once', async () => {
     const before = await readCounts(site);
     const topic = `Pallet quote, one document, ${format.name}`;
     const res = await sendCompletion(format, topic, {});
@@ -125,7 +125,7 @@
     expect(after.tokens - before.tokens).toBe(MAX_TOKENS);
   });
 
-  it('comes whole as a stream of chunks that ends once', async () => {
+  it('is streamed completely in chunks and ends once', async () => {
     const before = await readCounts(site);
     const topic = `Pallet quote, stream, ${format.name}`;
     const fields = {stream: true, stream_options: {include_usage: true}};
@@ -159,7 +159,7 @@
     expect(after.tokens - before.tokens).toBe(MAX_TOKENS);
   });
 
-  it('carries no usage where none was asked for', async () => {
+  it('carries no usage unless it is requested', async () => {
     const res = await sendCompletion(format, 'No usage', {stream: true});
     expect(res.text).not.toContain('"usage"');
   });
@@ -177,8 +177,8 @@
   });
 });
 
-describe('a message in parts of text', () => {
-  it('is answered as the same text in one piece', async () => {
+describe('a message with several text parts', () => {
+  it('has the same prompt as the joined text', async () => {
     const [, chat] = API_FORMATS;
     const texts = ['Fitting ', 'notes'];
     const content = texts.map((text) => ({type: 'text', text}));
@@ -206,7 +206,7 @@
     expect(after.bookings - before.bookings).toBe(1);
   });
 
-  it('passes on a stock lookup with its query', async () => {
+  it('forwards a stock lookup with its query', async () => {
     const before = await readCounts(site);
     const url = `${entryUrl(1)}/services/stock/stock/pumice?unit=bag`;
     const res = await send({url, method: 'GET'});
@@ -231,8 +231,8 @@
   return [entries[0]!, ...agents].map((process) => process.operatorsUrl);
 }
 
-describe('the operators edge', () => {
-  it('writes valid Prometheus text with each counter from 0 on', async () => {
+describe('the operators port', () => {
+  it('writes valid Prometheus text with every counter, starting at 0', async () => {
     for (const url of processUrls()) {
       const res = await readMetrics(url);
       expect(res.headers['content-type']).toContain('version=0.0.4');
@@ -258,7 +258,7 @@
     }
   });
 
-  it('counts what callers saw', async () => {
+  it('records first-token and token-gap latencies', async () => {
     const {text} = await readMetrics(site.entries[0]!.operatorsUrl);
     const first = /first_token_seconds_count (\d+)/.exec(text);
     expect(Number(first?.[1])).toBeGreaterThan(0);
@@ -285,7 +285,7 @@
     }
   });
 
-  it('answers probes', async () => {
+  it('responds to probes', async () => {
     for (const url of processUrls()) {
       const health = await send({url: `${url}/healthz`, method: 'GET'});
       const ready = await send({url: `${url}/readyz`, method: 'GET'});
--- a/test/processes/generation-agent-entry.test.ts
+++ b/test/processes/generation-agent-entry.test.ts
@@ -1,4 +1,4 @@
-/** The agent and the entry are lost under a generation at once. */
+/** A generation loses its agent and its entry at the same time. */
 import {expect} from 'vitest';
 
 import {Fault, FaultStage, Component} from '../support/fault-site.js';
@@ -8,7 +8,7 @@
   lost: 'its agent and its entry',
   components: [Component.AGENT, Component.ENTRY],
   checkRestarts: ({restarts}, {fault, stage}) => {
-    // An entry that is cut off from callers still has its copy for others.
+    // An entry that callers cannot reach still provides its copy to others.
     const isLost = fault !== Fault.DISCONNECT;
     const isSeen =
       stage === FaultStage.MIDDLE || stage === FaultStage.BEFORE_FINAL_EVENT;
--- a/test/processes/generation-agent.test.ts
+++ b/test/processes/generation-agent.test.ts
@@ -1,4 +1,4 @@
-/** The agent is lost under a generation. */
+/** A generation loses its agent. */
 import {Component} from '../support/fault-site.js';
 import {describeComponentLoss} from '../support/generation-loss.js';
 
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -1,4 +1,4 @@
-/** Engines end answers too early after a resume; stop strings span attempts. */
+/** Engines that end too early after a resume; stop strings across attempts. */
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
@@ -18,7 +18,7 @@
   return {'early-done-after-resume': true, 'early-done-kind': kind};
 }
 
-/** Text of three tokens right after the resume point. */
+/** Text of eight tokens from the middle on, shortly after the fault. */
 function stopAfterResume(): string {
   const spec = {prompt: PROMPT, maxTokens: LENGTH, stop: []};
   const {tokens} = expectedAnswer(spec);
@@ -27,24 +27,36 @@
 }
 
 const CASES = [
-  {name: 'claims a stop', flags: earlyEndFlags('stop'), finish: 'stop'},
-  {name: 'claims the length', flags: earlyEndFlags('length'), finish: 'stop'},
-  {name: 'gives no reason', flags: earlyEndFlags('no_reason'), finish: 'stop'},
   {
-    name: 'ends by a stop string of two attempts',
+    name: 'reports finish reason stop too early',
+    flags: earlyEndFlags('stop'),
+    finish: 'stop',
+  },
+  {
+    name: 'reports finish reason length too early',
+    flags: earlyEndFlags('length'),
+    finish: 'stop',
+  },
+  {
+    name: 'ends too early without a finish reason',
+    flags: earlyEndFlags('no_reason'),
+    finish: 'stop',
+  },
+  {
+    name: 'ends at a stop string that spans two attempts',
     flags: {},
     stop: [stopAfterResume()],
     finish: 'stop',
   },
-  {name: 'ends by max_tokens', flags: {}, maxTokens: 30, finish: 'length'},
+  {name: 'ends at max_tokens', flags: {}, maxTokens: 30, finish: 'length'},
 ];
 
-describe('a resumed answer whose engine', () => {
+describe('a resumed generation whose engine', () => {
   let faultSite: FaultSite | undefined;
 
   afterEach(() => faultSite?.close());
 
-  it.each(CASES)('$name is whole', async (row) => {
+  it.each(CASES)('$name is complete', async (row) => {
     const {flags, finish, stop, maxTokens = LENGTH * 2} = row;
     faultSite = await FaultSite.create({
       entries: 1,
--- a/test/processes/generation-engine-agent.test.ts
+++ b/test/processes/generation-engine-agent.test.ts
@@ -1,4 +1,4 @@
-/** The engine and the agent are lost under a generation at once. */
+/** A generation loses its engine and its agent at the same time. */
 import {Component} from '../support/fault-site.js';
 import {describeComponentLoss} from '../support/generation-loss.js';
 
--- a/test/processes/generation-engine.test.ts
+++ b/test/processes/generation-engine.test.ts
@@ -1,4 +1,4 @@
-/** The engine is lost under a generation. */
+/** A generation loses its engine. */
 import {Component} from '../support/fault-site.js';
 import {describeComponentLoss} from '../support/generation-loss.js';
 
--- a/test/processes/generation-entry.test.ts
+++ b/test/processes/generation-entry.test.ts
@@ -1,4 +1,4 @@
-/** The entry is lost under a generation. */
+/** A generation loses its entry. */
 import {Component} from '../support/fault-site.js';
 import {describeComponentLoss} from '../support/generation-loss.js';
 
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -1,4 +1,4 @@
-/** Planned moves, attempts that nobody follows, and engines that are slow. */
+/** Moves off draining targets, cancelled attempts and slow engines. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
@@ -21,7 +21,7 @@
 
   afterAll(() => faultSite?.close());
 
-  it('is cancelled at an agent that was frozen meanwhile', async () => {
+  it('is cancelled at an agent that was paused while it moved away', async () => {
     let victim: Promise<Target> | undefined;
     const transcript = createTranscript();
     const abort = new AbortController();
@@ -39,7 +39,7 @@
       },
     }).catch(() => undefined);
     await waitUntil({
-      what: 'the answer goes on elsewhere',
+      what: 'the generation is resumed at another target',
       check: async () => {
         const vm = transcript.lastEventId.split(':')[2];
         expect(transcript.errors).toEqual([]);
@@ -50,7 +50,7 @@
     const before = (await readCounts(target)).cancelled;
     target.agent.proc.thaw();
     await waitUntil({
-      what: 'the old attempt is cancelled',
+      what: 'the earlier attempt is cancelled',
       timeoutMs: 5_000,
       check: async () => (await readCounts(target)).cancelled > before,
     });
@@ -58,7 +58,7 @@
     await reading;
   });
 
-  it('is cancelled when its caller is gone for good', async () => {
+  it('is cancelled when its caller does not reconnect', async () => {
     const {engines} = faultSite.site;
     const abort = new AbortController();
     await readStream({
@@ -71,7 +71,7 @@
       },
     }).catch(() => undefined);
     await waitUntil({
-      what: 'no engine works',
+      what: 'no engine is generating',
       timeoutMs: 30_000,
       check: async () => {
         const counts = await Promise.all(engines.map(readCounts));
@@ -80,7 +80,7 @@
     });
   });
 
-  it('moves off a target that leaves, with nothing cut off', async () => {
+  it('moves off a draining target and stays complete', async () => {
     let victim: Promise<Target> | undefined;
     const req = {prompt: 'moved [length=150]', maxTokens: 150};
     const transcript = await faultSite.readGeneration({
@@ -101,8 +101,8 @@
     expect(await target.agent.proc.exited).toBe(0);
   });
 
-  // Last: what the entry learns of slow engines bounds what it admits.
-  it('is not given up on an engine that is slow', async () => {
+  // Runs last: the measured slowness reduces what the entry admits afterwards.
+  it('is not moved off a slow engine', async () => {
     const {engines} = faultSite.site;
     const before = await countStarted(engines);
     await setFault(engines, 'slow', 40);
--- a/test/processes/generation-poison.test.ts
+++ b/test/processes/generation-poison.test.ts
@@ -1,4 +1,4 @@
-/** A request crashes each engine that runs it. */
+/** A poison request, which crashes each engine that runs it. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import type {Transcript} from '../../tools/lab/caller.js';
@@ -15,7 +15,7 @@
 const UNRELATED_COUNT = 8;
 const MAX_TOKENS = 80;
 
-/** The culprit runs beside innocents before it crashes its engine. */
+/** Runs alongside unrelated requests before it crashes its engine. */
 const POISON_REQUEST = {
   prompt: `${CRASH_MARKER} [crash-after=20] [length=${MAX_TOKENS}]`,
   maxTokens: MAX_TOKENS,
@@ -34,10 +34,10 @@
 
   afterAll(() => site?.close());
 
-  it('is named within two crashes, and the others finish', async () => {
+  it('is quarantined within two crashes, and unrelated requests finish', async () => {
     const urls = site.entries.map((entry) => entry.callersUrl);
     const reqs = Array.from({length: UNRELATED_COUNT}, (_, i) => ({
-      prompt: `innocent ${i} [length=${MAX_TOKENS}]`,
+      prompt: `unrelated ${i} [length=${MAX_TOKENS}]`,
       maxTokens: MAX_TOKENS,
     }));
     const reading = reqs.map((req, i) =>
@@ -64,11 +64,11 @@
   return site.engines.filter(({standIn}) => !standIn.proc.isRunning).length;
 }
 
-/** Other entries learn of it over the store; then each re-send is refused. */
+/** Checks that retries are refused once an entry has read the quarantine. */
 async function expectRefused(url: string): Promise<void> {
   let last: Transcript | undefined;
   await waitUntil({
-    what: 'a re-send is refused',
+    what: 'a retry is refused',
     check: async () => {
       last = createTranscript();
       await readStream({url, ask: POISON_REQUEST, transcript: last});
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -1,4 +1,4 @@
-/** Policy under load, with real processes: losses, lies, greed and haste. */
+/** Lost engines, outdated load reports, unequal accounts and hasty retries. */
 import {createHash} from 'node:crypto';
 import {setMaxListeners} from 'node:events';
 
@@ -38,7 +38,7 @@
   return site;
 }
 
-/** Lets two client accounts send, and bounds the queue of an entry. */
+/** Configures two client accounts and the queue length of an entry. */
 function editBase(options: {maxConcurrent: number; queueLength: number}) {
   const {maxConcurrent, queueLength} = options;
   const keySha256 = createHash('sha256').update(OTHER_KEY).digest('hex');
@@ -59,7 +59,7 @@
   return {prompt, maxTokens: tokens, deadlineMs};
 }
 
-function isWhole(transcript: Transcript, req: Ask): boolean {
+function isComplete(transcript: Transcript, req: Ask): boolean {
   const {ends, errors, text} = transcript;
   const isCorrect = text === expectedText(req.prompt, req.maxTokens);
   return ends === 1 && errors.length === 0 && isCorrect;
@@ -70,8 +70,8 @@
   return ((await sendControl({url})) as EngineCounts).started;
 }
 
-describe('policy under load', () => {
-  it('brings every admitted answer whole when a third of the engines is lost', async () => {
+describe('an entry under load', () => {
+  it('completes every admitted generation when a third of the engines is lost', async () => {
     const {engines, entries} = await createSite({
       engines: 3,
       engineFlags: {'pace-ms': 20, capacity: 8},
@@ -84,26 +84,28 @@
     const reading = reqs.map((req) =>
       readWhole({urls, ask: req, onPiece: () => started.add(req.prompt)}),
     );
-    // Two slots are kept for resumes; all others are busy.
+    // Two slots are reserved for resumes; all others are busy.
     const check = (): Promise<boolean> => Promise.resolve(started.size >= 22);
     await waitUntil({what: 'the engines are full', check});
     engines[0]!.standIn.proc.kill();
     engines[0]!.agent.proc.kill();
     const transcripts = await Promise.all(reading);
-    const incomplete = reqs.filter((req, i) => !isWhole(transcripts[i]!, req));
+    const incomplete = reqs.filter(
+      (req, i) => !isComplete(transcripts[i]!, req),
+    );
     expect(incomplete).toEqual([]);
   });
 
   it.each([
-    {name: 'reports that lag by seconds', lagMs: 3_000},
-    {name: 'reports that always say idle', lagMs: 600_000},
-  ])('lets nothing wait beside a free slot under $name', async ({lagMs}) => {
+    {name: 'reports that are seconds old', lagMs: 3_000},
+    {name: 'reports that always show idle engines', lagMs: 600_000},
+  ])('uses every free slot despite $name', async ({lagMs}) => {
     const {engines, entries} = await createSite({
       engines: 3,
       engineFlags: {'pace-ms': 20, capacity: 8, 'report-lag-ms': lagMs},
     });
     const urls = entries.map((entry) => entry.callersUrl);
-    // The second wave meets reports that still tell of none or of the first.
+    // During the second wave reports still show no load or that of the first.
     for (const wave of [1, 2]) {
       const started = new Set<string>();
       const reqs = Array.from({length: 22}, (_, i) =>
@@ -114,15 +116,17 @@
       );
       const check = (): Promise<boolean> =>
         Promise.resolve(started.size === 22);
-      await waitUntil({what: 'all have begun at once', check});
+      await waitUntil({what: 'all generations have started', check});
       const startedCounts = await Promise.all(engines.map(countStarted));
       expect(Math.max(...startedCounts)).toBeLessThanOrEqual(8 * wave);
       const transcripts = await Promise.all(reading);
-      expect(reqs.every((req, i) => isWhole(transcripts[i]!, req))).toBe(true);
+      expect(reqs.every((req, i) => isComplete(transcripts[i]!, req))).toBe(
+        true,
+      );
     }
   });
 
-  it('answers a modest account while another sends far beyond its share', async () => {
+  it('serves a low-volume account while another far exceeds its share', async () => {
     const {entries} = await createSite({
       engines: 2,
       engineFlags: {'pace-ms': 10, capacity: 4},
@@ -132,7 +136,7 @@
     const stop = new AbortController();
     const {signal} = stop;
     setMaxListeners(500, signal);
-    // At 16 answers a second these take 25 s, first come, first served.
+    // At 16 generations a second these take 25 s in FIFO order.
     const flood = Array.from({length: 400}, (_, i) => {
       const req = createRequest(`greedy ${i}`, 50);
       const transcript = createTranscript();
@@ -146,13 +150,13 @@
       const transcript = createTranscript();
       await readStream({url, ask: req, transcript});
       expect(transcript.errors).toEqual([]);
-      expect(isWhole(transcript, req)).toBe(true);
+      expect(isComplete(transcript, req)).toBe(true);
     }
     stop.abort();
     await Promise.all(flood);
   });
 
-  it('tells callers that retry at once the truth, and serves some of them', async () => {
+  it('refuses immediate retries as not run, and serves some of them', async () => {
     const {engines, entries} = await createSite({
       engines: 1,
       engineFlags: {'pace-ms': 10, capacity: 4},
--- a/test/processes/membership.test.ts
+++ b/test/processes/membership.test.ts
@@ -71,7 +71,7 @@
 
 describe('targets', () => {
   it(
-    'are used again after a pause, and after an agent restarts elsewhere',
+    'are used again after a pause, and after the agent restarts on another port',
     async () => {
       const [target] = site.engines as [Target];
       target.agent.proc.freeze();
@@ -89,7 +89,7 @@
   );
 
   it(
-    'get no new work once they are off the list, and again when back on it',
+    'get no new work while off the VM list, and are usable once back on it',
     async () => {
       const [target] = site.engines as [Target];
       await site.unregister(target.vm);
@@ -111,7 +111,7 @@
   );
 
   it(
-    'stay in use when the list loses them all at once',
+    'stay in use when all of them disappear from the VM list at once',
     async () => {
       for (const {vm} of site.engines) await site.unregister(vm);
       await sleep(2_000);
--- a/test/processes/plain-calls.test.ts
+++ b/test/processes/plain-calls.test.ts
@@ -1,4 +1,4 @@
-/** Idempotent calls while a target is frozen and while the store is down. */
+/** Idempotent calls while a target is paused and while the store is down. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {Site} from '../../tools/lab/site.js';
@@ -6,7 +6,7 @@
 import {send} from '../support/callers.js';
 
 const DEADLINE_MS = 6_000;
-/** As many as the floor of the retry budget lets be tried again. */
+/** Number of retries that the floor of the retry budget allows. */
 const LOOKUPS = 3;
 
 let site: Site;
@@ -28,7 +28,7 @@
 }
 
 describe('an idempotent call', () => {
-  it('is answered within its deadline when its target freezes', async () => {
+  it('completes within its deadline when its target is paused', async () => {
     const paused = site.stock[0]!.standIn.proc;
     paused.freeze();
     const items = Array.from({length: LOOKUPS}, (_, i) => `pumice-${i}`);
@@ -41,7 +41,7 @@
     );
   });
 
-  it('goes on while the store is down', async () => {
+  it('succeeds while the store is down', async () => {
     await setStoreFault(site, {mode: 'down'});
     const {status} = await lookUp('pumice-9');
     await setStoreFault(site, {mode: 'ok'});
--- a/test/processes/soak.test.ts
+++ b/test/processes/soak.test.ts
@@ -1,4 +1,4 @@
-/** A short run of the soak, and all seeds that it ever failed on. */
+/** A short soak run, and all seeds that it has ever failed on. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -11,7 +11,7 @@
 const SIZE = {entries: 3, targets: 1};
 const SHORT_MS = 14_000;
 
-/** Starting the processes, and faults that outlast the plan. */
+/** Time to start the processes, and for faults that last beyond the plan. */
 const OVERHEAD_MS = 60_000;
 
 const CASES = [
@@ -21,13 +21,13 @@
 
 describe('the soak', () => {
   it.each(CASES)(
-    'keeps all promises with seed $seed ($cause)',
+    'violates no guarantee with seed $seed ($cause)',
     async ({seed, durationMs}) => {
       const folder = mkdtempSync(join(tmpdir(), `soak-${seed}-`));
       const result = await runSoak({seed, durationMs, size: SIZE, folder});
       expect(result.violations, `kept in ${folder}`).toEqual([]);
       expect(result.served).toBeGreaterThan(0);
-      // Only what a failure needs to be traced is left behind.
+      // The folder is kept only after a failure, to analyse it.
       rmSync(folder, {recursive: true});
     },
     SHORT_MS + OVERHEAD_MS,
