--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -31,13 +31,13 @@
 /** Reads one generation at the first entry; calls back at each event. */
 async function generate(options: {
   tokens: number;
-  onPiece?: (transcript: Transcript) => void;
+  onChunk?: (transcript: Transcript) => void;
 }): Promise<Transcript> {
-  const {tokens, onPiece} = options;
+  const {tokens, onChunk} = options;
   const transcript = createTranscript();
   const req = {prompt: `stop test [length=${tokens}]`, maxTokens: tokens};
   const url = site.entries[0]!.callersUrl;
-  await readStream({url, ask: req, transcript, onPiece});
+  await readStream({url, ask: req, transcript, onPiece: onChunk});
   const output = expectedAnswer({...req, stop: []});
   const text = output.tokens.map((token) => token.text).join('');
   expect(transcript).toMatchObject({text, ends: 1, restarts: 0, errors: []});
@@ -127,7 +127,7 @@
       let stopped: Promise<unknown> | undefined;
       const reading = generate({
         tokens: 150,
-        onPiece: ({pieces}) => {
+        onChunk: ({pieces}) => {
           if (pieces === 20) stopped = stop(entry);
         },
       });
@@ -226,7 +226,7 @@
       let leavingTarget: Promise<Target> | undefined;
       await generate({
         tokens: 200,
-        onPiece: ({pieces}) => {
+        onChunk: ({pieces}) => {
           if (pieces !== 20) return;
           leavingTarget = findBusyEngine().then(async (target) => {
             await stop(target);
@@ -279,7 +279,7 @@
       let stopped: Target[] = [];
       await generate({
         tokens: 150,
-        onPiece: ({pieces}) => {
+        onChunk: ({pieces}) => {
           if (pieces !== 20) return;
           void findBusyEngine().then((target) => {
             target.standIn.proc.kill();
--- a/test/processes/edges.test.ts
+++ b/test/processes/edges.test.ts
@@ -274,14 +274,14 @@
     expectRefusal(res, {status: 400, reason: RefusalReason.BAD_EVENT_ID});
     expect(await readCounts(site)).toEqual(before);
     const otherBody = completion({prompt: 'y', max_tokens: 20, stream: true});
-    const elsewhere = await send({
+    const otherRes = await send({
       url: `${other}${COMPLETIONS}`,
       headers,
       body: otherBody,
     });
     const secret = expectedText(prompt, MAX_TOKENS).slice(-40);
-    expect(elsewhere.text).not.toContain(secret);
-    const seen = parseEvents(elsewhere.text).map(({data}) => data);
+    expect(otherRes.text).not.toContain(secret);
+    const seen = parseEvents(otherRes.text).map(({data}) => data);
     expect(seen.join('')).not.toContain(secret);
   });
 });
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -22,7 +22,7 @@
   afterAll(() => faultSite?.close());
 
   it('is cancelled at an agent that was paused while it moved away', async () => {
-    let victim: Promise<Target> | undefined;
+    let pausedTarget: Promise<Target> | undefined;
     const transcript = createTranscript();
     const abort = new AbortController();
     const reading = readStream({
@@ -32,7 +32,7 @@
       signal: abort.signal,
       onPiece: (t) => {
         if (t.pieces < 10) return;
-        victim ??= faultSite.targetOf(t).then((target) => {
+        pausedTarget ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.freeze();
           return target;
         });
@@ -43,10 +43,10 @@
       check: async () => {
         const vm = transcript.lastEventId.split(':')[2];
         expect(transcript.errors).toEqual([]);
-        return victim !== undefined && vm !== (await victim).vm;
+        return pausedTarget !== undefined && vm !== (await pausedTarget).vm;
       },
     });
-    const target = (await victim)!;
+    const target = (await pausedTarget)!;
     const before = (await readCounts(target)).cancelled;
     target.agent.proc.thaw();
     await waitUntil({
@@ -81,19 +81,19 @@
   });
 
   it('moves off a draining target and stays complete', async () => {
-    let victim: Promise<Target> | undefined;
+    let drainingTarget: Promise<Target> | undefined;
     const req = {prompt: 'moved [length=150]', maxTokens: 150};
     const transcript = await faultSite.readGeneration({
       req,
       onChunk: (t) => {
         if (t.pieces < 20) return;
-        victim ??= faultSite.targetOf(t).then((target) => {
+        drainingTarget ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.terminate();
           return target;
         });
       },
     });
-    const target = (await victim)!;
+    const target = (await drainingTarget)!;
     expect(transcript.text).toBe(expectedTextOf(req));
     expect(transcript.ends).toBe(1);
     expect(transcript.restarts).toBe(0);
