--- a/bench/experiments/booking/load.ts
+++ b/bench/experiments/booking/load.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import type {Site} from '../../../tools/lab/site.js';
-import type {Told} from '../../../test/support/bookings.js';
+import type {BookingResult} from '../../../test/support/bookings.js';
 import {book} from '../../../test/support/bookings.js';
 import {Samples} from '../../lib/samples.js';
 
@@ -11,7 +11,7 @@
 /** What a load came to. */
 export interface LoadResult {
   readonly samples: Samples;
-  readonly told: readonly Told[];
+  readonly told: readonly BookingResult[];
 }
 
 /** Starts `rate` bookings a second for a time, however long each takes. */
@@ -30,7 +30,8 @@
   );
   const told = await Promise.all(started);
   const samples = new Samples({name, unit: 'ms'});
-  for (const {ran, tookMs} of told) if (ran === 'yes') samples.add(tookMs);
+  for (const {ran, elapsedMs} of told)
+    if (ran === 'yes') samples.add(elapsedMs);
   return {samples, told};
 }
 
--- a/test/processes/config.test.ts
+++ b/test/processes/config.test.ts
@@ -34,43 +34,43 @@
 let site: Site;
 let folder: string;
 let sampling: Promise<void>;
-let sampled = false;
-/** The highest version that each process has shown. */
-const highest = new Map<string, number>();
-const reverts: string[] = [];
+let isSamplingStopped = false;
+/** The highest version that each process has reported. */
+const highestVersions = new Map<string, number>();
+const decreases: string[] = [];
 
 beforeEach(() => {
   folder = mkdtempSync(join(tmpdir(), 'config-'));
-  highest.clear();
-  reverts.length = 0;
-  sampled = false;
+  highestVersions.clear();
+  decreases.length = 0;
+  isSamplingStopped = false;
 });
 
 afterEach(async () => {
-  sampled = true;
+  isSamplingStopped = true;
   await sampling;
   await site.close();
   rmSync(folder, {recursive: true});
-  expect(reverts).toEqual([]);
+  expect(decreases).toEqual([]);
 });
 
 async function createSite(options: SiteOptions): Promise<void> {
   site = await Site.create(options);
-  sampling = sample();
+  sampling = sampleVersions();
 }
 
-/** Looks at every process until the test ends: no version may fall. */
-async function sample(): Promise<void> {
-  while (!sampled) {
+/** Polls every process until the test ends: no version may decrease. */
+async function sampleVersions(): Promise<void> {
+  while (!isSamplingStopped) {
     const statuses = await Promise.all(daemons().map(readStatus));
     for (const status of statuses) {
       if (status === undefined) continue;
       const id = `${status.vm} ${status.incarnation}`;
-      const before = highest.get(id) ?? 0;
+      const before = highestVersions.get(id) ?? 0;
       if (status.configVersion < before) {
-        reverts.push(`${id}: ${before} to ${status.configVersion}`);
+        decreases.push(`${id}: ${before} to ${status.configVersion}`);
       }
-      highest.set(id, Math.max(before, status.configVersion));
+      highestVersions.set(id, Math.max(before, status.configVersion));
     }
     await new Promise((resolve) => setTimeout(resolve, SAMPLE_MS));
   }
@@ -136,13 +136,13 @@
 
 async function waitForVersion(
   version: number,
-  of: () => Daemon[] = daemons,
+  selectDaemons: () => Daemon[] = daemons,
 ): Promise<void> {
   await waitUntil({
-    what: `version ${version} everywhere`,
+    what: `version ${version} is active at all processes`,
     timeoutMs: WAIT_MS,
     check: async () => {
-      const versions = await Promise.all(of().map(versionOf));
+      const versions = await Promise.all(selectDaemons().map(versionOf));
       return versions.every((found) => found === version);
     },
   });
@@ -163,9 +163,9 @@
   return entry;
 }
 
-describe('a configuration in force', () => {
+describe('an active configuration', () => {
   it(
-    'reaches entries and agents, also those cut off from the platform',
+    'reaches entries and agents, even without access to the platform',
     async () => {
       await createSite({entries: 3, engines: 2, stock: 1});
       const relay = await site.lab.startStandIn({
@@ -185,7 +185,7 @@
   );
 
   it(
-    'is the newest after a pause during which others changed it',
+    'is the newest version after a process was paused during a change',
     async () => {
       await createSite({entries: 3, engines: 1});
       const [paused] = site.entries as [Daemon];
@@ -201,38 +201,38 @@
   );
 
   it(
-    'survives an outage in which only an old peer and the agents are left',
+    'survives an outage that leaves only an outdated peer and the agents',
     async () => {
       await createSite({entries: 2, engines: 1});
-      const [old, current] = site.entries as [Daemon, Daemon];
-      old.proc.freeze();
+      const [stale, current] = site.entries as [Daemon, Daemon];
+      stale.proc.freeze();
       expect((await apply('1')).status).toBe(0);
       const version = await storedVersion();
       await waitForVersion(version, () =>
-        daemons().filter((daemon) => daemon !== old),
+        daemons().filter((daemon) => daemon !== stale),
       );
       await setFault({mode: 'down', kind: 'config'});
       current.proc.kill();
       await current.proc.exited;
-      old.proc.thaw();
-      const fresh = await startEntry(site.platform.url);
+      stale.proc.thaw();
+      const started = await startEntry(site.platform.url);
       await waitForVersion(version);
-      const status = await readStatus(fresh);
+      const status = await readStatus(started);
       expect(status).toMatchObject({ready: true, configVersion: version});
     },
     TEST_MS,
   );
 
   it(
-    'is not claimed by an entry that could ask nobody',
+    'is not reported by an entry that could not query any source',
     async () => {
       await createSite({entries: 1, engines: 1});
       await setFault({mode: 'down'});
-      const fresh = await startEntry(site.platform.url);
+      const started = await startEntry(site.platform.url);
       await new Promise((resolve) => setTimeout(resolve, 4_000));
-      const during = await readStatus(fresh);
+      const during = await readStatus(started);
       expect(during).toMatchObject({ready: false, configVersion: 0});
-      const res = await fetch(`${fresh.callersUrl}/services/stock/stock/x`);
+      const res = await fetch(`${started.callersUrl}/services/stock/stock/x`);
       expect(await res.json()).toMatchObject({reason: 'not_ready', ran: 'no'});
       expect(await readStatus(site.entries[0]!)).toMatchObject({ready: true});
       await setFault({mode: 'ok'});
@@ -245,11 +245,11 @@
 describe('apply', () => {
   const faults: Array<{name: string; fault: object}> = [
     {
-      name: 'the answer to the write is lost',
+      name: 'the response to the write is lost',
       fault: {mode: 'lose_write_answer', count: 1},
     },
     {
-      name: 'two answers in a row are lost',
+      name: 'two responses in a row are lost',
       fault: {mode: 'lose_write_answer', count: 2},
     },
     {
@@ -276,7 +276,7 @@
   );
 
   it(
-    'says when the platform is down, and can be repeated afterwards',
+    'fails while the platform is down, and can be retried afterwards',
     async () => {
       await createSite({entries: 2, engines: 0});
       const before = await storedVersion();
@@ -284,7 +284,7 @@
       expect((await apply('1')).status).not.toBe(0);
       await setFault({mode: 'ok'});
       expect((await apply('1')).status).toBe(0);
-      // The platform goes down right after it has accepted.
+      // The platform goes down immediately after it has accepted the version.
       await setFault({mode: 'down'});
       await setFault({mode: 'ok'});
       expect(await storedVersion()).toBe(before + 1);
@@ -294,20 +294,20 @@
   );
 
   it(
-    'tells the loser of a race who won and how theirs differs',
+    'reports the other operator and the difference after a conflict',
     async () => {
       await createSite({entries: 2, engines: 0});
       const before = await storedVersion();
-      // Both have read before either writes.
+      // The delay makes both read the version before either writes.
       await setFault({mode: 'slow', delayMs: 800});
       const outcomes = await Promise.all([apply('1'), apply('2')]);
       await setFault({mode: 'ok'});
-      const lost = outcomes.findIndex(({status}) => status !== 0);
-      expect(outcomes[1 - lost]!.status).toBe(0);
-      expect(outcomes[lost]!.status).toBe(CONFLICT_STATUS);
-      const winner = `operator-${2 - lost}`;
-      expect(outcomes[lost]!.text).toContain(winner);
-      expect(outcomes[lost]!.text).toContain(`${20_000 + lost + 1}`);
+      const loser = outcomes.findIndex(({status}) => status !== 0);
+      expect(outcomes[1 - loser]!.status).toBe(0);
+      expect(outcomes[loser]!.status).toBe(CONFLICT_STATUS);
+      const winner = `operator-${2 - loser}`;
+      expect(outcomes[loser]!.text).toContain(winner);
+      expect(outcomes[loser]!.text).toContain(`${20_000 + loser + 1}`);
       expect(await storedVersion()).toBe(before + 1);
       await waitForVersion(before + 1);
     },
--- a/test/processes/edges-responses.test.ts
+++ b/test/processes/edges-responses.test.ts
@@ -1,4 +1,4 @@
-/** What comes back from a target is bounded, whole and told truthfully. */
+/** Responses of targets: size limit, forwarding and the reported outcome. */
 import type {ServerResponse} from 'node:http';
 
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
@@ -12,7 +12,7 @@
 import {Site} from '../../tools/lab/site.js';
 import {send} from '../support/callers.js';
 
-const OVER = MAX_RESPONSE_BYTES + 1;
+const OVERSIZED_BYTES = MAX_RESPONSE_BYTES + 1;
 
 let site: Site;
 let target: RunningServer;
@@ -24,13 +24,13 @@
     port: 0,
     handle: ({req, res, segments}) => {
       req.resume();
-      answer(res, segments);
+      respond(res, segments);
     },
   });
   site = await Site.create({entries: 1, engines: 0});
   for (const service of ['orders', 'stock']) await addTarget(service);
   await waitUntil({
-    what: 'the entry can use both targets',
+    what: 'both targets are usable at the entry',
     timeoutMs: 60_000,
     check: async () => {
       const url = `${site.entries[0]!.operatorsUrl}/status`;
@@ -45,7 +45,7 @@
   await target?.close();
 });
 
-function answer(res: ServerResponse, segments: readonly string[]): void {
+function respond(res: ServerResponse, segments: readonly string[]): void {
   const [root = '', size = '0'] = segments;
   if (root === 'health') {
     res.end('{"running":0,"capacity":9}');
@@ -89,32 +89,29 @@
 }
 
 describe('a response of a plain service', () => {
-  it('is passed on up to its bound, which one frame holds', async () => {
+  it('is forwarded up to the size limit, which fits in one frame', async () => {
     expect(MAX_RESPONSE_BYTES).toBeLessThan(MAX_FRAME_BYTES);
-    const reply = await call('stock', `/bytes/${MAX_RESPONSE_BYTES}`);
-    expect([reply.status, reply.text.length]).toEqual([
-      200,
-      MAX_RESPONSE_BYTES,
-    ]);
+    const res = await call('stock', `/bytes/${MAX_RESPONSE_BYTES}`);
+    expect([res.status, res.text.length]).toEqual([200, MAX_RESPONSE_BYTES]);
   });
 
-  it('over the bound is refused, and the call is not sent again', async () => {
+  it('over the limit is refused, and the call is not retried', async () => {
     const before = calls;
-    const reply = await call('stock', `/bytes/${OVER}`);
-    expect(reply.status).toBe(502);
-    expect(JSON.parse(reply.text)).toMatchObject({
+    const res = await call('stock', `/bytes/${OVERSIZED_BYTES}`);
+    expect(res.status).toBe(502);
+    expect(JSON.parse(res.text)).toMatchObject({
       reason: RefusalReason.RESPONSE_TOO_LARGE,
       ran: 'yes',
     });
     expect(calls).toBe(before + 1);
   });
 
-  it('over the bound never lets a booking run again', async () => {
+  it('over the limit never causes a second execution of a booking', async () => {
     const before = calls;
     for (let i = 0; i < 2; i++) {
-      const reply = await call('orders', `/bytes/${OVER}`, 'large-1');
-      expect(reply.status).toBe(502);
-      expect(JSON.parse(reply.text)).not.toMatchObject({ran: 'no'});
+      const res = await call('orders', `/bytes/${OVERSIZED_BYTES}`, 'large-1');
+      expect(res.status).toBe(502);
+      expect(JSON.parse(res.text)).not.toMatchObject({ran: 'no'});
     }
     expect(calls).toBe(before + 1);
   });
@@ -122,8 +119,8 @@
   it.each([204, 205, 304, 400, 404, 503, 799])(
     'keeps status %i',
     async (status) => {
-      const reply = await call('stock', `/status/${status}`);
-      expect([reply.status, reply.headers['x-kept']]).toEqual([status, 'yes']);
+      const res = await call('stock', `/status/${status}`);
+      expect([res.status, res.headers['x-kept']]).toEqual([status, 'yes']);
     },
   );
 });
--- a/test/processes/edges.test.ts
+++ b/test/processes/edges.test.ts
@@ -1,4 +1,4 @@
-/** Bad input at the callers' edge: refused clearly, at no cost. */
+/** Invalid requests of callers are refused with a reason and start no work. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {RefusalReason} from '../../src/core/errors/index.js';
@@ -7,10 +7,10 @@
 import {
   expectedText,
   readCounts,
-  readEvents,
+  parseEvents,
   send,
 } from '../support/callers.js';
-import {countOf, expectRefusal, sendRaw} from '../support/refusals.js';
+import {countRefusals, expectRefusal, sendRaw} from '../support/refusals.js';
 
 const BODY_BYTES = 4_096;
 const MAX_TOKENS = 100;
@@ -53,38 +53,38 @@
 const COMPLETIONS = '/v1/completions';
 const CHAT = '/v1/chat/completions';
 const BOOKINGS = '/services/orders/bookings';
-const KEY = {'idempotency-key': 'edge-1'};
+const KEY_HEADER = {'idempotency-key': 'edge-1'};
 
 function completion(fields: object): string {
-  const ask = {model: 'quote-writer', prompt: 'x', max_tokens: 10};
-  return JSON.stringify({...ask, ...fields});
+  const req = {model: 'quote-writer', prompt: 'x', max_tokens: 10};
+  return JSON.stringify({...req, ...fields});
 }
 
 const BAD_BODIES: readonly HttpCase[] = [
-  ['no JSON', COMPLETIONS, '{'],
+  ['invalid JSON', COMPLETIONS, '{'],
   ['an empty body', COMPLETIONS, ''],
-  ['a list', COMPLETIONS, '[]'],
+  ['an array', COMPLETIONS, '[]'],
   ['no model', COMPLETIONS, '{"prompt":"x"}'],
   ['a prompt of the wrong type', COMPLETIONS, completion({prompt: 7})],
   ['max_tokens as text', COMPLETIONS, completion({max_tokens: '9'})],
   ['max_tokens of 0', COMPLETIONS, completion({max_tokens: 0})],
-  ['a broken max_tokens', COMPLETIONS, completion({max_tokens: 1.5})],
+  ['a fractional max_tokens', COMPLETIONS, completion({max_tokens: 1.5})],
   ['max_tokens over the limit', COMPLETIONS, completion({max_tokens: 101})],
   ['an empty stop string', COMPLETIONS, completion({stop: ['']})],
   ['five stop strings', COMPLETIONS, completion({stop: [...'abcde']})],
-  ['two answers at once', COMPLETIONS, completion({n: 2})],
+  ['two completions at once', COMPLETIONS, completion({n: 2})],
   ['a temperature out of range', COMPLETIONS, completion({temperature: -1})],
   ['stream as text', COMPLETIONS, completion({stream: 'yes'})],
   ['a chat without messages', CHAT, completion({})],
   ['a message without content', CHAT, completion({messages: [{role: 'user'}]})],
   [
-    'a picture in a message',
+    'an image in a message',
     CHAT,
     completion({
       messages: [{role: 'user', content: [{type: 'image_url', text: 'x'}]}],
     }),
   ],
-  ['a chat of no messages', CHAT, completion({messages: []})],
+  ['a chat with an empty message list', CHAT, completion({messages: []})],
 ].map(([name, path, body]) => ({
   name: name!,
   path: path!,
@@ -102,8 +102,9 @@
   [COMPLETIONS, BOOKINGS].map((path) => ({
     name: `${name} at ${path}`,
     path,
-    headers: {...KEY, authorization: authorization!},
-    // A stranger is told of its key, never of its body.
+    headers: {...KEY_HEADER, authorization: authorization!},
+    // An unauthenticated request is refused for its key before its body is
+    // checked.
     body: '{'.repeat(BODY_BYTES + 1),
     status: 401,
     reason: RefusalReason.UNAUTHENTICATED,
@@ -153,13 +154,13 @@
 ].map((path) => ({
   name: `the path ${path}`,
   path,
-  headers: KEY,
+  headers: KEY_HEADER,
   body: '{}',
   status: 400,
   reason: RefusalReason.BAD_REQUEST,
 }));
 
-const OTHERS: readonly HttpCase[] = [
+const OTHER_CASES: readonly HttpCase[] = [
   {
     name: 'a body over the limit',
     body: completion({prompt: 'x'.repeat(BODY_BYTES)}),
@@ -169,7 +170,7 @@
   {
     name: 'a booking over the limit',
     path: BOOKINGS,
-    headers: KEY,
+    headers: KEY_HEADER,
     body: 'x'.repeat(BODY_BYTES + 1),
     status: 413,
     reason: RefusalReason.BODY_TOO_LARGE,
@@ -183,13 +184,13 @@
   {
     name: 'an unknown service',
     path: '/services/nobody/bookings',
-    headers: KEY,
+    headers: KEY_HEADER,
     body: '{}',
     status: 404,
     reason: RefusalReason.UNKNOWN_SERVICE,
   },
   {
-    name: 'a generation service asked as a plain one',
+    name: 'a generation service called as a plain service',
     path: '/services/drafts/health',
     method: 'GET',
     status: 404,
@@ -219,22 +220,24 @@
   })),
 ];
 
-describe('a caller is refused and nothing runs', () => {
+describe('a request is refused and nothing runs', () => {
   const cases = [
     ...BAD_BODIES,
     ...BAD_KEYS,
     ...BAD_DEADLINES,
     ...BAD_EVENT_IDS,
-    ...OTHERS,
+    ...OTHER_CASES,
   ];
 
   it.each(cases)('for $name', async (row) => {
     const before = await readCounts(site);
-    const counted = await countOf(site.entries[0]!, row.reason);
+    const refusalsBefore = await countRefusals(site.entries[0]!, row.reason);
     const {path = COMPLETIONS, method, headers, body} = row;
     const url = `${site.entries[0]!.callersUrl}${path}`;
     expectRefusal(await send({url, method, headers, body}), row);
-    expect(await countOf(site.entries[0]!, row.reason)).toBe(counted + 1);
+    expect(await countRefusals(site.entries[0]!, row.reason)).toBe(
+      refusalsBefore + 1,
+    );
     expect(await readCounts(site)).toEqual(before);
   });
 
@@ -256,39 +259,39 @@
 });
 
 describe('an event id of another client account', () => {
-  it('is refused where the answer is held, and leaks nothing elsewhere', async () => {
+  it('is refused at the entry that holds the output, and leaks nothing at others', async () => {
     const prompt = 'A quote for one account only';
-    const [held, other] = site.entries.map((entry) => entry.callersUrl);
+    const [holder, other] = site.entries.map((entry) => entry.callersUrl);
     const body = completion({prompt, max_tokens: MAX_TOKENS, stream: true});
-    const first = await send({url: `${held}${COMPLETIONS}`, body});
-    const ids = readEvents(first.text).flatMap(({id}) => id ?? []);
+    const first = await send({url: `${holder}${COMPLETIONS}`, body});
+    const ids = parseEvents(first.text).flatMap(({id}) => id ?? []);
     const headers = {
       authorization: `Bearer ${OTHER_KEY}`,
       'last-event-id': ids[0]!,
     };
     const before = await readCounts(site);
-    const reply = await send({url: `${held}${COMPLETIONS}`, headers, body});
-    expectRefusal(reply, {status: 400, reason: RefusalReason.BAD_EVENT_ID});
+    const res = await send({url: `${holder}${COMPLETIONS}`, headers, body});
+    expectRefusal(res, {status: 400, reason: RefusalReason.BAD_EVENT_ID});
     expect(await readCounts(site)).toEqual(before);
-    const theirs = completion({prompt: 'y', max_tokens: 20, stream: true});
-    const elsewhere = await send({
+    const otherBody = completion({prompt: 'y', max_tokens: 20, stream: true});
+    const otherRes = await send({
       url: `${other}${COMPLETIONS}`,
       headers,
-      body: theirs,
+      body: otherBody,
     });
     const secret = expectedText(prompt, MAX_TOKENS).slice(-40);
-    expect(elsewhere.text).not.toContain(secret);
-    const seen = readEvents(elsewhere.text).map(({data}) => data);
+    expect(otherRes.text).not.toContain(secret);
+    const seen = parseEvents(otherRes.text).map(({data}) => data);
     expect(seen.join('')).not.toContain(secret);
   });
 });
 
 describe('a path with an empty segment', () => {
-  it('stays at its service', async () => {
+  it('is forwarded to its own service', async () => {
     const url = `${site.entries[0]!.callersUrl}/services/stock//evil/stock`;
-    const reply = await send({url, method: 'GET'});
-    // The service's own answer: it knows no such path.
-    expect(reply.status).toBe(404);
-    expect(reply.headers['content-type']).toBe('application/json');
+    const res = await send({url, method: 'GET'});
+    // The response of the service itself, which has no such path.
+    expect(res.status).toBe(404);
+    expect(res.headers['content-type']).toBe('application/json');
   });
 });
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -1,24 +1,24 @@
-/** Engines end answers too early after a resume; stop strings span attempts. */
+/** Engines that end too early after a resume; stop strings across attempts. */
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
 import type {NamedValues} from '../../tools/lab/lab.js';
 import {
-  expectedText,
+  expectedTextOf,
   Fault,
   FaultSite,
-  Moment,
-  Victim,
+  FaultStage,
+  Component,
 } from '../support/fault-site.js';
 
 const LENGTH = 40;
 const PROMPT = `fitting notes [length=${LENGTH}]`;
 
-function early(kind: string): NamedValues {
+function earlyEndFlags(kind: string): NamedValues {
   return {'early-done-after-resume': true, 'early-done-kind': kind};
 }
 
-/** Text of three tokens right after the resume point. */
+/** Text of eight tokens from the middle on, shortly after the fault. */
 function stopAfterResume(): string {
   const spec = {prompt: PROMPT, maxTokens: LENGTH, stop: []};
   const {tokens} = expectedAnswer(spec);
@@ -27,42 +27,54 @@
 }
 
 const CASES = [
-  {name: 'claims a stop', flags: early('stop'), finish: 'stop'},
-  {name: 'claims the length', flags: early('length'), finish: 'stop'},
-  {name: 'gives no reason', flags: early('no_reason'), finish: 'stop'},
   {
-    name: 'ends by a stop string of two attempts',
+    name: 'reports finish reason stop too early',
+    flags: earlyEndFlags('stop'),
+    finish: 'stop',
+  },
+  {
+    name: 'reports finish reason length too early',
+    flags: earlyEndFlags('length'),
+    finish: 'stop',
+  },
+  {
+    name: 'ends too early without a finish reason',
+    flags: earlyEndFlags('no_reason'),
+    finish: 'stop',
+  },
+  {
+    name: 'ends at a stop string that spans two attempts',
     flags: {},
     stop: [stopAfterResume()],
     finish: 'stop',
   },
-  {name: 'ends by max_tokens', flags: {}, maxTokens: 30, finish: 'length'},
+  {name: 'ends at max_tokens', flags: {}, maxTokens: 30, finish: 'length'},
 ];
 
-describe('a resumed answer whose engine', () => {
+describe('a resumed generation whose engine', () => {
   let faultSite: FaultSite | undefined;
 
   afterEach(() => faultSite?.close());
 
-  it.each(CASES)('$name is whole', async (row) => {
+  it.each(CASES)('$name is complete', async (row) => {
     const {flags, finish, stop, maxTokens = LENGTH * 2} = row;
     faultSite = await FaultSite.create({
       entries: 1,
       relays: false,
       engineFlags: {'pace-ms': 15, ...flags},
     });
-    const ask = {prompt: PROMPT, maxTokens, stop};
-    const transcript = await faultSite.run({
-      ask,
+    const req = {prompt: PROMPT, maxTokens, stop};
+    const transcript = await faultSite.runWithFault({
+      req,
       faultCase: {
         fault: Fault.KILL,
-        victims: [Victim.ENGINE],
-        moment: Moment.MIDDLE,
+        components: [Component.ENGINE],
+        stage: FaultStage.MIDDLE,
       },
-      breakAt: LENGTH / 2 - 2,
+      faultPosition: LENGTH / 2 - 2,
     });
     expect(transcript.errors).toEqual([]);
-    expect(transcript.text).toBe(expectedText(ask));
+    expect(transcript.text).toBe(expectedTextOf(req));
     expect(transcript.ends).toBe(1);
     expect(transcript.finishReason).toBe(finish);
   });
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -1,12 +1,16 @@
-/** Planned moves, attempts that nobody follows, and engines that are slow. */
+/** Moves off draining targets, cancelled attempts and slow engines. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import {sendControl, waitUntil} from '../../tools/lab/lab.js';
 import type {Target} from '../../tools/lab/site.js';
-import {createAsk, expectedText, FaultSite} from '../support/fault-site.js';
+import {
+  createRequest,
+  expectedTextOf,
+  FaultSite,
+} from '../support/fault-site.js';
 
-const LONG = {prompt: 'a long one [length=4000]', maxTokens: 4_000};
+const LONG_REQUEST = {prompt: 'a long one [length=4000]', maxTokens: 4_000};
 
 describe('a generation', () => {
   let faultSite: FaultSite;
@@ -17,36 +21,36 @@
 
   afterAll(() => faultSite?.close());
 
-  it('is cancelled at an agent that was frozen meanwhile', async () => {
-    let victim: Promise<Target> | undefined;
+  it('is cancelled at an agent that was paused while it moved away', async () => {
+    let pausedTarget: Promise<Target> | undefined;
     const transcript = createTranscript();
     const abort = new AbortController();
     const reading = readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG,
+      ask: LONG_REQUEST,
       transcript,
       signal: abort.signal,
       onPiece: (t) => {
         if (t.pieces < 10) return;
-        victim ??= faultSite.targetOf(t).then((target) => {
+        pausedTarget ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.freeze();
           return target;
         });
       },
     }).catch(() => undefined);
     await waitUntil({
-      what: 'the answer goes on elsewhere',
+      what: 'the generation is resumed at another target',
       check: async () => {
         const vm = transcript.lastEventId.split(':')[2];
         expect(transcript.errors).toEqual([]);
-        return victim !== undefined && vm !== (await victim).vm;
+        return pausedTarget !== undefined && vm !== (await pausedTarget).vm;
       },
     });
-    const target = (await victim)!;
+    const target = (await pausedTarget)!;
     const before = (await readCounts(target)).cancelled;
     target.agent.proc.thaw();
     await waitUntil({
-      what: 'the old attempt is cancelled',
+      what: 'the earlier attempt is cancelled',
       timeoutMs: 5_000,
       check: async () => (await readCounts(target)).cancelled > before,
     });
@@ -54,12 +58,12 @@
     await reading;
   });
 
-  it('is cancelled when its caller is gone for good', async () => {
+  it('is cancelled when its caller does not reconnect', async () => {
     const {engines} = faultSite.site;
     const abort = new AbortController();
     await readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG,
+      ask: LONG_REQUEST,
       transcript: createTranscript(),
       signal: abort.signal,
       onPiece: (t) => {
@@ -67,7 +71,7 @@
       },
     }).catch(() => undefined);
     await waitUntil({
-      what: 'no engine works',
+      what: 'no engine is generating',
       timeoutMs: 30_000,
       check: async () => {
         const counts = await Promise.all(engines.map(readCounts));
@@ -76,36 +80,38 @@
     });
   });
 
-  it('moves off a target that leaves, with nothing cut off', async () => {
-    let victim: Promise<Target> | undefined;
-    const ask = {prompt: 'moved [length=150]', maxTokens: 150};
-    const transcript = await faultSite.read({
-      ask,
-      onPiece: (t) => {
+  it('moves off a draining target and stays complete', async () => {
+    let drainingTarget: Promise<Target> | undefined;
+    const req = {prompt: 'moved [length=150]', maxTokens: 150};
+    const transcript = await faultSite.readGeneration({
+      req,
+      onChunk: (t) => {
         if (t.pieces < 20) return;
-        victim ??= faultSite.targetOf(t).then((target) => {
+        drainingTarget ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.terminate();
           return target;
         });
       },
     });
-    const target = (await victim)!;
-    expect(transcript.text).toBe(expectedText(ask));
+    const target = (await drainingTarget)!;
+    expect(transcript.text).toBe(expectedTextOf(req));
     expect(transcript.ends).toBe(1);
     expect(transcript.restarts).toBe(0);
     expect(transcript.lastEventId.split(':')[2]).not.toBe(target.vm);
     expect(await target.agent.proc.exited).toBe(0);
   });
 
-  // Last: what the entry learns of slow engines bounds what it admits.
-  it('is not given up on an engine that is slow', async () => {
+  // Runs last: the measured slowness reduces what the entry admits afterwards.
+  it('is not moved off a slow engine', async () => {
     const {engines} = faultSite.site;
     const before = await countStarted(engines);
     await setFault(engines, 'slow', 40);
-    const ask = createAsk('slow');
-    const transcript = await faultSite.read({ask: {...ask, maxTokens: 6}});
+    const req = createRequest('slow');
+    const transcript = await faultSite.readGeneration({
+      req: {...req, maxTokens: 6},
+    });
     await setFault(engines, 'none', 1);
-    expect(transcript.text).toBe(expectedText({...ask, maxTokens: 6}));
+    expect(transcript.text).toBe(expectedTextOf({...req, maxTokens: 6}));
     expect(transcript.ends).toBe(1);
     expect((await countStarted(engines)) - before).toBe(1);
   });
--- a/test/processes/membership.test.ts
+++ b/test/processes/membership.test.ts
@@ -42,14 +42,14 @@
   }
 }
 
-async function suspicions(entry: Daemon): Promise<number> {
+async function countSuspicions(entry: Daemon): Promise<number> {
   const res = await request(`${entry.operatorsUrl}/metrics`);
   const text = await res.body.text();
   const found = /targets_suspected_total(?:\{[^}]*\})? (\d+)/.exec(text);
   return Number(found?.[1] ?? 0);
 }
 
-async function started(target: Target): Promise<number> {
+async function countStarted(target: Target): Promise<number> {
   const url = `${target.standIn.url}/counts`;
   return ((await sendControl({url})) as {started: number}).started;
 }
@@ -71,7 +71,7 @@
 
 describe('targets', () => {
   it(
-    'are used again after a pause, and after an agent restarts elsewhere',
+    'are used again after a pause, and after the agent restarts on another port',
     async () => {
       const [target] = site.engines as [Target];
       target.agent.proc.freeze();
@@ -89,14 +89,14 @@
   );
 
   it(
-    'get no new work once they are off the list, and again when back on it',
+    'get no new work while off the VM list, and are usable once back on it',
     async () => {
       const [target] = site.engines as [Target];
       await site.unregister(target.vm);
       await waitForState(target, 'leaving');
-      const before = await started(target);
+      const before = await countStarted(target);
       await runLoad();
-      expect(await started(target)).toBe(before);
+      expect(await countStarted(target)).toBe(before);
       expect(target.agent.proc.isRunning).toBe(true);
       await site.register({
         name: target.vm,
@@ -111,7 +111,7 @@
   );
 
   it(
-    'stay in use when the list loses them all at once',
+    'stay in use when all of them disappear from the VM list at once',
     async () => {
       for (const {vm} of site.engines) await site.unregister(vm);
       await sleep(2_000);
@@ -125,12 +125,12 @@
     async () => {
       const [entry] = site.entries as [Daemon];
       await sleep(2_000);
-      const before = await suspicions(entry);
+      const before = await countSuspicions(entry);
       entry.proc.freeze();
       await sleep(7_000);
       entry.proc.thaw();
       await runLoad();
-      expect(await suspicions(entry)).toBe(before);
+      expect(await countSuspicions(entry)).toBe(before);
     },
     TEST_MS,
   );
--- a/test/processes/plain.test.ts
+++ b/test/processes/plain-calls.test.ts
@@ -1,4 +1,4 @@
-/** Idempotent calls while a target is frozen and while the store is down. */
+/** Idempotent calls while a target is paused and while the store is down. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
 import {Site} from '../../tools/lab/site.js';
@@ -6,7 +6,7 @@
 import {send} from '../support/callers.js';
 
 const DEADLINE_MS = 6_000;
-/** As many as the floor of the retry budget lets be tried again. */
+/** Number of retries that the floor of the retry budget allows. */
 const LOOKUPS = 3;
 
 let site: Site;
@@ -19,27 +19,29 @@
 
 async function lookUp(item: string) {
   const startedMs = performance.now();
-  const reply = await send({
+  const res = await send({
     url: `${site.entries[0]!.callersUrl}/services/stock/stock/${item}`,
     method: 'GET',
     headers: {'x-deadline-ms': String(DEADLINE_MS)},
   });
-  return {...reply, tookMs: performance.now() - startedMs};
+  return {...res, elapsedMs: performance.now() - startedMs};
 }
 
 describe('an idempotent call', () => {
-  it('is answered within its deadline when its target freezes', async () => {
-    const frozen = site.stock[0]!.standIn.proc;
-    frozen.freeze();
+  it('completes within its deadline when its target is paused', async () => {
+    const paused = site.stock[0]!.standIn.proc;
+    paused.freeze();
     const items = Array.from({length: LOOKUPS}, (_, i) => `pumice-${i}`);
-    const replies = await Promise.all(items.map(lookUp));
-    frozen.thaw();
-    expect(replies.map(({status}) => status)).toEqual(items.map(() => 200));
-    replies.forEach(({text}, i) => expect(text).toContain(items[i]));
-    replies.forEach(({tookMs}) => expect(tookMs).toBeLessThan(DEADLINE_MS));
+    const responses = await Promise.all(items.map(lookUp));
+    paused.thaw();
+    expect(responses.map(({status}) => status)).toEqual(items.map(() => 200));
+    responses.forEach(({text}, i) => expect(text).toContain(items[i]));
+    responses.forEach(({elapsedMs}) =>
+      expect(elapsedMs).toBeLessThan(DEADLINE_MS),
+    );
   });
 
-  it('goes on while the store is down', async () => {
+  it('succeeds while the store is down', async () => {
     await setStoreFault(site, {mode: 'down'});
     const {status} = await lookUp('pumice-9');
     await setStoreFault(site, {mode: 'ok'});
--- a/test/support/callers.ts
+++ b/test/support/callers.ts
@@ -1,4 +1,4 @@
-/** Requests of callers to an entry, and what the stand-ins counted. */
+/** Sends requests to an entry and reads the counters of the stand-ins. */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
@@ -8,37 +8,37 @@
 import {sendControl} from '../../tools/lab/lab.js';
 import type {Site, Target} from '../../tools/lab/site.js';
 
-/** A response that was read whole. */
-export interface Reply {
+/** An HTTP response with its complete body. */
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
 /** One server-sent event. */
-export interface SentEvent {
+export interface ServerSentEvent {
   readonly event?: string;
   readonly id?: string;
   readonly data: string;
 }
 
-/** What the stand-ins counted so far. */
+/** Totals of the stand-ins' counters. */
 export interface SiteCounts {
   readonly generations: number;
   readonly tokens: number;
   readonly bookings: number;
   readonly lookups: number;
-  /** Calls to the platform about claims. */
+  /** Platform calls for objects of kind `claim`. */
   readonly claimCalls: number;
 }
 
-/** Sends a request as the demo client account, and reads the answer whole. */
+/** Sends a request as the demo client account; reads the whole response. */
 export async function send(options: {
   url: string;
   method?: 'GET' | 'POST';
   headers?: Readonly<Record<string, string>>;
   body?: string;
-}): Promise<Reply> {
+}): Promise<HttpResponse> {
   const {url, method = 'POST', headers = {}, body} = options;
   const res = await request(url, {
     method,
@@ -53,24 +53,24 @@
   return {status: res.statusCode, headers: res.headers, text};
 }
 
-/** Cuts the text of a stream into its events. */
-export function readEvents(text: string): SentEvent[] {
-  const events: SentEvent[] = [];
+/** Parses the body of an event stream. */
+export function parseEvents(text: string): ServerSentEvent[] {
+  const events: ServerSentEvent[] = [];
   const parser = createParser({onEvent: (event) => events.push(event)});
   parser.feed(text);
   return events;
 }
 
-/** The whole text that an engine gives to a prompt. */
+/** The complete text that an engine generates for a prompt. */
 export function expectedText(prompt: string, maxTokens: number): string {
   const {tokens} = expectedAnswer({prompt, maxTokens, stop: []});
   return tokens.map((token) => token.text).join('');
 }
 
-/** Adds up what the site's stand-ins counted. */
+/** Sums up the counters of the site's stand-ins. */
 export async function readCounts(site: Site): Promise<SiteCounts> {
-  const engines = await Promise.all(site.engines.map(countsOf));
-  const stock = await Promise.all(site.stock.map(countsOf));
+  const engines = await Promise.all(site.engines.map(readTargetCounts));
+  const stock = await Promise.all(site.stock.map(readTargetCounts));
   const ledger = (await sendControl({url: `${site.ledger.url}/counts`})) as {
     perKey: Array<{count: number}>;
   };
@@ -87,7 +87,9 @@
   };
 }
 
-async function countsOf(target: Target): Promise<Record<string, number>> {
+async function readTargetCounts(
+  target: Target,
+): Promise<Record<string, number>> {
   const url = `${target.standIn.url}/counts`;
   return (await sendControl({url})) as Record<string, number>;
 }
--- a/test/support/refusals.ts
+++ b/test/support/refusals.ts
@@ -1,11 +1,11 @@
-/** What callers read when they are refused. */
+/** Checks refusals as callers and operators see them. */
 import {connect} from 'node:net';
 
 import {expect} from 'vitest';
 
 import type {RefusalReason} from '../../src/core/errors/index.js';
 import type {Daemon} from '../../tools/lab/lab.js';
-import type {Reply} from './callers.js';
+import type {HttpResponse} from './callers.js';
 import {send} from './callers.js';
 
 interface Problem {
@@ -16,21 +16,21 @@
   readonly detail: string;
 }
 
-/** Checks that a reply is a whole problem document for a request that did not run. */
+/** Checks for a complete problem document of a request that did not run. */
 export function expectRefusal(
-  reply: Reply,
+  res: HttpResponse,
   {status, reason}: {status: number; reason: RefusalReason},
 ): void {
-  expect([reply.status, reply.text]).toEqual([status, expect.any(String)]);
-  expect(reply.headers['content-type']).toBe('application/problem+json');
-  const problem = JSON.parse(reply.text) as Problem;
+  expect([res.status, res.text]).toEqual([status, expect.any(String)]);
+  expect(res.headers['content-type']).toBe('application/problem+json');
+  const problem = JSON.parse(res.text) as Problem;
   expect(problem).toMatchObject({status, reason, ran: 'no'});
   expect(problem.hint).not.toBe('');
   expect(problem.detail).not.toBe('');
 }
 
-/** Reads an entry's counter of a refusal. */
-export async function countOf(
+/** Reads an entry's counter of refusals with one reason. */
+export async function countRefusals(
   entry: Daemon,
   reason: RefusalReason,
 ): Promise<number> {
@@ -41,20 +41,20 @@
   return Number(found?.slice(line.length));
 }
 
-/** Sends text as it is and reads until the connection closes. */
-export function sendRaw(entry: Daemon, text: string): Promise<Reply> {
+/** Sends raw text and reads until the connection closes. */
+export function sendRaw(entry: Daemon, text: string): Promise<HttpResponse> {
   const {port, hostname} = new URL(entry.callersUrl);
   return new Promise((resolve, reject) => {
     const socket = connect({host: hostname, port: Number(port)});
     let received = '';
     socket.on('data', (chunk) => (received += chunk.toString()));
     socket.on('error', reject);
-    socket.on('close', () => resolve(parseReply(received)));
+    socket.on('close', () => resolve(parseResponse(received)));
     socket.write(text);
   });
 }
 
-function parseReply(received: string): Reply {
+function parseResponse(received: string): HttpResponse {
   const [head = '', text = ''] = received.split('\r\n\r\n', 2);
   const [statusLine = '', ...lines] = head.split('\r\n');
   const fields = lines.map((line) => line.split(': ', 2) as [string, string]);
