--- a/bench/experiments/booking/failures.ts
+++ b/bench/experiments/booking/failures.ts
@@ -37,8 +37,8 @@
   },
   {
     name: 'an agent freezes and wakes',
-    strike: (site) => Promise.resolve(site.orders[0]!.agent.proc.freeze()),
-    mend: (site) => Promise.resolve(site.orders[0]!.agent.proc.thaw()),
+    strike: (site) => Promise.resolve(site.orders[0]!.agent.proc.pause()),
+    mend: (site) => Promise.resolve(site.orders[0]!.agent.proc.resume()),
   },
   {
     name: 'the services die after the effect',
--- a/bench/experiments/config/index.ts
+++ b/bench/experiments/config/index.ts
@@ -4,7 +4,7 @@
 import {HttpObjectStore} from '../../../src/adapters/index.js';
 import {CONFIG_OBJECT} from '../../../src/core/config/index.js';
 import type {StandIn} from '../../../tools/lab/lab.js';
-import {Lab, sendControl} from '../../../tools/lab/lab.js';
+import {ProcessHarness, sendControl} from '../../../tools/lab/lab.js';
 import {loadExample} from '../../../tools/lab/site.js';
 import {Samples} from '../../lib/samples.js';
 import type {
@@ -83,7 +83,7 @@
   flat: boolean;
 }): Promise<Outcome> {
   const {size, flat} = options;
-  const lab = new Lab();
+  const lab = new ProcessHarness();
   const entries: LightEntry[] = [];
   try {
     const platform = await lab.startStandIn({
--- a/bench/experiments/direct/index.ts
+++ b/bench/experiments/direct/index.ts
@@ -47,7 +47,7 @@
     const transcript = createTranscript();
     const url = urls[i % urls.length]!;
     const prompt = `stream ${i} [length=${TOKENS}]`;
-    await readStream({url, ask: {prompt, maxTokens: TOKENS}, transcript});
+    await readStream({url, req: {prompt, maxTokens: TOKENS}, transcript});
     const {arrivalsMs} = transcript;
     arrivalsMs.slice(1).forEach((ms, k) => samples.add(ms - arrivalsMs[k]!));
   });
--- a/bench/experiments/membership/index.ts
+++ b/bench/experiments/membership/index.ts
@@ -91,10 +91,10 @@
   for (let i = 0; i < FREEZES; i++) {
     const target = site.engines[i % site.engines.length]!;
     const startMs = performance.now();
-    target.agent.proc.freeze();
+    target.agent.proc.pause();
     await waitForUse(site, target, false);
     samples.add(performance.now() - startMs);
-    target.agent.proc.thaw();
+    target.agent.proc.resume();
     await waitForUse(site, target, true);
   }
   return samples;
@@ -129,7 +129,7 @@
   const target = site.engines[0]!;
   let seen = await countStarted(target);
   const startMs = performance.now();
-  await site.listAsLeaving(target, 'drafts');
+  await site.markAsLeaving(target, 'drafts');
   let lastMs = 0;
   let late = 0;
   while (performance.now() - startMs < 2 * NO_NEW_WORK_MS) {
--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -8,7 +8,7 @@
 import {Kind} from '../../../platform/names.js';
 import {KEY, SitePath} from '../../../stand-ins/site/config.js';
 import {registrationOf} from '../../../stand-ins/site/target.js';
-import {callSite} from '../../../tools/lab/site-caller.js';
+import {sendSiteRequest} from '../../../tools/lab/site-caller.js';
 import {STREAM_EVENTS} from '../../../tools/soak/consts.js';
 import {History} from '../../../tools/soak/history.js';
 import {SoakSite} from '../../../tools/soak/site.js';
@@ -143,7 +143,7 @@
 
   private async call(path: SitePath, agent: Agent): Promise<void> {
     const [entry] = this.site.entries;
-    const reply = await callSite({
+    const reply = await sendSiteRequest({
       ...entry!.callers,
       agent,
       path,
--- a/bench/experiments/resume/baselines.ts
+++ b/bench/experiments/resume/baselines.ts
@@ -1,7 +1,7 @@
 /** What callers would do without the system, straight at the engines. */
 import type {StandIn} from '../../../tools/lab/lab.js';
-import {Lab, sendControl} from '../../../tools/lab/lab.js';
-import type {Ask, Transcript} from '../../../tools/lab/caller.js';
+import {ProcessHarness, sendControl} from '../../../tools/lab/lab.js';
+import type {CompletionRequest, Transcript} from '../../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../../tools/lab/caller.js';
 import {Samples} from '../../lib/samples.js';
 
@@ -27,14 +27,14 @@
 /** The engine falls silent; after a fixed time the answer starts anew. */
 export function measureFixedTimeout(): Promise<BaselineResult> {
   const name = 'baseline, fixed 5 s time-out';
-  return measure(name, (engine) => engine.proc.freeze());
+  return measure(name, (engine) => engine.proc.pause());
 }
 
 async function measure(
   name: string,
   lose: (engine: StandIn) => void,
 ): Promise<BaselineResult> {
-  const lab = new Lab();
+  const lab = new ProcessHarness();
   const wait = new Samples({name: `${name}: wait`, unit: 'ms'});
   try {
     const flags = {'pace-ms': PACE_MS};
@@ -70,16 +70,16 @@
 }): Promise<number> {
   const {first, second, index, lose, wait} = options;
   const prompt = `baseline ${index} [length=${TOKENS}]`;
-  const ask: Ask = {prompt, maxTokens: TOKENS};
+  const ask: CompletionRequest = {prompt, maxTokens: TOKENS};
   const before = createTranscript();
   const abort = new AbortController();
   let timer = setTimeout(() => abort.abort(), FIXED_TIMEOUT_MS);
   await readStream({
     url: first.url,
-    ask,
+    req: ask,
     transcript: before,
     signal: abort.signal,
-    onPiece: ({pieces}) => {
+    onChunk: ({chunks: pieces}) => {
       clearTimeout(timer);
       timer = setTimeout(() => abort.abort(), FIXED_TIMEOUT_MS);
       if (pieces === TOKENS_BEFORE && index === 0) lose(first);
@@ -87,13 +87,13 @@
   }).catch(() => undefined);
   clearTimeout(timer);
   const after = createTranscript();
-  await readStream({url: second.url, ask, transcript: after});
+  await readStream({url: second.url, req: ask, transcript: after});
   wait.add(waitForNew(before, after));
-  return before.pieces;
+  return before.chunks;
 }
 
 /** From the last token seen to the first one that is new to the caller. */
 function waitForNew(before: Transcript, after: Transcript): number {
-  const next = after.arrivalsMs[before.pieces] ?? after.arrivalsMs.at(-1)!;
+  const next = after.arrivalsMs[before.chunks] ?? after.arrivalsMs.at(-1)!;
   return next - before.arrivalsMs.at(-1)!;
 }
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -2,8 +2,8 @@
 import {request} from 'undici';
 
 import {expectedAnswer} from '../../../stand-ins/engine/text.js';
-import type {Ask, Transcript} from '../../../tools/lab/caller.js';
-import {createTranscript, readWhole} from '../../../tools/lab/caller.js';
+import type {CompletionRequest, Transcript} from '../../../tools/lab/caller.js';
+import {createTranscript, readWithResume} from '../../../tools/lab/caller.js';
 import {controlRelay, sendControl, waitUntil} from '../../../tools/lab/lab.js';
 import type {Target} from '../../../tools/lab/site.js';
 import {Site} from '../../../tools/lab/site.js';
@@ -122,7 +122,7 @@
   const transcripts = asks.map(() => createTranscript());
   const before = await readAll(alive);
   const reading = asks.map((ask, i) =>
-    readWhole({urls, ask, transcript: transcripts[i]!}),
+    readWithResume({urls, req: ask, transcript: transcripts[i]!}),
   );
   const check = (): Promise<boolean> =>
     Promise.resolve(transcripts.every((t) => positionOf(t) >= TOKENS_BEFORE));
@@ -218,11 +218,11 @@
       standIn.proc.kill();
       return () => Promise.resolve();
     case Loss.FREEZE:
-      agent.proc.freeze();
-      standIn.proc.freeze();
+      agent.proc.pause();
+      standIn.proc.pause();
       return () => {
-        standIn.proc.thaw();
-        agent.proc.thaw();
+        standIn.proc.resume();
+        agent.proc.resume();
         return Promise.resolve();
       };
     case Loss.CUT:
@@ -256,10 +256,10 @@
   return widest;
 }
 
-function isWhole(ask: Ask, transcript: Transcript): boolean {
+function isWhole(ask: CompletionRequest, transcript: Transcript): boolean {
   const {tokens} = expectedAnswer({...ask, stop: []});
   const text = tokens.map((token) => token.text).join('');
-  const {ends, restarts} = transcript;
+  const {doneEvents: ends, restarts} = transcript;
   return transcript.text === text && ends === 1 && restarts === 0;
 }
 
--- a/bench/experiments/slopes/index.ts
+++ b/bench/experiments/slopes/index.ts
@@ -204,14 +204,14 @@
       const prompt = `${i} ${'x'.repeat(PROMPT_CHARACTERS)} [length=4000]`;
       const transcript = createTranscript();
       let counted = false;
-      const onPiece = (): void => {
+      const onChunk = (): void => {
         if (!counted) started++;
         counted = true;
       };
-      const ask = {prompt, maxTokens: 4_000};
+      const req = {prompt, maxTokens: 4_000};
       const {signal} = ended;
       const url = this.site.entries[0]!.callersUrl;
-      const options = {url, ask, transcript, signal, onPiece};
+      const options = {url, req, transcript, signal, onChunk};
       await readStream(options).catch(() => undefined);
     });
     const check = (): Promise<boolean> => Promise.resolve(started === STREAMS);
@@ -331,7 +331,7 @@
     const reading = Array.from({length: streams}, (_, i) =>
       readStream({
         url,
-        ask: {
+        req: {
           prompt: `${prompt} ${i} [length=${tokens}]`,
           maxTokens: tokens,
         },
--- a/bench/lib/load-run.ts
+++ b/bench/lib/load-run.ts
@@ -1,5 +1,5 @@
 /** Sends generations at given times and notes what becomes of each. */
-import type {Ask} from '../../tools/lab/caller.js';
+import type {CompletionRequest} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import {playArrivals} from './arrivals.js';
 
@@ -23,7 +23,7 @@
   readonly timesMs: readonly number[];
   /** Where the request of an index goes. */
   readonly urlOf: (index: number) => string;
-  readonly askOf: (index: number) => Ask;
+  readonly askOf: (index: number) => CompletionRequest;
   /** After this the caller goes away. */
   readonly deadlineMs: number;
 }
@@ -60,10 +60,10 @@
   const ask = {...askOf(index), deadlineMs};
   const {signal} = gone;
   const url = urlOf(index);
-  await readStream({url, ask, transcript, signal}).catch(() => undefined);
+  await readStream({url, req: ask, transcript, signal}).catch(() => undefined);
   clearTimeout(timer);
   const tookMs = performance.now() - startedMs;
-  const whole = transcript.ends === 1 && transcript.finishReason !== '';
+  const whole = transcript.doneEvents === 1 && transcript.finishReason !== '';
   const problem = transcript.errors[0] as {retryAfterMs?: number} | undefined;
   return {
     index,
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -85,7 +85,7 @@
       const reply = await site.call({path: row.path, body: 'order'});
       expect(reply.status).toBe(row.status);
       expect(near.runs.length + far.runs.length).toBe(row.runs);
-      expect(reply.isWhole).toBe(true);
+      expect(reply.isComplete).toBe(true);
       if (reply.status === 200)
         expect(reply.text).toMatch(/^answer to try-\d+$/);
       const isRefusal = reply.status === 503;
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -101,7 +101,7 @@
       });
       expect(isLost).toBe(true);
       expect(reply.status).toBe(200);
-      expect(reply.isWhole).toBe(true);
+      expect(reply.isComplete).toBe(true);
       expect(reply.text).toBe(expected('try-1'));
       const recomputed = site.targets
         .flatMap((target) => target.runs)
@@ -189,7 +189,7 @@
     expect(again.status).toBe(503);
     expect(runs()).toBe(POISON_LOSSES);
     const other = await site.call({path: SitePath.STREAM, body: 'other'});
-    expect(other.isWhole).toBe(true);
+    expect(other.isComplete).toBe(true);
   });
 
   it('is not sent to engines that were replaced by others', async () => {
--- a/test/processes/booking.test.ts
+++ b/test/processes/booking.test.ts
@@ -121,11 +121,11 @@
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookWhile(async () => {
-        agents().forEach((proc) => proc.freeze());
+        agents().forEach((proc) => proc.pause());
         await Promise.resolve();
       }, SHORT_MS);
       await sleep(FREEZE_MS - SHORT_MS);
-      agents().forEach((proc) => proc.thaw());
+      agents().forEach((proc) => proc.resume());
       return [first, await repeat()];
     },
     told: ['unknown outcome_unknown', '*'],
@@ -150,9 +150,9 @@
       await setStoreFault(site, {mode: 'slow', delayMs: 400});
       const entry = site.entries[0]!.proc;
       const first = bookWhile(async () => {
-        entry.freeze();
+        entry.pause();
         await sleep(FREEZE_MS);
-        entry.thaw();
+        entry.resume();
       }, SHORT_MS);
       await sleep(FREEZE_MS / 2);
       await setStoreFault(site, {mode: 'ok'});
@@ -220,9 +220,9 @@
       await setStoreFault(site, {mode: 'lose_write_answer', count: 1});
       await setServiceFault(site, {kind: 'slow', factor: 60});
       const first = await bookWhile(async () => {
-        agents().forEach((proc) => proc.freeze());
+        agents().forEach((proc) => proc.pause());
         await sleep(FREEZE_MS);
-        agents().forEach((proc) => proc.thaw());
+        agents().forEach((proc) => proc.resume());
       }, SHORT_MS);
       return [first, await repeat()];
     },
--- a/test/processes/config.test.ts
+++ b/test/processes/config.test.ts
@@ -151,7 +151,7 @@
 async function startEntry(platformUrl: string): Promise<Daemon> {
   const vm = `entry-${site.entries.length + 1}`;
   const settings = {vm, dataCentre: 'waw', site: 'waw', platformUrl};
-  const entry = await site.lab.startDaemon({role: 'entry', settings});
+  const entry = await site.harness.startDaemon({role: 'entry', settings});
   site.entries.push(entry);
   await site.register({
     name: vm,
@@ -168,7 +168,7 @@
     'reaches entries and agents, also those cut off from the platform',
     async () => {
       await createSite({entries: 3, engines: 2, stock: 1});
-      const relay = await site.lab.startStandIn({
+      const relay = await site.harness.startStandIn({
         name: 'relay',
         flags: {to: `127.0.0.1:${site.platform.port}`},
       });
@@ -189,12 +189,12 @@
     async () => {
       await createSite({entries: 3, engines: 1});
       const [paused] = site.entries as [Daemon];
-      paused.proc.freeze();
+      paused.proc.pause();
       expect((await apply('1')).status).toBe(0);
       await waitForVersion(await storedVersion(), () =>
         daemons().filter((daemon) => daemon !== paused),
       );
-      paused.proc.thaw();
+      paused.proc.resume();
       await waitForVersion(await storedVersion());
     },
     TEST_MS,
@@ -205,7 +205,7 @@
     async () => {
       await createSite({entries: 2, engines: 1});
       const [old, current] = site.entries as [Daemon, Daemon];
-      old.proc.freeze();
+      old.proc.pause();
       expect((await apply('1')).status).toBe(0);
       const version = await storedVersion();
       await waitForVersion(version, () =>
@@ -214,7 +214,7 @@
       await setFault({mode: 'down', kind: 'config'});
       current.proc.kill();
       await current.proc.exited;
-      old.proc.thaw();
+      old.proc.resume();
       const fresh = await startEntry(site.platform.url);
       await waitForVersion(version);
       const status = await readStatus(fresh);
--- a/test/processes/direct-logs.test.ts
+++ b/test/processes/direct-logs.test.ts
@@ -15,7 +15,7 @@
 import {SitePath, siteConfig} from '../../stand-ins/site/config.js';
 import {StandInStore} from '../../stand-ins/site/store.js';
 import {waitUntil} from '../../tools/lab/lab.js';
-import {callSite} from '../../tools/lab/site-caller.js';
+import {sendSiteRequest} from '../../tools/lab/site-caller.js';
 
 /** An address on which nothing else listens. */
 const ADDRESS = '127.9.0.1';
@@ -66,7 +66,7 @@
 
   async function refuse(number: number): Promise<number> {
     const startMs = performance.now();
-    const reply = await callSite({
+    const reply = await sendSiteRequest({
       ...callersOf(ADDRESS),
       agent,
       path: SitePath.SAFE,
--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -37,10 +37,15 @@
   const transcript = createTranscript();
   const ask = {prompt: `stop test [length=${tokens}]`, maxTokens: tokens};
   const url = site.entries[0]!.callersUrl;
-  await readStream({url, ask, transcript, onPiece});
+  await readStream({url, req: ask, transcript, onChunk: onPiece});
   const answer = expectedAnswer({...ask, stop: []});
   const text = answer.tokens.map((token) => token.text).join('');
-  expect(transcript).toMatchObject({text, ends: 1, restarts: 0, errors: []});
+  expect(transcript).toMatchObject({
+    text,
+    doneEvents: 1,
+    restarts: 0,
+    errors: [],
+  });
   return transcript;
 }
 
@@ -127,7 +132,7 @@
       let stopped: Promise<unknown> | undefined;
       const answer = generate({
         tokens: 150,
-        onPiece: ({pieces}) => {
+        onPiece: ({chunks: pieces}) => {
           if (pieces === 20) stopped = stop(entry);
         },
       });
@@ -215,7 +220,7 @@
     },
     {
       name: 'leaving on the VM list',
-      stop: (target) => site.listAsLeaving(target, 'drafts'),
+      stop: (target) => site.markAsLeaving(target, 'drafts'),
     },
   ];
 
@@ -226,7 +231,7 @@
       let leaving: Promise<Target> | undefined;
       await generate({
         tokens: 200,
-        onPiece: ({pieces}) => {
+        onPiece: ({chunks: pieces}) => {
           if (pieces !== 20) return;
           leaving = findWorking().then(async (target) => {
             await stop(target);
@@ -250,11 +255,11 @@
       await createSite({entries: 2, engineFlags: {'pace-ms': 5}});
       const [first, second] = site.engines as [Target, Target];
       await generate({tokens: 20});
-      first.agent.proc.freeze();
-      await site.listAsLeaving(first, 'drafts');
+      first.agent.proc.pause();
+      await site.markAsLeaving(first, 'drafts');
       await sleep(2_000);
       const before = (await countsOf(first)).started;
-      first.agent.proc.thaw();
+      first.agent.proc.resume();
       const load = new MixedLoad({
         site,
         generations: 4,
@@ -279,7 +284,7 @@
       let stopped: Target[] = [];
       await generate({
         tokens: 150,
-        onPiece: ({pieces}) => {
+        onPiece: ({chunks: pieces}) => {
           if (pieces !== 20) return;
           void findWorking().then((target) => {
             target.standIn.proc.kill();
--- a/test/processes/edges-peers.test.ts
+++ b/test/processes/edges-peers.test.ts
@@ -162,12 +162,12 @@
     const prompt = `Unharmed [length=${TOKENS}]`;
     const reading = readStream({
       url: site.entries[0]!.callersUrl,
-      ask: {prompt, maxTokens: TOKENS},
+      req: {prompt, maxTokens: TOKENS},
       transcript,
     });
     await waitUntil({
       what: 'the answer has begun',
-      check: () => Promise.resolve(transcript.pieces > 0),
+      check: () => Promise.resolve(transcript.chunks > 0),
     });
     const ports = [site.entries[0]!, site.engines[0]!.agent];
     await Promise.all(
@@ -175,10 +175,10 @@
         CASES.map(({bytes}) => sendBytes(peersPort, bytes)),
       ),
     );
-    expect(transcript.ends).toBe(0);
+    expect(transcript.doneEvents).toBe(0);
     await reading;
     expect(transcript.text).toBe(expectedText(prompt, TOKENS));
-    expect([transcript.ends, transcript.errors]).toEqual([1, []]);
+    expect([transcript.doneEvents, transcript.errors]).toEqual([1, []]);
     const after = await readCounts(site);
     expect(after.tokens - before.tokens).toBe(TOKENS);
     expect(after.generations - before.generations).toBe(1);
--- a/test/processes/edges-responses.test.ts
+++ b/test/processes/edges-responses.test.ts
@@ -61,7 +61,7 @@
 
 async function addTarget(service: string): Promise<void> {
   const vm = `${service}-1`;
-  const agent = await site.lab.startDaemon({
+  const agent = await site.harness.startDaemon({
     role: 'agent',
     settings: {
       vm,
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -63,7 +63,7 @@
     });
     expect(transcript.errors).toEqual([]);
     expect(transcript.text).toBe(expectedText(ask));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect(transcript.finishReason).toBe(finish);
   });
 });
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -23,13 +23,13 @@
     const abort = new AbortController();
     const reading = readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG,
+      req: LONG,
       transcript,
       signal: abort.signal,
-      onPiece: (t) => {
-        if (t.pieces < 10) return;
+      onChunk: (t) => {
+        if (t.chunks < 10) return;
         victim ??= faultSite.targetOf(t).then((target) => {
-          target.agent.proc.freeze();
+          target.agent.proc.pause();
           return target;
         });
       },
@@ -44,7 +44,7 @@
     });
     const target = (await victim)!;
     const before = (await readCounts(target)).cancelled;
-    target.agent.proc.thaw();
+    target.agent.proc.resume();
     await waitUntil({
       what: 'the old attempt is cancelled',
       timeoutMs: 5_000,
@@ -59,11 +59,11 @@
     const abort = new AbortController();
     await readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG,
+      req: LONG,
       transcript: createTranscript(),
       signal: abort.signal,
-      onPiece: (t) => {
-        if (t.pieces === 10) abort.abort();
+      onChunk: (t) => {
+        if (t.chunks === 10) abort.abort();
       },
     }).catch(() => undefined);
     await waitUntil({
@@ -82,7 +82,7 @@
     const transcript = await faultSite.read({
       ask,
       onPiece: (t) => {
-        if (t.pieces < 20) return;
+        if (t.chunks < 20) return;
         victim ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.terminate();
           return target;
@@ -91,7 +91,7 @@
     });
     const target = (await victim)!;
     expect(transcript.text).toBe(expectedText(ask));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect(transcript.restarts).toBe(0);
     expect(transcript.lastEventId.split(':')[2]).not.toBe(target.vm);
     expect(await target.agent.proc.exited).toBe(0);
@@ -106,7 +106,7 @@
     const transcript = await faultSite.read({ask: {...ask, maxTokens: 6}});
     await setFault(engines, 'none', 1);
     expect(transcript.text).toBe(expectedText({...ask, maxTokens: 6}));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect((await countStarted(engines)) - before).toBe(1);
   });
 });
--- a/test/processes/generation-poison.test.ts
+++ b/test/processes/generation-poison.test.ts
@@ -5,7 +5,7 @@
 import {
   createTranscript,
   readStream,
-  readWhole,
+  readWithResume,
 } from '../../tools/lab/caller.js';
 import {waitUntil} from '../../tools/lab/lab.js';
 import {Site} from '../../tools/lab/site.js';
@@ -41,17 +41,17 @@
       maxTokens: MAX_TOKENS,
     }));
     const reading = asks.map((ask, i) =>
-      readWhole({urls: [urls[i % urls.length]!], ask}),
+      readWithResume({urls: [urls[i % urls.length]!], req: ask}),
     );
-    const poisoned = await readWhole({urls: [urls[0]!], ask: POISON});
+    const poisoned = await readWithResume({urls: [urls[0]!], req: POISON});
     const innocents = await Promise.all(reading);
 
     expect(poisoned.errors).toMatchObject([{reason: 'poison', ran: 'yes'}]);
-    expect(poisoned.ends).toBe(0);
+    expect(poisoned.doneEvents).toBe(0);
     innocents.forEach((transcript, i) => {
       expect(transcript.errors).toEqual([]);
       expect(transcript.text).toBe(expectedText(asks[i]!));
-      expect(transcript.ends).toBe(1);
+      expect(transcript.doneEvents).toBe(1);
     });
     expect(countDead(site)).toBe(2);
 
@@ -71,7 +71,7 @@
     what: 'a re-send is refused',
     check: async () => {
       last = createTranscript();
-      await readStream({url, ask: POISON, transcript: last});
+      await readStream({url, req: POISON, transcript: last});
       return last.errors.length > 0;
     },
   });
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -5,11 +5,11 @@
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {Executed, RefusalReason} from '../../src/core/errors/index.js';
-import type {Ask, Transcript} from '../../tools/lab/caller.js';
+import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {
   createTranscript,
   readStream,
-  readWhole,
+  readWithResume,
 } from '../../tools/lab/caller.js';
 import {sendControl, waitUntil} from '../../tools/lab/lab.js';
 import type {SiteOptions, Target} from '../../tools/lab/site.js';
@@ -50,13 +50,17 @@
   };
 }
 
-function askOf(topic: string, tokens: number, deadlineMs = TIMEOUT_MS): Ask {
+function askOf(
+  topic: string,
+  tokens: number,
+  deadlineMs = TIMEOUT_MS,
+): CompletionRequest {
   const prompt = `${topic} [length=${tokens}]`;
   return {prompt, maxTokens: tokens, deadlineMs};
 }
 
-function isWhole(transcript: Transcript, ask: Ask): boolean {
-  const {ends, errors, text} = transcript;
+function isWhole(transcript: Transcript, ask: CompletionRequest): boolean {
+  const {doneEvents: ends, errors, text} = transcript;
   const right = text === expectedText(ask.prompt, ask.maxTokens);
   return ends === 1 && errors.length === 0 && right;
 }
@@ -76,7 +80,7 @@
     const asks = Array.from({length: 40}, (_, i) => askOf(`loss ${i}`, 100));
     const begun = new Set<string>();
     const reading = asks.map((ask) =>
-      readWhole({urls, ask, onPiece: () => begun.add(ask.prompt)}),
+      readWithResume({urls, req: ask, onChunk: () => begun.add(ask.prompt)}),
     );
     // Two slots are kept for resumes; all others are busy.
     const check = (): Promise<boolean> => Promise.resolve(begun.size >= 22);
@@ -104,7 +108,7 @@
         askOf(`wave ${wave} ${i}`, 150),
       );
       const reading = asks.map((ask) =>
-        readWhole({urls, ask, onPiece: () => begun.add(ask.prompt)}),
+        readWithResume({urls, req: ask, onChunk: () => begun.add(ask.prompt)}),
       );
       const check = (): Promise<boolean> => Promise.resolve(begun.size === 22);
       await waitUntil({what: 'all have begun at once', check});
@@ -129,13 +133,15 @@
     const greedy = Array.from({length: 400}, (_, i) => {
       const ask = askOf(`greedy ${i}`, 50);
       const transcript = createTranscript();
-      return readStream({url, ask, transcript, signal}).catch(() => undefined);
+      return readStream({url, req: ask, transcript, signal}).catch(
+        () => undefined,
+      );
     });
     await new Promise((resolve) => setTimeout(resolve, 1_000));
     for (let i = 0; i < 6; i++) {
       const ask = {...askOf(`modest ${i}`, 50, 8_000), key: OTHER_KEY};
       const transcript = createTranscript();
-      await readStream({url, ask, transcript});
+      await readStream({url, req: ask, transcript});
       expect(transcript.errors).toEqual([]);
       expect(isWhole(transcript, ask)).toBe(true);
     }
@@ -155,7 +161,7 @@
       for (let i = 0; i < 30; i++) {
         const ask = askOf(`haste ${caller} ${i}`, 20, 2_000);
         const transcript = createTranscript();
-        await readStream({url, ask, transcript}).catch(() => undefined);
+        await readStream({url, req: ask, transcript}).catch(() => undefined);
         transcripts.push(transcript);
       }
     };
--- a/test/processes/membership.test.ts
+++ b/test/processes/membership.test.ts
@@ -74,9 +74,9 @@
     'are used again after a pause, and after an agent restarts elsewhere',
     async () => {
       const [target] = site.engines as [Target];
-      target.agent.proc.freeze();
+      target.agent.proc.pause();
       await waitForState(target, 'unusable');
-      target.agent.proc.thaw();
+      target.agent.proc.resume();
       await waitForState(target, 'usable');
       target.agent.proc.kill();
       await target.agent.proc.exited;
@@ -126,9 +126,9 @@
       const [entry] = site.entries as [Daemon];
       await sleep(2_000);
       const before = await suspicions(entry);
-      entry.proc.freeze();
+      entry.proc.pause();
       await sleep(7_000);
-      entry.proc.thaw();
+      entry.proc.resume();
       await runLoad();
       expect(await suspicions(entry)).toBe(before);
     },
--- a/test/processes/plain.test.ts
+++ b/test/processes/plain.test.ts
@@ -30,10 +30,10 @@
 describe('an idempotent call', () => {
   it('is answered within its deadline when its target freezes', async () => {
     const frozen = site.stock[0]!.standIn.proc;
-    frozen.freeze();
+    frozen.pause();
     const items = Array.from({length: LOOKUPS}, (_, i) => `pumice-${i}`);
     const replies = await Promise.all(items.map(lookUp));
-    frozen.thaw();
+    frozen.resume();
     expect(replies.map(({status}) => status)).toEqual(items.map(() => 200));
     replies.forEach(({text}, i) => expect(text).toContain(items[i]));
     replies.forEach(({tookMs}) => expect(tookMs).toBeLessThan(DEADLINE_MS));
--- a/test/processes/whole-path.test.ts
+++ b/test/processes/whole-path.test.ts
@@ -267,11 +267,11 @@
 
   it('writes no log line for a request', async () => {
     const entry = site.entries[0]!;
-    const before = entry.proc.log;
+    const before = entry.proc.stderr;
     const url = `${entry.callersUrl}/services/stock/stock/pumice`;
     for (let i = 0; i < 20; i++) await send({url, method: 'GET'});
     await send({url: `${entry.callersUrl}/nowhere`, method: 'GET'});
-    expect(entry.proc.log).toBe(before);
+    expect(entry.proc.stderr).toBe(before);
     const lines = before.split('\n').filter((line) => line !== '');
     for (const line of lines) {
       expect(JSON.parse(line)).toMatchObject({vm: entry.vm, role: 'entry'});
@@ -295,7 +295,7 @@
 
 describe('readiness', () => {
   it('is refused by an entry without a configuration', async () => {
-    const entry = await site.lab.startDaemon({
+    const entry = await site.harness.startDaemon({
       role: 'entry',
       settings: {
         vm: 'entry-unready',
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -11,8 +11,8 @@
 import {StandInStore} from '../../stand-ins/site/store.js';
 import type {StreamPace} from '../../stand-ins/site/target.js';
 import {StandInTarget, TargetWorld} from '../../stand-ins/site/target.js';
-import type {Reply} from '../../tools/lab/site-caller.js';
-import {callSite} from '../../tools/lab/site-caller.js';
+import type {SiteResponse} from '../../tools/lab/site-caller.js';
+import {sendSiteRequest} from '../../tools/lab/site-caller.js';
 import {DirectEntry} from './direct-entry.js';
 
 const DEADLINE_MS = 4_000;
@@ -160,10 +160,10 @@
     deadlineMs?: number;
     /** Makes the caller disconnect. */
     signal?: AbortSignal;
-  }): Promise<Reply> {
+  }): Promise<SiteResponse> {
     const {key = KEY, entry = 0, ...call} = options;
     const {agent, port} = this.entries[entry]!;
-    return callSite({
+    return sendSiteRequest({
       agent,
       deadlineMs: DEADLINE_MS,
       ...call,
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,6 +1,6 @@
 /** A small site on which tests lose engines, agents and entries. */
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
-import type {Ask, Transcript} from '../../tools/lab/caller.js';
+import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import type {Daemon, StandIn} from '../../tools/lab/lab.js';
 import {controlRelay, sendControl, waitUntil} from '../../tools/lab/lab.js';
@@ -52,7 +52,7 @@
 }
 
 /** The answer as the engine's own text gives it. */
-export function expectedText(ask: Ask): string {
+export function expectedText(ask: CompletionRequest): string {
   const {prompt, maxTokens, stop = []} = ask;
   const {tokens} = expectedAnswer({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
@@ -91,7 +91,7 @@
 
   /** Reads a whole answer and loses the victims of the case at its moment. */
   async run(options: {
-    ask: Ask;
+    ask: CompletionRequest;
     faultCase: FaultCase;
     /** Position of the fault; by the moment where none is given. */
     breakAt?: number;
@@ -128,7 +128,7 @@
 
   /** Reads an answer to its end, at another entry after each break. */
   async read(options: {
-    ask: Ask;
+    ask: CompletionRequest;
     first?: number;
     cutAt?: number;
     onStart?: () => void;
@@ -148,10 +148,10 @@
       let kept: Transcript | undefined;
       await readStream({
         url: seat.relay.url,
-        ask,
+        req: ask,
         transcript: current,
         signal: abort.signal,
-        onPiece: (t) => {
+        onChunk: (t) => {
           clearTimeout(timer);
           timer = setTimeout(give, CALLER_PATIENCE_MS);
           if (!cut && positionOf(t) === cutAt) {
@@ -169,7 +169,7 @@
         await onCut?.();
         continue;
       }
-      if (transcript.ends > 0 || transcript.errors.length > 0) break;
+      if (transcript.doneEvents > 0 || transcript.errors.length > 0) break;
     }
     return transcript;
   }
@@ -184,7 +184,7 @@
   async addEntry(): Promise<void> {
     const daemon = await this.site.addEntry();
     const to = daemon.callersUrl.replace('http://', '');
-    const relay = await this.site.lab.startStandIn({
+    const relay = await this.site.harness.startStandIn({
       name: 'relay',
       flags: {to},
     });
@@ -220,8 +220,8 @@
         proc.kill();
         return () => this.replaceTarget(target);
       case Fault.FREEZE:
-        proc.freeze();
-        return () => Promise.resolve(proc.thaw());
+        proc.pause();
+        return () => Promise.resolve(proc.resume());
       case Fault.CUT: {
         const relay = isEngine ? target.targetRelay! : target.agentRelay!;
         await controlRelay(relay, 'cut');
@@ -237,8 +237,8 @@
         proc.kill();
         return () => this.replaceEntry(seat);
       case Fault.FREEZE:
-        proc.freeze();
-        return () => Promise.resolve(proc.thaw());
+        proc.pause();
+        return () => Promise.resolve(proc.resume());
       case Fault.CUT:
         await controlRelay(seat.relay, 'cut');
         return () => controlRelay(seat.relay, 'mend');
@@ -290,7 +290,7 @@
   return Number(transcript.lastEventId.split(':').at(-1));
 }
 
-function positionAt(moment: Moment, ask: Ask): number {
+function positionAt(moment: Moment, ask: CompletionRequest): number {
   switch (moment) {
     case Moment.START:
       return Number.POSITIVE_INFINITY;
@@ -318,7 +318,7 @@
 }
 
 /** A request whose answer ends at `maxTokens`, inside a character or not. */
-export function createAsk(name: string): Ask {
+export function createAsk(name: string): CompletionRequest {
   const maxTokens = 24;
   const prompt = `${name}: zażółć [length=${maxTokens + 9}]`;
   return {prompt, maxTokens};
--- a/test/support/generation-loss.ts
+++ b/test/support/generation-loss.ts
@@ -36,7 +36,7 @@
         const transcript = await faultSite.run({ask, faultCase});
         expect(transcript.errors).toEqual([]);
         expect(transcript.text).toBe(expectedText(ask));
-        expect(transcript.ends).toBe(1);
+        expect(transcript.doneEvents).toBe(1);
         expect(transcript.finishReason).toBe('length');
         checkRestarts(transcript, faultCase);
       },
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -4,7 +4,7 @@
 import type {Logger} from '../../src/core/logs/index.js';
 import {SitePath, SiteService} from '../../stand-ins/site/config.js';
 import type {CrashRecord, StandInTarget} from '../../stand-ins/site/target.js';
-import type {Reply} from '../../tools/lab/site-caller.js';
+import type {SiteResponse} from '../../tools/lab/site-caller.js';
 import {DirectSite} from './direct-site.js';
 
 /** Requests with this text in the body crash the targets that run them. */
@@ -153,7 +153,7 @@
   {site, path, caller, afterEvents = 0}: PoisonScenarioOptions,
   body: string,
   entry: number,
-): Promise<Reply | undefined> {
+): Promise<SiteResponse | undefined> {
   const hangUp = new AbortController();
   const crashesBefore = crashesOf(site, body).length;
   const watch = setInterval(() => {
--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -9,9 +9,9 @@
 export interface Transcript {
   text: string;
   /** Events that carried text. */
-  pieces: number;
+  chunks: number;
   /** Times that `[DONE]` came. */
-  ends: number;
+  doneEvents: number;
   finishReason: string;
   lastEventId: string;
   restarts: number;
@@ -24,7 +24,7 @@
 }
 
 /** What a caller asks. */
-export interface Ask {
+export interface CompletionRequest {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly model?: string;
@@ -45,8 +45,8 @@
 export function createTranscript(): Transcript {
   return {
     text: '',
-    pieces: 0,
-    ends: 0,
+    chunks: 0,
+    doneEvents: 0,
     finishReason: '',
     lastEventId: '',
     restarts: 0,
@@ -62,12 +62,12 @@
  */
 export async function readStream(options: {
   url: string;
-  ask: Ask;
+  req: CompletionRequest;
   transcript: Transcript;
   signal?: AbortSignal;
-  onPiece?: (transcript: Transcript) => void;
+  onChunk?: (transcript: Transcript) => void;
 }): Promise<void> {
-  const {url, ask, transcript, signal, onPiece} = options;
+  const {url, req: ask, transcript, signal, onChunk: onPiece} = options;
   const {lastEventId} = transcript;
   const resume = lastEventId === '' ? {} : {'last-event-id': lastEventId};
   const {deadlineMs} = ask;
@@ -106,24 +106,32 @@
 /**
  * Reads an answer to its end, at the next entry whenever a stream breaks.
  */
-export async function readWhole(options: {
+export async function readWithResume(options: {
   urls: readonly string[];
-  ask: Ask;
+  req: CompletionRequest;
   transcript?: Transcript;
-  onPiece?: (transcript: Transcript) => void;
+  onChunk?: (transcript: Transcript) => void;
 }): Promise<Transcript> {
-  const {urls, ask, transcript = createTranscript(), onPiece} = options;
+  const {
+    urls,
+    req: ask,
+    transcript = createTranscript(),
+    onChunk: onPiece,
+  } = options;
   const maxTries = 40;
   for (let i = 0; i < maxTries; i++) {
     const url = urls[i % urls.length]!;
-    await readStream({url, ask, transcript, onPiece}).catch(() => undefined);
-    if (transcript.ends > 0 || transcript.errors.length > 0) return transcript;
+    await readStream({url, req: ask, transcript, onChunk: onPiece}).catch(
+      () => undefined,
+    );
+    if (transcript.doneEvents > 0 || transcript.errors.length > 0)
+      return transcript;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
   return transcript;
 }
 
-function createBody(ask: Ask): unknown {
+function createBody(ask: CompletionRequest): unknown {
   return {
     model: ask.model ?? 'quote-writer',
     prompt: ask.prompt,
@@ -147,7 +155,7 @@
     return;
   }
   if (event.data === '[DONE]') {
-    transcript.ends++;
+    transcript.doneEvents++;
     return;
   }
   if (event.id !== undefined) transcript.lastEventId = event.id;
@@ -159,6 +167,6 @@
     transcript.finishReason = choice.finish_reason;
     return;
   }
-  transcript.pieces++;
+  transcript.chunks++;
   transcript.arrivalsMs.push(performance.now());
 }
--- a/tools/lab/lab.ts
+++ b/tools/lab/lab.ts
@@ -34,7 +34,7 @@
 }
 
 /** Holds child processes; whoever creates a lab must close it. */
-export class Lab {
+export class ProcessHarness {
   private readonly procs: Proc[] = [];
   private closed = false;
 
@@ -96,7 +96,7 @@
     const proc = Proc.start({script, args});
     this.procs.push(proc);
     const ready = await proc.ready.catch((cause: unknown) => {
-      throw new Error(`${String(cause)}: ${proc.log}`);
+      throw new Error(`${String(cause)}: ${proc.stderr}`);
     });
     return {proc, ready};
   }
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -128,10 +128,10 @@
     const prompt = `load ${this.sequence++} [length=${tokens}]`;
     const ask = {prompt, maxTokens: tokens};
     const transcript = createTranscript();
-    for (let i = 0; i < MAX_TRIES && transcript.ends === 0; i++) {
+    for (let i = 0; i < MAX_TRIES && transcript.doneEvents === 0; i++) {
       const url = this.next();
       try {
-        await readStream({url, ask, transcript});
+        await readStream({url, req: ask, transcript});
         if (transcript.errors.length > 0) {
           const problem = transcript.errors.pop() as Problem;
           if (problem.ran !== 'no') {
@@ -139,17 +139,17 @@
             return;
           }
           this.tally.refusedNotRun++;
-        } else if (transcript.ends === 0) {
-          this.tally.cutOff.push(`stream at ${transcript.pieces} tokens`);
+        } else if (transcript.doneEvents === 0) {
+          this.tally.cutOff.push(`stream at ${transcript.chunks} tokens`);
         }
       } catch (cause) {
         this.noteBroken('generation', cause);
       }
-      if (transcript.ends === 0) await pause();
+      if (transcript.doneEvents === 0) await pause();
     }
     const answer = expectedAnswer({prompt, maxTokens: tokens, stop: []});
     const text = answer.tokens.map((token) => token.text).join('');
-    const whole = transcript.text === text && transcript.ends === 1;
+    const whole = transcript.text === text && transcript.doneEvents === 1;
     if (whole && transcript.restarts === 0) this.tally.generations.done++;
     else this.tally.generations.wrong.push(`${prompt}: ${transcript.text}`);
   }
--- a/tools/lab/proc.ts
+++ b/tools/lab/proc.ts
@@ -37,7 +37,7 @@
   /** Settles with the exit status; null after a signal. */
   readonly exited: Promise<number | null>;
   private running = true;
-  private errText = '';
+  private stderrText = '';
 
   private constructor(
     private readonly child: ChildProcess,
@@ -50,7 +50,7 @@
       });
     });
     child.stderr?.on('data', (chunk: Buffer) => {
-      this.errText += chunk.toString();
+      this.stderrText += chunk.toString();
     });
   }
 
@@ -82,8 +82,8 @@
   }
 
   /** All that the program wrote to standard error. */
-  get log(): string {
-    return this.errText;
+  get stderr(): string {
+    return this.stderrText;
   }
 
   /** Sends a message to a process that was started with a channel. */
@@ -109,12 +109,12 @@
   }
 
   /** Pauses the process. */
-  freeze(): void {
+  pause(): void {
     this.signal('SIGSTOP');
   }
 
   /** Lets a paused process go on. */
-  thaw(): void {
+  resume(): void {
     this.signal('SIGCONT');
   }
 
--- a/tools/lab/site-caller.ts
+++ b/tools/lab/site-caller.ts
@@ -5,16 +5,16 @@
 import {HOST} from '../../stand-ins/site/config.js';
 
 /** What a caller got. */
-export interface Reply {
+export interface SiteResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly text: string;
   /** Whether the answer ended as its framing says. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** One request of a caller. */
-export interface SiteCall {
+export interface SiteRequest {
   readonly host: string;
   readonly port: number;
   /** Holds the connection on which the request is sent. */
@@ -40,7 +40,7 @@
  * @example
  * const reply = await callSite({...address, agent, path: '/stock/1', ...});
  */
-export function callSite(call: SiteCall): Promise<Reply> {
+export function sendSiteRequest(call: SiteRequest): Promise<SiteResponse> {
   const {host, port, agent, path, method = 'POST', body, signal} = call;
   const headers = {
     Host: HOST,
@@ -64,7 +64,7 @@
           status: res.statusCode!,
           headers: res.headers,
           text,
-          isWhole: res.complete,
+          isComplete: res.complete,
         }),
       );
     });
--- a/tools/lab/site.ts
+++ b/tools/lab/site.ts
@@ -8,7 +8,7 @@
 import type {ConfigDocument} from '../../src/core/config/index.js';
 import {checkDeployment, CONFIG_OBJECT} from '../../src/core/config/index.js';
 import type {Daemon, NamedValues, StandIn} from './lab.js';
-import {Lab, sendControl, waitUntil} from './lab.js';
+import {ProcessHarness, sendControl, waitUntil} from './lab.js';
 import {EXAMPLES} from './paths.js';
 
 /** The data centres of the quickstart deployment. */
@@ -42,7 +42,7 @@
 
 /** A running site; whoever creates one must close it. */
 export class Site {
-  readonly lab = new Lab();
+  readonly harness = new ProcessHarness();
   readonly engines: Target[] = [];
   readonly orders: Target[] = [];
   readonly stock: Target[] = [];
@@ -66,7 +66,7 @@
   }
 
   close(): Promise<void> {
-    return this.lab.close();
+    return this.harness.close();
   }
 
   /** Starts one more engine with its agent. */
@@ -80,7 +80,7 @@
     index: number,
     flags: NamedValues = {},
   ): Promise<Target> {
-    const standIn = await this.lab.startStandIn({
+    const standIn = await this.harness.startStandIn({
       name: 'engine',
       flags: {...this.options.engineFlags, ...flags},
     });
@@ -105,7 +105,7 @@
     service: 'orders' | 'stock',
     index: number,
   ): Promise<Target> {
-    const standIn = await this.lab.startStandIn({
+    const standIn = await this.harness.startStandIn({
       name: 'service',
       flags: {
         'ledger-url': this.ledger.url,
@@ -131,7 +131,7 @@
   private async startEntry(index: number): Promise<Daemon> {
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!;
     const vm = `entry-${index + 1}`;
-    const entry = await this.lab.startDaemon({
+    const entry = await this.harness.startDaemon({
       role: 'entry',
       settings: {
         vm,
@@ -179,7 +179,7 @@
   }
 
   /** Lets the platform's list say that a target leaves. */
-  async listAsLeaving(target: Target, service: string): Promise<void> {
+  async markAsLeaving(target: Target, service: string): Promise<void> {
     await this.register({
       name: target.vm,
       role: 'target',
@@ -205,11 +205,11 @@
 
   private async open(): Promise<void> {
     const {entries = 2, engines = 2, orders = 0, stock = 0} = this.options;
-    this.platform = await this.lab.startStandIn({
+    this.platform = await this.harness.startStandIn({
       name: 'platform',
       flags: {'vm-lag-ms': 0, ...this.options.platformFlags},
     });
-    this.ledger = await this.lab.startStandIn({name: 'ledger'});
+    this.ledger = await this.harness.startStandIn({name: 'ledger'});
     await this.applyConfig();
     await Promise.all([
       fill(this.engines, engines, (i) => this.startEngine(i)),
@@ -239,7 +239,7 @@
     const {vm, standIn, kind, service, index} = options;
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!;
     const targetRelay = await this.addRelay(standIn.port);
-    const agent = await this.lab.startDaemon({
+    const agent = await this.harness.startDaemon({
       role: 'agent',
       settings: {
         vm,
@@ -261,7 +261,7 @@
   private async addRelay(port: number): Promise<StandIn | undefined> {
     if (this.options.relays !== true) return undefined;
     const flags = {to: `127.0.0.1:${port}`};
-    return this.lab.startStandIn({name: 'relay', flags});
+    return this.harness.startStandIn({name: 'relay', flags});
   }
 }
 
--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -5,7 +5,7 @@
 import {request} from 'undici';
 
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
-import {DEMO_KEY, readWhole} from '../lab/caller.js';
+import {DEMO_KEY, readWithResume} from '../lab/caller.js';
 import {sendControl} from '../lab/lab.js';
 import type {Target} from '../lab/site.js';
 import {Site} from '../lab/site.js';
@@ -33,10 +33,10 @@
 
 async function showGeneration(site: Site): Promise<boolean> {
   let killed: Promise<Target> | undefined;
-  const transcript = await readWhole({
+  const transcript = await readWithResume({
     urls: site.entries.map((entry) => entry.callersUrl),
-    ask: {prompt: PROMPT, maxTokens: MAX_TOKENS},
-    onPiece: ({pieces}) => {
+    req: {prompt: PROMPT, maxTokens: MAX_TOKENS},
+    onChunk: ({chunks: pieces}) => {
       if (pieces < KILL_AFTER_PIECES || killed !== undefined) return;
       killed = findWorkingEngine(site);
       void killed.then((target) => target.standIn.proc.kill());
@@ -48,7 +48,7 @@
     stop: [],
   });
   const text = answer.tokens.map((token) => token.text).join('');
-  const whole = transcript.text === text && transcript.ends === 1;
+  const whole = transcript.text === text && transcript.doneEvents === 1;
   const {arrivalsMs} = transcript;
   const gapsMs = arrivalsMs.slice(1).map((ms, i) => ms - arrivalsMs[i]!);
   const longestMs = Math.round(Math.max(...gapsMs));
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -6,8 +6,8 @@
 import {SeededRandom} from '../../src/core/clock/index.js';
 import {SitePath} from '../../stand-ins/site/config.js';
 import {KEY_HEADER} from '../../stand-ins/site/target.js';
-import type {Reply} from '../lab/site-caller.js';
-import {callSite} from '../lab/site-caller.js';
+import type {SiteResponse} from '../lab/site-caller.js';
+import {sendSiteRequest} from '../lab/site-caller.js';
 import {CALL_DEADLINE_MS, OVERDUE_MS, STREAM_DEADLINE_MS} from './consts.js';
 import type {Attempt} from './history.js';
 import {RequestKind} from './history.js';
@@ -133,7 +133,7 @@
       sentMs,
     };
     const signal = AbortSignal.timeout(hangUpMs ?? deadlineMs + OVERDUE_MS);
-    const reply = await callSite({
+    const reply = await sendSiteRequest({
       ...entry.callers,
       agent: this.agent,
       path: PATHS[kind],
@@ -182,9 +182,9 @@
   }
 }
 
-function outcomeOf(reply: Reply | undefined, id: string) {
+function outcomeOf(reply: SiteResponse | undefined, id: string) {
   if (reply === undefined) return {text: '', isWhole: false, isProven: false};
-  const {status, text, isWhole, headers} = reply;
+  const {status, text, isComplete: isWhole, headers} = reply;
   const hasOwnId = headers['attempt-id'] === id;
   const isProven = hasOwnId && headers['server-stamp'] !== undefined;
   return {status, text, isWhole, isProven};
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -83,9 +83,9 @@
   [FaultKind.STORE_RESET]: (stage) => putStoreIn(stage, StoreMode.RESET),
   [FaultKind.STORE_PAUSE]: ({site, episode}) =>
     disturb({site, episode, parts: [STORE]}, async () => {
-      site.store.proc.freeze();
+      site.store.proc.pause();
       await sleep(episode.durationMs);
-      site.store.proc.thaw();
+      site.store.proc.resume();
     }),
   [FaultKind.STORE_HISTORY_LOST]: ({site, episode}) =>
     disturb({site, episode, parts: [STORE]}, () =>
@@ -109,9 +109,9 @@
     ),
   [FaultKind.TARGET_PAUSE]: ({site, target, episode}) =>
     disturbTargets({site, episode}, [target], async () => {
-      target.standIn.proc.freeze();
+      target.standIn.proc.pause();
       await sleep(episode.durationMs);
-      target.standIn.proc.thaw();
+      target.standIn.proc.resume();
     }),
   [FaultKind.TARGET_LEAVE]: (stage) => leave(stage),
   [FaultKind.TARGET_FAULTY]: ({site, target, episode}) => {
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -131,11 +131,11 @@
   }
 
   pause(): void {
-    this.proc?.freeze();
+    this.proc?.pause();
   }
 
   resume(): void {
-    this.proc?.thaw();
+    this.proc?.resume();
   }
 
   /** Steps the process's wall clock. */
@@ -168,7 +168,7 @@
   private async watchEnd(proc: Proc, lifetime: number): Promise<void> {
     const code = await proc.exited;
     const {history} = this.options;
-    if (proc.log !== '') history.strayLines.push(proc.log);
+    if (proc.stderr !== '') history.strayLines.push(proc.stderr);
     history.entryEnds.push({
       entry: this.name,
       lifetime,
