--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -126,7 +126,7 @@
     const place = {service: UNROUTED, zone: 'a', address: NOWHERE, state};
     const spec = registrationOf(place);
     const puts = Array.from({length: REGISTRATIONS}, (_, i) =>
-      store.ask('put', {kind: Kind.TARGETS, name: `extra-${i}`, spec}),
+      store.execute('put', {kind: Kind.TARGETS, name: `extra-${i}`, spec}),
     );
     await Promise.all(puts);
     await sleep(SETTLE_MS);
--- a/test/tools/soak/checks.test.ts
+++ b/test/tools/soak/checks.test.ts
@@ -1,17 +1,20 @@
 /** Each check of the soak finds the promise that it stands for broken. */
 import {describe, expect, it} from 'vitest';
 
-import {entryPart, findViolations} from '../../../tools/soak/checks/index.js';
 import {
-  APPLY_MS,
+  entryComponent,
+  findViolations,
+} from '../../../tools/soak/checks/index.js';
+import {
+  CONFIG_APPLY_MS,
   CALL_DEADLINE_MS,
-  CANCEL_MS,
-  CONTACT_MS,
-  LATE_MS,
-  LEAVE_MS,
-  OVERLAP_MS,
+  CANCEL_TIMEOUT_MS,
+  FAULT_AFTERMATH_MS,
+  DEADLINE_TOLERANCE_MS,
+  DRAIN_NOTICE_MS,
+  MAX_OVERLAP_MS,
   RETRY_SLACK,
-  REVOKE_MS,
+  KEY_REVOCATION_MS,
   STREAM_EVENTS,
 } from '../../../tools/soak/consts.js';
 import type {Arrival, Attempt} from '../../../tools/soak/history.js';
@@ -132,7 +135,7 @@
     name: 'a late answer',
     promise: 'by its deadline',
     add: ({attempts}) => {
-      const endMs = LATER_MS + CALL_DEADLINE_MS + LATE_MS + 1;
+      const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
       attempts.push(attempt({endMs}));
     },
   },
@@ -173,7 +176,7 @@
     promise: 'refused in time',
     add: ({configs, attempts, arrivals}) => {
       configs.push(config(2, START_MS), config(3, START_MS));
-      const sentMs = START_MS + REVOKE_MS + 1;
+      const sentMs = START_MS + KEY_REVOCATION_MS + 1;
       attempts.push(attempt({sentMs, keyVersion: 1, status: 500}));
       arrivals.push(arrival({atMs: sentMs + 1, keyVersion: 1}));
     },
@@ -182,7 +185,7 @@
     name: 'a refusal of a key that is there',
     promise: 'in force in seconds',
     add: ({attempts}) => {
-      const sentMs = START_MS + APPLY_MS + 1;
+      const sentMs = START_MS + CONFIG_APPLY_MS + 1;
       attempts.push(attempt({sentMs, keyVersion: 1, status: 401}));
     },
   },
@@ -224,7 +227,7 @@
     name: 'a moved route at its old service',
     promise: 'moved to',
     add: ({configs, attempts, arrivals}) => {
-      configs.push(config(2, LATER_MS - APPLY_MS - 100));
+      configs.push(config(2, LATER_MS - CONFIG_APPLY_MS - 100));
       attempts.push(attempt({kind: RequestKind.MOVING}));
       arrivals.push(arrival());
     },
@@ -234,7 +237,7 @@
     promise: 'leaving target',
     add: ({attempts, arrivals, leavings}) => {
       attempts.push(attempt());
-      leavings.push({target: 'i-1', ackMs: LATER_MS - LEAVE_MS});
+      leavings.push({target: 'i-1', ackMs: LATER_MS - DRAIN_NOTICE_MS});
       arrivals.push(arrival());
     },
   },
@@ -247,7 +250,7 @@
         attempts.push(
           attempt({id, kind: RequestKind.STREAM, hungUpMs, isWhole: false}),
         );
-        const endedMs = hungUpMs + CANCEL_MS + 1;
+        const endedMs = hungUpMs + CANCEL_TIMEOUT_MS + 1;
         arrivals.push(arrival({attemptId: id, service: 'writers', endedMs}));
       }
     },
@@ -258,7 +261,7 @@
     add: ({attempts, arrivals}) => {
       attempts.push(attempt({kind: RequestKind.STREAM}));
       const nextMs = LATER_MS + 100;
-      const endedMs = nextMs + OVERLAP_MS + 1;
+      const endedMs = nextMs + MAX_OVERLAP_MS + 1;
       const run = {endedMs, service: 'writers'};
       arrivals.push(
         arrival(run),
@@ -309,13 +312,13 @@
 
   it('excuses a late answer of an entry that was just under a fault', () => {
     const history = calmHistory();
-    const endMs = LATER_MS + CALL_DEADLINE_MS + LATE_MS + 1;
+    const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
     history.attempts.push(attempt({endMs}));
     history.disturbances.push({
-      part: entryPart(ENTRY),
+      part: entryComponent(ENTRY),
       kind: 'entry_pause',
-      fromMs: LATER_MS - CONTACT_MS - 100,
-      toMs: LATER_MS - CONTACT_MS + 100,
+      fromMs: LATER_MS - FAULT_AFTERMATH_MS - 100,
+      toMs: LATER_MS - FAULT_AFTERMATH_MS + 100,
     });
     expect(findViolations(history)).toEqual([]);
   });
@@ -324,7 +327,7 @@
     const history = calmHistory();
     history.attempts.push(attempt({kind: RequestKind.STREAM}));
     const nextMs = LATER_MS + 100;
-    const endedMs = nextMs + OVERLAP_MS + 1;
+    const endedMs = nextMs + MAX_OVERLAP_MS + 1;
     history.arrivals.push(
       arrival({endedMs, service: 'writers'}),
       arrival({
@@ -354,7 +357,7 @@
     history.attempts.push(attempt({kind: RequestKind.UNSAFE}));
     history.arrivals.push(arrival(), arrival({target: 'i-2'}));
     const fault = {kind: 'entry_pause', fromMs: 0, toMs: Infinity};
-    history.disturbances.push({part: entryPart(ENTRY), ...fault});
+    history.disturbances.push({part: entryComponent(ENTRY), ...fault});
     expect(findViolations(history)).toHaveLength(1);
   });
 });
--- a/test/tools/soak/plan.test.ts
+++ b/test/tools/soak/plan.test.ts
@@ -1,22 +1,22 @@
 /** Plans of the soak: which faults come when. */
 import {describe, expect, it} from 'vitest';
 
-import {QUIET_MS} from '../../../tools/soak/consts.js';
-import {drawPlan, FaultKind} from '../../../tools/soak/plan.js';
+import {RECOVERY_MS} from '../../../tools/soak/consts.js';
+import {createPlan, FaultKind} from '../../../tools/soak/plan.js';
 
 const DURATION_MS = 20_000;
 
 describe('drawPlan', () => {
   it('draws the same faults from the same seed', () => {
     const plan = {seed: 7, durationMs: DURATION_MS};
-    expect(drawPlan(plan)).toEqual(drawPlan(plan));
-    expect(drawPlan({...plan, seed: 8})).not.toEqual(drawPlan(plan));
+    expect(createPlan(plan)).toEqual(createPlan(plan));
+    expect(createPlan({...plan, seed: 8})).not.toEqual(createPlan(plan));
   });
 
   it('ends all faults before the quiet part', () => {
     for (let seed = 1; seed <= 50; seed++) {
-      for (const episode of drawPlan({seed, durationMs: DURATION_MS})) {
-        expect(episode.atMs).toBeLessThan(DURATION_MS - QUIET_MS);
+      for (const episode of createPlan({seed, durationMs: DURATION_MS})) {
+        expect(episode.atMs).toBeLessThan(DURATION_MS - RECOVERY_MS);
       }
     }
   });
@@ -25,7 +25,7 @@
     const kinds = new Set<FaultKind>();
     let overlaps = 0;
     for (let seed = 1; seed <= 50; seed++) {
-      const episodes = drawPlan({seed, durationMs: DURATION_MS});
+      const episodes = createPlan({seed, durationMs: DURATION_MS});
       for (const [index, {kind, atMs}] of episodes.entries()) {
         kinds.add(kind);
         const before = episodes[index - 1];
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -8,7 +8,11 @@
 import {KEY_HEADER} from '../../stand-ins/site/target.js';
 import type {SiteResponse} from '../lab/site-caller.js';
 import {sendSiteRequest} from '../lab/site-caller.js';
-import {CALL_DEADLINE_MS, OVERDUE_MS, STREAM_DEADLINE_MS} from './consts.js';
+import {
+  CALL_DEADLINE_MS,
+  ABORT_MARGIN_MS,
+  STREAM_DEADLINE_MS,
+} from './consts.js';
 import type {Attempt} from './history.js';
 import {RequestKind} from './history.js';
 import type {SoakSite} from './site.js';
@@ -23,7 +27,7 @@
 };
 
 /** Shares of the kinds of requests: each entry of the list is as likely. */
-const MIX = [
+const REQUEST_MIX = [
   RequestKind.SAFE,
   RequestKind.UNSAFE,
   RequestKind.UNSAFE,
@@ -32,8 +36,8 @@
 ];
 
 /** Share of the streams that callers give up. */
-const HANG_UP_SHARE = 0.1;
-const MAX_HANG_UP_MS = 1_500;
+const ABORT_SHARE = 0.1;
+const MAX_ABORT_MS = 1_500;
 
 /** Share of the requests with a key that comes and goes. */
 const CHANGING_KEY_SHARE = 0.4;
@@ -44,14 +48,14 @@
 /** Pause of a caller that finds no entry, in milliseconds. */
 const NO_ENTRY_PAUSE_MS = 100;
 
-const BALANCER_STEP_MS = 200;
+const PROBE_INTERVAL_MS = 200;
 
 /** Questions without a yes that take an entry out. */
-const MISSES_TO_LEAVE = 2;
+const UNREADY_THRESHOLD = 2;
 
 /** Knows which entries take new connections. */
-export class Balancer {
-  private readonly misses = new Map<SoakEntry, number>();
+export class LoadBalancer {
+  private readonly failures = new Map<SoakEntry, number>();
   private isStopped = false;
 
   constructor(private readonly entries: readonly SoakEntry[]) {}
@@ -59,8 +63,8 @@
   /** Asks all entries again and again until it is stopped. */
   async run(): Promise<void> {
     while (!this.isStopped) {
-      await Promise.all(this.entries.map((entry) => this.ask(entry)));
-      await sleep(BALANCER_STEP_MS);
+      await Promise.all(this.entries.map((entry) => this.probe(entry)));
+      await sleep(PROBE_INTERVAL_MS);
     }
   }
 
@@ -69,15 +73,15 @@
   }
 
   /** Entries that take new connections. */
-  open(): SoakEntry[] {
+  readyEntries(): SoakEntry[] {
     return this.entries.filter((entry) => {
-      return (this.misses.get(entry) ?? 0) < MISSES_TO_LEAVE;
+      return (this.failures.get(entry) ?? 0) < UNREADY_THRESHOLD;
     });
   }
 
-  private async ask(entry: SoakEntry): Promise<void> {
-    const misses = (this.misses.get(entry) ?? 0) + 1;
-    this.misses.set(entry, (await entry.isReady()) ? 0 : misses);
+  private async probe(entry: SoakEntry): Promise<void> {
+    const misses = (this.failures.get(entry) ?? 0) + 1;
+    this.failures.set(entry, (await entry.isReady()) ? 0 : misses);
   }
 }
 
@@ -93,14 +97,14 @@
     private readonly name: string,
     seed: number,
     private readonly site: SoakSite,
-    private readonly balancer: Balancer,
+    private readonly balancer: LoadBalancer,
   ) {
     this.random = new SeededRandom(seed);
   }
 
   async run(): Promise<void> {
     while (!this.isStopped) {
-      this.entry ??= this.pick(this.balancer.open());
+      this.entry ??= this.pick(this.balancer.readyEntries());
       if (this.entry === undefined) {
         await sleep(NO_ENTRY_PAUSE_MS);
         continue;
@@ -118,13 +122,13 @@
 
   /** Sends a request; tells whether its connection may be used again. */
   private async request(entry: SoakEntry): Promise<boolean> {
-    const kind = this.pick(MIX)!;
+    const kind = this.pick(REQUEST_MIX)!;
     const isStream = kind === RequestKind.STREAM;
     const deadlineMs = isStream ? STREAM_DEADLINE_MS : CALL_DEADLINE_MS;
     const keyVersion = this.drawKeyVersion();
-    const hangUpMs = isStream ? this.drawHangUp() : undefined;
+    const abortMs = isStream ? this.drawAbortMs() : undefined;
     const sentMs = Date.now();
-    const about = {
+    const request = {
       id: `${this.name}-${++this.sent}`,
       kind,
       entry: entry.name,
@@ -132,24 +136,24 @@
       keyVersion,
       sentMs,
     };
-    const signal = AbortSignal.timeout(hangUpMs ?? deadlineMs + OVERDUE_MS);
+    const signal = AbortSignal.timeout(abortMs ?? deadlineMs + ABORT_MARGIN_MS);
     const reply = await sendSiteRequest({
       ...entry.callers,
       agent: this.agent,
       path: PATHS[kind],
       key: keyOf(keyVersion),
-      attemptId: about.id,
+      attemptId: request.id,
       deadlineMs,
       headers: {[KEY_HEADER]: String(keyVersion)},
       signal,
     }).catch(() => undefined);
     const endMs = Date.now();
-    const hasHungUp = hangUpMs !== undefined && signal.aborted;
+    const hasAborted = abortMs !== undefined && signal.aborted;
     const attempt: Attempt = {
-      ...about,
+      ...request,
       endMs,
-      ...outcomeOf(reply, about.id),
-      hungUpMs: hasHungUp ? sentMs + hangUpMs : undefined,
+      ...outcomeOf(reply, request.id),
+      hungUpMs: hasAborted ? sentMs + abortMs : undefined,
     };
     this.site.history.attempts.push(attempt);
     return attempt.isWhole && reply?.headers.connection !== 'close';
@@ -161,9 +165,9 @@
     this.entry = undefined;
   }
 
-  private drawHangUp(): number | undefined {
-    if (this.random.float() >= HANG_UP_SHARE) return undefined;
-    return 1 + this.random.below(MAX_HANG_UP_MS);
+  private drawAbortMs(): number | undefined {
+    if (this.random.float() >= ABORT_SHARE) return undefined;
+    return 1 + this.random.below(MAX_ABORT_MS);
   }
 
   /** Mostly a key that is there; at times one that was taken away. */
@@ -173,8 +177,8 @@
       ({ackMs}) => ackMs < Infinity,
     );
     const newest = accepted.at(-1)?.version ?? 0;
-    const back = this.pick([0, 0, 0, 1, 2])!;
-    return Math.max(0, newest - back);
+    const age = this.pick([0, 0, 0, 1, 2])!;
+    return Math.max(0, newest - age);
   }
 
   private pick<T>(choices: readonly T[]): T | undefined {
--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -1,24 +1,24 @@
 /** Promises about configurations, keys, targets and processes. */
 import {
-  APPLY_MS,
-  CANCEL_MS,
-  LEAVE_MS,
-  OVERLAP_MS,
+  CONFIG_APPLY_MS,
+  CANCEL_TIMEOUT_MS,
+  DRAIN_NOTICE_MS,
+  MAX_OVERLAP_MS,
   RETRY_RATIO,
   RETRY_SLACK,
   RETRY_WINDOW_MS,
-  REVOKE_MS,
+  KEY_REVOCATION_MS,
 } from '../consts.js';
 import type {Arrival, Attempt, History} from '../history.js';
-import {RequestKind, STORE} from '../history.js';
-import type {PromiseCheck} from './types.js';
-import {entryPart, targetPart} from './types.js';
+import {RequestKind, STORE_COMPONENT} from '../history.js';
+import type {GuaranteeCheck} from './types.js';
+import {entryComponent, targetComponent} from './types.js';
 
 /** Statuses by which a configuration is said to allow no such request. */
 const UNKNOWN_STATUSES = [401, 403, 404];
 
 /** A version takes away the key that came this many versions before. */
-export const KEY_LIFE_VERSIONS = 2;
+export const KEY_LIFETIME_VERSIONS = 2;
 
 /** Time in which an answer may cross a newer configuration. */
 const DOWNGRADE_SLACK_MS = 500;
@@ -33,15 +33,15 @@
 const WRITERS = 'writers';
 
 /** A key that was taken away opens nothing, whatever else has failed. */
-export const REVOKED_KEYS: PromiseCheck = {
-  promise: 'a key that was taken away is refused in time',
+export const REVOKED_KEYS: GuaranteeCheck = {
+  guarantee: 'a key that was taken away is refused in time',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, keyVersion, hasRun}) => {
-      const taken = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
+      const taken = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
       const sentMs = attempts.get(attemptId)?.sentMs ?? 0;
       if (!hasRun || keyVersion === 0 || taken === undefined) return [];
-      const lateMs = sentMs - taken.ackMs - REVOKE_MS;
+      const lateMs = sentMs - taken.ackMs - KEY_REVOCATION_MS;
       if (lateMs <= 0) return [];
       return [{id: attemptId, detail: `ran ${lateMs} ms too late`}];
     });
@@ -49,8 +49,8 @@
 };
 
 /** An accepted configuration is in force in seconds. */
-export const IN_FORCE: PromiseCheck = {
-  promise: 'an accepted configuration is in force in seconds',
+export const CONFIG_APPLIED: GuaranteeCheck = {
+  guarantee: 'an accepted configuration is in force in seconds',
   find: (history) =>
     history.attempts
       .filter(({status = 0}) => UNKNOWN_STATUSES.includes(status))
@@ -58,13 +58,13 @@
         const {keyVersion, entry, sentMs, endMs} = attempt;
         if (keyVersion === 0) return true;
         const came = versionOf(history, keyVersion);
-        const goes = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
+        const goes = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
         const isThere =
           came !== undefined &&
-          sentMs > came.ackMs + APPLY_MS &&
+          sentMs > came.ackMs + CONFIG_APPLY_MS &&
           endMs < (goes?.sentMs ?? Number.POSITIVE_INFINITY);
-        const parts = [STORE, entryPart(entry)];
-        return isThere && history.isCalm(parts, came.ackMs, endMs);
+        const parts = [STORE_COMPONENT, entryComponent(entry)];
+        return isThere && history.isFaultFree(parts, came.ackMs, endMs);
       })
       .map(({id, status, keyVersion}) => ({
         id,
@@ -73,8 +73,8 @@
 };
 
 /** A process that has used a configuration uses no older one later. */
-export const NO_REVERT: PromiseCheck = {
-  promise: 'a configuration never reverts',
+export const NO_CONFIG_ROLLBACK: GuaranteeCheck = {
+  guarantee: 'a configuration never reverts',
   find: (history) => {
     const ran = new Set(
       history.arrivals
@@ -86,8 +86,9 @@
       .filter((attempt) => {
         const newest = newestSeen(history, attempt, ran);
         const {id, keyVersion, status = 0} = attempt;
-        const usesOld = ran.has(id) && keyVersion <= newest - KEY_LIFE_VERSIONS;
-        const next = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
+        const usesOld =
+          ran.has(id) && keyVersion <= newest - KEY_LIFETIME_VERSIONS;
+        const next = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
         const isTaken = next !== undefined && next.sentMs < attempt.endMs;
         const forgets =
           UNKNOWN_STATUSES.includes(status) && keyVersion <= newest && !isTaken;
@@ -101,15 +102,16 @@
 };
 
 /** A route that was moved is served by its new service. */
-export const MOVED_ROUTES: PromiseCheck = {
-  promise: 'a moved route is served where it was moved to',
+export const MOVED_ROUTES: GuaranteeCheck = {
+  guarantee: 'a moved route is served where it was moved to',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, service, atMs}) => {
       const attempt = attempts.get(attemptId);
       if (attempt?.kind !== RequestKind.MOVING) return [];
-      const parts = [STORE, entryPart(attempt.entry)];
-      if (!history.isCalm(parts, attempt.sentMs - APPLY_MS, atMs)) return [];
+      const parts = [STORE_COMPONENT, entryComponent(attempt.entry)];
+      if (!history.isFaultFree(parts, attempt.sentMs - CONFIG_APPLY_MS, atMs))
+        return [];
       const allowed = servicesInForce(history, attempt.sentMs, atMs);
       if (allowed.has(service)) return [];
       return [{id: attemptId, detail: `arrived at ${service}`}];
@@ -118,17 +120,21 @@
 };
 
 /** A target that leaves gets no new work. */
-export const LEAVING_TARGETS: PromiseCheck = {
-  promise: 'a leaving target gets no new work after seconds',
+export const DRAINING_TARGETS: GuaranteeCheck = {
+  guarantee: 'a leaving target gets no new work after seconds',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.leavings.flatMap(({target, ackMs}) =>
       history.arrivals
         .filter((arrival) => arrival.target === target)
-        .filter(({atMs}) => atMs > ackMs + LEAVE_MS)
+        .filter(({atMs}) => atMs > ackMs + DRAIN_NOTICE_MS)
         .filter(({attemptId, atMs}) => {
           const {entry = ''} = attempts.get(attemptId) ?? {};
-          return history.isCalm([STORE, entryPart(entry)], ackMs, atMs);
+          return history.isFaultFree(
+            [STORE_COMPONENT, entryComponent(entry)],
+            ackMs,
+            atMs,
+          );
         })
         .map(({attemptId, atMs}) => ({
           id: attemptId,
@@ -139,16 +145,16 @@
 };
 
 /** Runs end soon after their callers went. */
-export const CANCELLED_RUNS: PromiseCheck = {
-  promise: 'work ends when its caller goes',
+export const CANCELLED_RUNS: GuaranteeCheck = {
+  guarantee: 'work ends when its caller goes',
   find: (history) => {
     const arrivals = history.arrivalsById();
     const cancelled = history.attempts.flatMap(({id, entry, hungUpMs}) => {
       const run = arrivals.get(id)?.at(-1);
       if (hungUpMs === undefined || run === undefined) return [];
-      const parts = [entryPart(entry), targetPart(run.target)];
-      const limitMs = hungUpMs + CANCEL_MS;
-      if (!history.isCalm(parts, run.atMs, limitMs)) return [];
+      const parts = [entryComponent(entry), targetComponent(run.target)];
+      const limitMs = hungUpMs + CANCEL_TIMEOUT_MS;
+      if (!history.isFaultFree(parts, run.atMs, limitMs)) return [];
       return [{id, isLeft: (run.endedMs ?? Infinity) > limitMs}];
     });
     const left = cancelled.filter(({isLeft}) => isLeft);
@@ -161,8 +167,8 @@
 };
 
 /** A stream goes on elsewhere only once its former run has ended. */
-export const ONE_RUN_AT_A_TIME: PromiseCheck = {
-  promise: 'two runs of one stream do not overlap',
+export const NO_OVERLAPPING_RUNS: GuaranteeCheck = {
+  guarantee: 'two runs of one stream do not overlap',
   find: (history) => {
     const attempts = attemptsById(history);
     return [...history.arrivalsById()].flatMap(([id, arrivals]) => {
@@ -172,10 +178,10 @@
       return runs.slice(1).flatMap((next, index) => {
         const before = runs[index]!;
         const overlapMs = endOf(before, next) - next.atMs;
-        const targets = [before.target, next.target].map(targetPart);
-        const parts = [entryPart(attempt.entry), ...targets];
-        const isCalm = history.isCalm(parts, before.atMs, next.atMs);
-        if (!isCalm || overlapMs <= OVERLAP_MS) return [];
+        const targets = [before.target, next.target].map(targetComponent);
+        const parts = [entryComponent(attempt.entry), ...targets];
+        const isCalm = history.isFaultFree(parts, before.atMs, next.atMs);
+        if (!isCalm || overlapMs <= MAX_OVERLAP_MS) return [];
         return [{id, detail: `two runs for ${overlapMs} ms`}];
       });
     });
@@ -183,8 +189,8 @@
 };
 
 /** Retries stay a bounded share of the requests. */
-export const RETRY_BUDGET: PromiseCheck = {
-  promise: 'retries stay within their budget',
+export const RETRY_BUDGET: GuaranteeCheck = {
+  guarantee: 'retries stay within their budget',
   find: (history) => {
     const kinds = [
       {service: WRITERS, isOfService: isWriters},
@@ -207,8 +213,8 @@
 };
 
 /** Processes end only when they are told to, and in time. */
-export const OWN_ENDS: PromiseCheck = {
-  promise: 'no process ends by itself; planned stops end as planned',
+export const NO_UNEXPECTED_EXITS: GuaranteeCheck = {
+  guarantee: 'no process ends by itself; planned stops end as planned',
   find: (history) =>
     history.entryEnds
       .filter(({wasKilled}) => !wasKilled)
@@ -219,8 +225,8 @@
 };
 
 /** Logs are JSON lines, and nothing else is written. */
-export const CLEAN_LOGS: PromiseCheck = {
-  promise: 'processes write JSON lines only',
+export const JSON_LOGS: GuaranteeCheck = {
+  guarantee: 'processes write JSON lines only',
   find: ({strayLines}) => strayLines.map((line) => ({id: 'log', detail: line})),
 };
 
@@ -261,7 +267,7 @@
   const {configs} = history;
   const allowed = configs.filter(({sentMs}, index) => {
     const endMs = configs[index + 1]?.ackMs ?? Number.POSITIVE_INFINITY;
-    return sentMs <= toMs && endMs + APPLY_MS >= fromMs;
+    return sentMs <= toMs && endMs + CONFIG_APPLY_MS >= fromMs;
   });
   return new Set(allowed.map(({movingTo}) => movingTo));
 }
--- a/tools/soak/checks/index.ts
+++ b/tools/soak/checks/index.ts
@@ -1,52 +1,52 @@
 /** The promises of the product, checked against what one run showed. */
 import type {History} from '../history.js';
 import {
-  ANSWERED,
+  ALL_ANSWERED,
   AT_MOST_ONCE,
-  IN_TIME,
-  OWN_ANSWERS,
-  RECOVERED,
-  STOPS_CUT_NOTHING,
-  TRUE_REFUSALS,
-  WHOLE_STREAMS,
-} from './answers.js';
+  DEADLINES_MET,
+  COMPLETE_RESPONSES,
+  RECOVERY,
+  GRACEFUL_SHUTDOWN,
+  REFUSED_NOT_RUN,
+  COMPLETE_STREAMS,
+} from './responses.js';
 import {
   CANCELLED_RUNS,
-  CLEAN_LOGS,
-  IN_FORCE,
-  LEAVING_TARGETS,
+  JSON_LOGS,
+  CONFIG_APPLIED,
+  DRAINING_TARGETS,
   MOVED_ROUTES,
-  NO_REVERT,
-  ONE_RUN_AT_A_TIME,
-  OWN_ENDS,
+  NO_CONFIG_ROLLBACK,
+  NO_OVERLAPPING_RUNS,
+  NO_UNEXPECTED_EXITS,
   RETRY_BUDGET,
   REVOKED_KEYS,
 } from './control.js';
-import type {PromiseCheck, Violation} from './types.js';
+import type {GuaranteeCheck, Violation} from './types.js';
 
-export type {PromiseCheck, Violation} from './types.js';
-export {entryPart, targetPart} from './types.js';
+export type {GuaranteeCheck, Violation} from './types.js';
+export {entryComponent, targetComponent} from './types.js';
 
 /** All promises that the soak checks. */
-export const PROMISES: readonly PromiseCheck[] = [
-  OWN_ANSWERS,
-  WHOLE_STREAMS,
+export const GUARANTEES: readonly GuaranteeCheck[] = [
+  COMPLETE_RESPONSES,
+  COMPLETE_STREAMS,
   AT_MOST_ONCE,
-  TRUE_REFUSALS,
-  IN_TIME,
-  ANSWERED,
-  STOPS_CUT_NOTHING,
-  RECOVERED,
+  REFUSED_NOT_RUN,
+  DEADLINES_MET,
+  ALL_ANSWERED,
+  GRACEFUL_SHUTDOWN,
+  RECOVERY,
   REVOKED_KEYS,
-  IN_FORCE,
-  NO_REVERT,
+  CONFIG_APPLIED,
+  NO_CONFIG_ROLLBACK,
   MOVED_ROUTES,
-  LEAVING_TARGETS,
+  DRAINING_TARGETS,
   CANCELLED_RUNS,
-  ONE_RUN_AT_A_TIME,
+  NO_OVERLAPPING_RUNS,
   RETRY_BUDGET,
-  OWN_ENDS,
-  CLEAN_LOGS,
+  NO_UNEXPECTED_EXITS,
+  JSON_LOGS,
 ];
 
 /**
@@ -56,7 +56,7 @@
  * const violations = findViolations(history);
  */
 export function findViolations(history: History): Violation[] {
-  return PROMISES.flatMap(({promise, find}) =>
+  return GUARANTEES.flatMap(({guarantee: promise, find}) =>
     find(history).map((found) => ({promise, ...found})),
   );
 }
--- a/tools/soak/checks/answers.ts
+++ b/tools/soak/checks/responses.ts
@@ -3,15 +3,15 @@
 
 import {
   CALL_DEADLINE_MS,
-  LATE_MS,
+  DEADLINE_TOLERANCE_MS,
   RECOVERED_SHARE,
   STREAM_DEADLINE_MS,
   STREAM_EVENTS,
 } from '../consts.js';
 import type {Attempt} from '../history.js';
 import {RequestKind} from '../history.js';
-import type {PromiseCheck} from './types.js';
-import {entryPart, isServed, partsOf} from './types.js';
+import type {GuaranteeCheck} from './types.js';
+import {entryComponent, isServed, componentsOf} from './types.js';
 
 /** Statuses that say that a request has not run and will not run. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
@@ -20,8 +20,8 @@
 const MIN_LAST_REQUESTS = 10;
 
 /** A success is the caller's own answer, with its proof, to the last byte. */
-export const OWN_ANSWERS: PromiseCheck = {
-  promise: 'each caller gets its own whole answer',
+export const COMPLETE_RESPONSES: GuaranteeCheck = {
+  guarantee: 'each caller gets its own whole answer',
   find: (history) =>
     history.attempts
       .filter(({kind}) => kind !== RequestKind.STREAM)
@@ -31,8 +31,8 @@
 };
 
 /** Streams have each piece once and in order, and end after the last. */
-export const WHOLE_STREAMS: PromiseCheck = {
-  promise: 'no piece of a stream is missing, repeated or from another run',
+export const COMPLETE_STREAMS: GuaranteeCheck = {
+  guarantee: 'no piece of a stream is missing, repeated or from another run',
   find: (history) =>
     history.attempts
       .filter(({kind, status}) => kind === RequestKind.STREAM && status === 200)
@@ -43,8 +43,8 @@
 };
 
 /** What cannot be repeated runs once at most. */
-export const AT_MOST_ONCE: PromiseCheck = {
-  promise: 'a request that must not be repeated runs at most once',
+export const AT_MOST_ONCE: GuaranteeCheck = {
+  guarantee: 'a request that must not be repeated runs at most once',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
@@ -59,8 +59,8 @@
 };
 
 /** A refusal that says so means that nothing ran. */
-export const TRUE_REFUSALS: PromiseCheck = {
-  promise: 'a request that was refused as not run has not run',
+export const REFUSED_NOT_RUN: GuaranteeCheck = {
+  guarantee: 'a request that was refused as not run has not run',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
@@ -72,17 +72,17 @@
 };
 
 /** Whatever happens to targets and store, an answer comes in time. */
-export const IN_TIME: PromiseCheck = {
-  promise: 'each request has a final answer by its deadline',
+export const DEADLINES_MET: GuaranteeCheck = {
+  guarantee: 'each request has a final answer by its deadline',
   find: (history) =>
     history.attempts
       .filter(({kind, sentMs, endMs}) => {
         const limitMs =
           kind === RequestKind.STREAM ? STREAM_DEADLINE_MS : CALL_DEADLINE_MS;
-        return endMs - sentMs > limitMs + LATE_MS + history.lagMs;
+        return endMs - sentMs > limitMs + DEADLINE_TOLERANCE_MS + history.lagMs;
       })
       .filter(({entry, sentMs, endMs}) =>
-        history.isCalm([entryPart(entry)], sentMs, endMs),
+        history.isFaultFree([entryComponent(entry)], sentMs, endMs),
       )
       .map(({id, sentMs, endMs}) => ({
         id,
@@ -91,15 +91,19 @@
 };
 
 /** Connections end without an answer only where something broke them. */
-export const ANSWERED: PromiseCheck = {
-  promise: 'a calm entry answers each request',
+export const ALL_ANSWERED: GuaranteeCheck = {
+  guarantee: 'a calm entry answers each request',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
       .filter(({status, hungUpMs}) => status === undefined && !hungUpMs)
       .filter((attempt) => {
-        const parts = partsOf(attempt, arrivals.get(attempt.id) ?? []);
-        const isCalm = history.isCalm(parts, attempt.sentMs, attempt.endMs);
+        const parts = componentsOf(attempt, arrivals.get(attempt.id) ?? []);
+        const isCalm = history.isFaultFree(
+          parts,
+          attempt.sentMs,
+          attempt.endMs,
+        );
         return isCalm && !endedAround(attempt, history.entryEnds);
       })
       .map(({id, entry}) => ({id, detail: `no answer from ${entry}`}));
@@ -107,8 +111,8 @@
 };
 
 /** A planned stop lets open requests end. */
-export const STOPS_CUT_NOTHING: PromiseCheck = {
-  promise: 'a planned stop cuts nothing off',
+export const GRACEFUL_SHUTDOWN: GuaranteeCheck = {
+  guarantee: 'a planned stop cuts nothing off',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.entryEnds.flatMap((end) => {
@@ -122,9 +126,9 @@
         .filter((attempt) => {
           const seen = arrivals.get(attempt.id) ?? [];
           const wasTaken = seen.length > 0 || attempt.sentMs < stopMs;
-          const parts = partsOf(attempt, seen);
+          const parts = componentsOf(attempt, seen);
           const {sentMs, endMs} = attempt;
-          return wasTaken && history.isCalm(parts, sentMs, endMs);
+          return wasTaken && history.isFaultFree(parts, sentMs, endMs);
         })
         .map(({id, entry}) => ({id, detail: `cut off as ${entry} stopped`}));
     });
@@ -132,8 +136,8 @@
 };
 
 /** Once the faults are over, requests succeed again. */
-export const RECOVERED: PromiseCheck = {
-  promise: 'service is back after the faults',
+export const RECOVERY: GuaranteeCheck = {
+  guarantee: 'service is back after the faults',
   find: (history) => {
     const last = history.attempts.filter(
       ({sentMs, hungUpMs, keyVersion}) =>
--- a/tools/soak/checks/types.ts
+++ b/tools/soak/checks/types.ts
@@ -10,18 +10,18 @@
 }
 
 /** A promise of the product, judged after a run. */
-export interface PromiseCheck {
-  readonly promise: string;
+export interface GuaranteeCheck {
+  readonly guarantee: string;
   readonly find: (history: History) => Array<Omit<Violation, 'promise'>>;
 }
 
 /** Part of the site: an entry. */
-export function entryPart(name: string): string {
+export function entryComponent(name: string): string {
   return `entry:${name}`;
 }
 
 /** Part of the site: a target. */
-export function targetPart(id: string): string {
+export function targetComponent(id: string): string {
   return `target:${id}`;
 }
 
@@ -31,10 +31,10 @@
 }
 
 /** All parts that a request touched, but for the store. */
-export function partsOf(
+export function componentsOf(
   attempt: Attempt,
   arrivals: readonly Arrival[],
 ): string[] {
-  const targets = arrivals.map(({target}) => targetPart(target));
-  return [entryPart(attempt.entry), ...targets];
+  const targets = arrivals.map(({target}) => targetComponent(target));
+  return [entryComponent(attempt.entry), ...targets];
 }
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -5,10 +5,10 @@
 import {Direction} from '../../stand-ins/relay/relay.js';
 import {StoreMode} from '../../stand-ins/site/store.js';
 import {Fault} from '../../stand-ins/site/target-fault.js';
-import {entryPart, targetPart} from './checks/index.js';
-import {LEAVE_MS, ZONES} from './consts.js';
-import {STORE} from './history.js';
-import type {Episode} from './plan.js';
+import {entryComponent, targetComponent} from './checks/index.js';
+import {DRAIN_NOTICE_MS, ZONES} from './consts.js';
+import {STORE_COMPONENT} from './history.js';
+import type {PlannedFault} from './plan.js';
 import {FaultKind} from './plan.js';
 import type {SoakSite} from './site.js';
 import type {SoakEntry} from './soak-entry.js';
@@ -28,7 +28,7 @@
 /** What a fault is played on. */
 interface Stage {
   readonly site: SoakSite;
-  readonly episode: Episode;
+  readonly episode: PlannedFault;
   readonly entry: SoakEntry;
   readonly target: SoakTarget;
   /** Targets of one zone. */
@@ -40,14 +40,14 @@
 
 const SCRIPTS: Readonly<Record<FaultKind, Script>> = {
   [FaultKind.ENTRY_KILL]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryPart(entry.name)]}, async () => {
+    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
       if (!entry.isUp) return;
       await entry.kill();
       await sleep(episode.durationMs);
-      await entry.run();
+      await entry.startProcess();
     }),
   [FaultKind.ENTRY_PAUSE]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryPart(entry.name)]}, async () => {
+    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
       entry.pause();
       await sleep(episode.durationMs);
       entry.resume();
@@ -57,10 +57,10 @@
     if (!entry.isUp) return;
     await entry.stop();
     await sleep(RESTART_MS);
-    await entry.run();
+    await entry.startProcess();
   },
   [FaultKind.ENTRY_CLOCK_STEP]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryPart(entry.name)]}, async () => {
+    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
       entry.stepClock((episode.variant - 0.5) * 2 * MAX_CLOCK_STEP_MS);
       await sleep(episode.durationMs);
       entry.stepClock(0);
@@ -74,7 +74,7 @@
   [FaultKind.ENTRY_STORE_ONE_WAY]: (stage) =>
     cutFromStore(stage, [directionOf(stage.episode)]),
   [FaultKind.ENTRY_STORE_RESET]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryPart(entry.name)]}, () => {
+    disturb({site, episode, parts: [entryComponent(entry.name)]}, () => {
       entry.storeRelay.reset();
       return Promise.resolve();
     }),
@@ -82,26 +82,26 @@
   [FaultKind.STORE_SILENT]: (stage) => putStoreIn(stage, StoreMode.SILENT),
   [FaultKind.STORE_RESET]: (stage) => putStoreIn(stage, StoreMode.RESET),
   [FaultKind.STORE_PAUSE]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE]}, async () => {
+    disturb({site, episode, parts: [STORE_COMPONENT]}, async () => {
       site.store.proc.pause();
       await sleep(episode.durationMs);
       site.store.proc.resume();
     }),
   [FaultKind.STORE_HISTORY_LOST]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE]}, () =>
-      site.store.ask('dropHistory', undefined),
+    disturb({site, episode, parts: [STORE_COMPONENT]}, () =>
+      site.store.execute('dropHistory', undefined),
     ),
   [FaultKind.STORE_WAITERS_CUT]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE]}, () =>
-      site.store.ask('cutWaiters', undefined),
+    disturb({site, episode, parts: [STORE_COMPONENT]}, () =>
+      site.store.execute('cutWaiters', undefined),
     ),
   // Another writer leaves what names no target; no other target may suffer.
   [FaultKind.STORE_JUNK]: async ({site, episode}) => {
     const junk = {kind: Kind.TARGETS, name: `junk-${episode.atMs}`};
     const spec = {service: 7, address: 'nowhere', state: episode.variant};
-    await site.store.ask('put', {...junk, spec});
+    await site.store.execute('put', {...junk, spec});
     await sleep(episode.durationMs);
-    await site.store.ask('remove', junk);
+    await site.store.execute('remove', junk);
   },
   [FaultKind.TARGET_KILL]: ({site, target, episode}) =>
     disturbTargets({site, episode}, [target], () =>
@@ -160,9 +160,9 @@
  * @example
  * await playEpisode(site, {kind: FaultKind.TARGET_KILL, ...});
  */
-export async function playEpisode(
+export async function injectFault(
   site: SoakSite,
-  episode: Episode,
+  episode: PlannedFault,
 ): Promise<void> {
   const pick = <T>(parts: readonly T[]): T =>
     parts[Math.floor(episode.part * parts.length)]!;
@@ -177,7 +177,7 @@
 
 interface Scope {
   readonly site: SoakSite;
-  readonly episode: Episode;
+  readonly episode: PlannedFault;
 }
 
 /** Plays a fault and notes which parts were under it, and when. */
@@ -199,7 +199,7 @@
   targets: readonly SoakTarget[],
   play: () => Promise<void>,
 ): Promise<void> {
-  const parts = targets.map(({id}) => targetPart(id));
+  const parts = targets.map(({id}) => targetComponent(id));
   return disturb({...scope, parts}, play);
 }
 
@@ -207,7 +207,7 @@
   {site, entry, episode}: Stage,
   directions?: readonly Direction[],
 ): Promise<void> {
-  const parts = [entryPart(entry.name)];
+  const parts = [entryComponent(entry.name)];
   return disturb({site, episode, parts}, async () => {
     entry.storeRelay.cut(directions);
     await sleep(episode.durationMs);
@@ -216,10 +216,10 @@
 }
 
 function putStoreIn({site, episode}: Stage, mode: StoreMode): Promise<void> {
-  return disturb({site, episode, parts: [STORE]}, async () => {
-    await site.store.ask('setMode', mode);
+  return disturb({site, episode, parts: [STORE_COMPONENT]}, async () => {
+    await site.store.execute('setMode', mode);
     await sleep(episode.durationMs);
-    await site.store.ask('setMode', StoreMode.UP);
+    await site.store.execute('setMode', StoreMode.UP);
   });
 }
 
@@ -227,12 +227,12 @@
 async function leave({site, target, episode}: Stage): Promise<void> {
   await target.register('draining');
   site.history.leavings.push({target: target.id, ackMs: Date.now()});
-  await sleep(LEAVE_MS + STAY_MS);
+  await sleep(DRAIN_NOTICE_MS + STAY_MS);
   await disturbTargets({site, episode}, [target], () =>
     site.replaceTarget(target, episode.durationMs),
   );
 }
 
-function directionOf({variant}: Episode): Direction {
+function directionOf({variant}: PlannedFault): Direction {
   return variant < 0.5 ? Direction.TO_DESTINATION : Direction.TO_CALLER;
 }
--- a/tools/soak/history.ts
+++ b/tools/soak/history.ts
@@ -1,5 +1,5 @@
 /** What callers, targets and the operator saw in one run of the soak. */
-import {CONTACT_MS} from './consts.js';
+import {FAULT_AFTERMATH_MS} from './consts.js';
 
 /** Kinds of requests that callers send. */
 export enum RequestKind {
@@ -43,7 +43,7 @@
 }
 
 /** A time in which a part of the site was under a fault. */
-export interface Disturbance {
+export interface InjectedFault {
   readonly part: string;
   readonly kind: string;
   readonly fromMs: number;
@@ -59,7 +59,7 @@
 }
 
 /** A target that was told to leave. */
-export interface Leaving {
+export interface DrainStart {
   readonly target: string;
   readonly ackMs: number;
 }
@@ -78,15 +78,15 @@
 }
 
 /** Part of the site: its store. */
-export const STORE = 'store';
+export const STORE_COMPONENT = 'store';
 
 /** Collects what was seen; the checks read it after the run. */
 export class History {
   readonly attempts: Attempt[] = [];
   readonly arrivals: Arrival[] = [];
-  readonly disturbances: Disturbance[] = [];
+  readonly disturbances: InjectedFault[] = [];
   readonly configs: ConfigChange[] = [];
-  readonly leavings: Leaving[] = [];
+  readonly leavings: DrainStart[] = [];
   readonly entryEnds: EntryEnd[] = [];
   /** Lines of entries that are no JSON, and what they wrote to stderr. */
   readonly strayLines: string[] = [];
@@ -106,12 +106,12 @@
   }
 
   /** Whether none of the parts was under a fault, nor shortly before. */
-  isCalm(parts: readonly string[], fromMs: number, toMs: number): boolean {
+  isFaultFree(parts: readonly string[], fromMs: number, toMs: number): boolean {
     return !this.disturbances.some(
       (fault) =>
         parts.includes(fault.part) &&
         fault.fromMs <= toMs &&
-        fault.toMs >= fromMs - CONTACT_MS,
+        fault.toMs >= fromMs - FAULT_AFTERMATH_MS,
     );
   }
 }
--- a/tools/soak/plan.ts
+++ b/tools/soak/plan.ts
@@ -1,6 +1,6 @@
 /** Which faults come when: drawn from a seed before anything starts. */
 import {SeededRandom} from '../../src/core/clock/index.js';
-import {QUIET_MS} from './consts.js';
+import {RECOVERY_MS} from './consts.js';
 
 /** A fault that comes from outside the processes, or a planned change. */
 export enum FaultKind {
@@ -33,7 +33,7 @@
 }
 
 /** One fault of a plan. */
-export interface Episode {
+export interface PlannedFault {
   readonly kind: FaultKind;
   /** Time since the start of the run, in milliseconds. */
   readonly atMs: number;
@@ -64,14 +64,14 @@
  * @example
  * const episodes = drawPlan({seed: 7, durationMs: 20_000});
  */
-export function drawPlan(options: {
+export function createPlan(options: {
   seed: number;
   durationMs: number;
-}): Episode[] {
+}): PlannedFault[] {
   const random = new SeededRandom(options.seed);
   const kinds = weightedKinds();
-  const endMs = options.durationMs - QUIET_MS;
-  const episodes: Episode[] = [];
+  const endMs = options.durationMs - RECOVERY_MS;
+  const episodes: PlannedFault[] = [];
   let atMs = START_MS;
   while (atMs < endMs) {
     const longestMs = Math.min(MAX_DURATION_MS, endMs - atMs);
--- a/tools/soak/run.ts
+++ b/tools/soak/run.ts
@@ -3,17 +3,17 @@
 import {join} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Balancer, SoakCaller} from './callers.js';
+import {LoadBalancer, SoakCaller} from './callers.js';
 import type {Violation} from './checks/index.js';
 import {findViolations} from './checks/index.js';
-import {CALLERS_PER_ENTRY, CONTACT_MS} from './consts.js';
-import {playEpisode} from './faults.js';
+import {CALLERS_PER_ENTRY, FAULT_AFTERMATH_MS} from './consts.js';
+import {injectFault} from './faults.js';
 import {History} from './history.js';
-import type {Episode} from './plan.js';
-import {drawPlan} from './plan.js';
+import type {PlannedFault} from './plan.js';
+import {createPlan} from './plan.js';
 import type {SiteSize} from './site.js';
 import {SoakSite} from './site.js';
-import {watchLag} from './watch-lag.js';
+import {monitorTimerLag} from './timer-lag.js';
 
 /** What one run is made from. */
 export interface SoakOptions {
@@ -47,7 +47,7 @@
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const {seed, durationMs, size, folder} = options;
   mkdirSync(folder, {recursive: true});
-  const plan = drawPlan({seed, durationMs});
+  const plan = createPlan({seed, durationMs});
   const history = new History();
   const site = new SoakSite(history, {folder, size});
   try {
@@ -70,16 +70,16 @@
 
 async function play(options: {
   site: SoakSite;
-  plan: readonly Episode[];
+  plan: readonly PlannedFault[];
   durationMs: number;
   seed: number;
 }): Promise<void> {
   const {site, plan, durationMs, seed} = options;
   const {history} = site;
-  const stopWatch = watchLag((lagMs) => {
+  const stopWatch = monitorTimerLag((lagMs) => {
     history.lagMs = Math.max(history.lagMs, lagMs);
   });
-  const balancer = new Balancer(site.entries);
+  const balancer = new LoadBalancer(site.entries);
   const count = site.entries.length * CALLERS_PER_ENTRY;
   const callers = Array.from({length: count}, (_, index) => {
     const callerSeed = seed * SEEDS_PER_RUN + index;
@@ -90,11 +90,14 @@
   const startMs = Date.now();
   const episodes = plan.map(async (episode) => {
     await sleep(episode.atMs);
-    await playEpisode(site, episode);
+    await injectFault(site, episode);
   });
   await Promise.all(episodes);
-  history.calmFromMs = Date.now() + CONTACT_MS;
-  const endMs = Math.max(startMs + durationMs, history.calmFromMs + CONTACT_MS);
+  history.calmFromMs = Date.now() + FAULT_AFTERMATH_MS;
+  const endMs = Math.max(
+    startMs + durationMs,
+    history.calmFromMs + FAULT_AFTERMATH_MS,
+  );
   await sleep(endMs - Date.now());
   for (const caller of callers) caller.stop();
   await Promise.all(calling);
@@ -106,7 +109,7 @@
 /** Leaves what is needed to trace a broken promise. */
 function keep(
   folder: string,
-  evidence: {plan: readonly Episode[]; history: History},
+  evidence: {plan: readonly PlannedFault[]; history: History},
 ): void {
   for (const [name, content] of Object.entries(evidence)) {
     const text = JSON.stringify(content, null, 1);
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -5,12 +5,12 @@
 import type {Direction} from '../../stand-ins/relay/relay.js';
 import {KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
 import {Fault} from '../../stand-ins/site/target-fault.js';
-import {KEY_LIFE_VERSIONS} from './checks/control.js';
+import {KEY_LIFETIME_VERSIONS} from './checks/control.js';
 import {STREAM_DEADLINE_MS, ZONES} from './consts.js';
 import type {History} from './history.js';
 import {SoakEntry} from './soak-entry.js';
 import {SoakTarget} from './soak-target.js';
-import {SteeredStandIn} from './stand-in.js';
+import {StandInProcess} from './stand-in-process.js';
 
 /** Loopback networks, of which each soak process takes one. */
 const FIRST_NETWORK = 20;
@@ -37,7 +37,7 @@
 export class SoakSite {
   readonly entries: SoakEntry[] = [];
   targets: SoakTarget[] = [];
-  store!: SteeredStandIn;
+  store!: StandInProcess;
   private targetNumber = 0;
   private version = 0;
   private isClosed = false;
@@ -50,7 +50,7 @@
   /** Starts everything and waits until all entries are ready. */
   async start(): Promise<void> {
     const {size, folder} = this.options;
-    this.store = await SteeredStandIn.start({script: 'store-main.js'});
+    this.store = await StandInProcess.start({script: 'store-main.js'});
     await this.changeConfig();
     const services = Object.values(SiteService);
     const places = ZONES.flatMap((zone) =>
@@ -105,7 +105,7 @@
     const version = ++this.version;
     const {DESK, SPARE} = SiteService;
     const movingTo = version % 2 === 0 ? SPARE : DESK;
-    const oldest = Math.max(1, version - KEY_LIFE_VERSIONS + 1);
+    const oldest = Math.max(1, version - KEY_LIFETIME_VERSIONS + 1);
     const keys = [0, oldest, version].map(keyOf);
     const spec = siteConfig({
       version,
@@ -116,7 +116,7 @@
     const sentMs = Date.now();
     const change = {version, movingTo, sentMs, ackMs: Infinity};
     this.history.configs.push(change);
-    await this.store.ask('put', {kind: Kind.CONFIG, name: 'main', spec});
+    await this.store.execute('put', {kind: Kind.CONFIG, name: 'main', spec});
     change.ackMs = Date.now();
   }
 
@@ -126,9 +126,9 @@
     fault: Fault,
     durationMs: number,
   ): Promise<void> {
-    await target.standIn.ask('setFault', fault);
+    await target.standIn.execute('setFault', fault);
     await sleep(durationMs);
-    await target.standIn.ask('setFault', Fault.NONE);
+    await target.standIn.execute('setFault', Fault.NONE);
   }
 
   /** Cuts the connections to targets for a time. */
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -14,11 +14,11 @@
 } from '../../stand-ins/site/boot-file.js';
 import {Proc} from '../lab/proc.js';
 import {
-  GRACE_MS,
+  GRACE_PERIOD_MS,
   RETRY_RATIO,
   RETRY_SLACK,
   RETRY_WINDOW_MS,
-  REVOKE_MS,
+  KEY_REVOCATION_MS,
 } from './consts.js';
 import type {History} from './history.js';
 
@@ -72,7 +72,7 @@
     await relay.listen();
     const entry = new SoakEntry(options, relay);
     entry.writeSettings();
-    await entry.run();
+    await entry.startProcess();
     return entry;
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Starts a process and waits until it listens or ends. */
-  async run(): Promise<void> {
+  async startProcess(): Promise<void> {
     this.lifetime++;
     this.stopMs = undefined;
     this.wasKilled = false;
@@ -101,10 +101,10 @@
       preload: ['stand-ins/site/clock-fault.js'],
       env: {[BOOT_VARIABLE]: this.settingsPath},
       onMessage: () => undefined,
-      onLine: (line) => this.noteLine(line),
+      onLine: (line) => this.recordLine(line),
     });
     this.isUp = true;
-    void this.watchEnd(this.proc, this.lifetime);
+    void this.recordExit(this.proc, this.lifetime);
     // A fault may end the process before it listens; its end is noted.
     await this.proc.ready.then(
       () => (this.hasListened = true),
@@ -125,7 +125,10 @@
     this.isUp = false;
     this.stopMs = Date.now();
     this.proc?.terminate();
-    const timer = setTimeout(() => void this.kill(), GRACE_MS + KILL_MARGIN_MS);
+    const timer = setTimeout(
+      () => void this.kill(),
+      GRACE_PERIOD_MS + KILL_MARGIN_MS,
+    );
     await this.proc?.exited;
     clearTimeout(timer);
   }
@@ -165,7 +168,7 @@
     }
   }
 
-  private async watchEnd(proc: Proc, lifetime: number): Promise<void> {
+  private async recordExit(proc: Proc, lifetime: number): Promise<void> {
     const code = await proc.exited;
     const {history} = this.options;
     if (proc.stderr !== '') history.strayLines.push(proc.stderr);
@@ -181,7 +184,7 @@
     this.isUp = false;
   }
 
-  private noteLine(line: string): void {
+  private recordLine(line: string): void {
     this.log.write(`${line}\n`);
     try {
       JSON.parse(line);
@@ -203,9 +206,9 @@
       zone,
       store: `${address}:${this.storeRelay.port}`,
       bounds: {
-        grace_s: GRACE_MS / MS_PER_S,
+        grace_s: GRACE_PERIOD_MS / MS_PER_S,
         strict_revocation: true,
-        revoke_ms: REVOKE_MS,
+        revoke_ms: KEY_REVOCATION_MS,
         retry_budget_ratio: RETRY_RATIO,
         retry_window_s: RETRY_WINDOW_MS / MS_PER_S,
         retry_slack: RETRY_SLACK,
--- a/tools/soak/soak-target.ts
+++ b/tools/soak/soak-target.ts
@@ -7,14 +7,14 @@
 import type {TargetReport} from '../../stand-ins/site/target-main.js';
 import {registrationOf} from '../../stand-ins/site/target.js';
 import {
-  LAPSE_MS,
+  REGISTRATION_EXPIRY_MS,
   STREAM_EVENTS,
   STREAM_FIRST_MS,
   STREAM_GAP_MS,
   WORK_MS,
 } from './consts.js';
 import type {Arrival, History} from './history.js';
-import {SteeredStandIn} from './stand-in.js';
+import {StandInProcess} from './stand-in-process.js';
 
 const HOST = '127.0.0.1';
 
@@ -23,7 +23,7 @@
   readonly id: string;
   readonly service: SiteService;
   readonly zone: string;
-  readonly store: SteeredStandIn;
+  readonly store: StandInProcess;
   readonly history: History;
 }
 
@@ -33,14 +33,14 @@
 
   private constructor(
     private readonly options: SoakTargetOptions,
-    readonly standIn: SteeredStandIn,
+    readonly standIn: StandInProcess,
     readonly relay: Relay,
   ) {}
 
   /** Starts the target and registers it. */
   static async start(options: SoakTargetOptions): Promise<SoakTarget> {
     const isWriter = options.service === SiteService.WRITERS;
-    const standIn = await SteeredStandIn.start({
+    const standIn = await StandInProcess.start({
       script: 'target-main.js',
       args: [
         ['--id', options.id],
@@ -49,7 +49,7 @@
         ['--gap-ms', String(STREAM_GAP_MS)],
         ['--work-ms', String(WORK_MS)],
       ].flat(),
-      onReport: (report) => target.note(report as TargetReport),
+      onReport: (report) => target.recordReport(report as TargetReport),
     });
     const relay = new Relay({
       address: HOST,
@@ -80,13 +80,13 @@
     const {id, service, zone, store} = this.options;
     const address = `${HOST}:${this.relay.port}`;
     const spec = registrationOf({service, zone, address, state});
-    await store.ask('put', {kind: Kind.TARGETS, name: id, spec});
+    await store.execute('put', {kind: Kind.TARGETS, name: id, spec});
   }
 
   /** Takes the target's registration away. */
   async unregister(): Promise<void> {
     const {id, store} = this.options;
-    await store.ask('remove', {kind: Kind.TARGETS, name: id});
+    await store.execute('remove', {kind: Kind.TARGETS, name: id});
   }
 
   /** Kills the process; its registration lapses later. */
@@ -95,12 +95,12 @@
     const endedMs = Date.now();
     for (const arrival of this.running.values()) arrival.endedMs = endedMs;
     this.running.clear();
-    await sleep(LAPSE_MS);
+    await sleep(REGISTRATION_EXPIRY_MS);
     await this.unregister();
     await this.relay.close();
   }
 
-  private note(report: TargetReport): void {
+  private recordReport(report: TargetReport): void {
     const {attemptId, atMs} = report;
     if (report.type === 'ended') {
       const arrival = this.running.get(attemptId);
--- a/tools/soak/stand-in.ts
+++ b/tools/soak/stand-in-process.ts
@@ -6,9 +6,9 @@
 import {Proc} from '../lab/proc.js';
 
 /** A stand-in process that carries out steps. */
-export class SteeredStandIn {
+export class StandInProcess {
   private number = 0;
-  private readonly waiting = new Map<number, () => void>();
+  private readonly pending = new Map<number, () => void>();
 
   private constructor(
     readonly proc: Proc,
@@ -26,12 +26,12 @@
     args?: readonly string[];
     /** Takes messages that answer no step. */
     onReport?: (report: unknown) => void;
-  }): Promise<SteeredStandIn> {
+  }): Promise<StandInProcess> {
     const {script, args = [], onReport} = options;
     const onMessage = (message: unknown) => {
       const {number} = message as Partial<SteeringReply>;
       if (number === undefined) onReport?.(message);
-      else standIn?.settle(number);
+      else standIn?.complete(number);
     };
     const proc = Proc.start({
       script: `stand-ins/site/${script}`,
@@ -39,22 +39,22 @@
       onMessage,
     });
     const {port = 0} = await proc.ready;
-    const standIn = new SteeredStandIn(proc, port);
+    const standIn = new StandInProcess(proc, port);
     return standIn;
   }
 
   /** Has a step carried out; resolves once it is done, or the process ends. */
-  async ask(step: string, args: unknown): Promise<void> {
+  async execute(step: string, args: unknown): Promise<void> {
     const number = ++this.number;
     const done = new Promise<void>((resolve) => {
-      this.waiting.set(number, resolve);
+      this.pending.set(number, resolve);
     });
     this.proc.send({number, step, args} satisfies SteeringRequest);
     await Promise.race([done, this.proc.exited]);
   }
 
-  private settle(number: number): void {
-    this.waiting.get(number)?.();
-    this.waiting.delete(number);
+  private complete(number: number): void {
+    this.pending.get(number)?.();
+    this.pending.delete(number);
   }
 }
--- a/tools/soak/watch-lag.ts
+++ b/tools/soak/timer-lag.ts
@@ -8,7 +8,7 @@
  * @example
  * const stop = watchLag((lagMs) => console.log(lagMs));
  */
-export function watchLag(onLag: (lagMs: number) => void): () => void {
+export function monitorTimerLag(onLag: (lagMs: number) => void): () => void {
   let lastMs = performance.now();
   const timer = setInterval(() => {
     const nowMs = performance.now();
