--- a/test/tools/known-red.test.ts
+++ b/test/tools/known-red.test.ts
@@ -1,9 +1,9 @@
 import {describe, expect, it} from 'vitest';
 
 import type {KnownRed} from '../../tools/ci/known-red.js';
-import {namesTest, parseKnownRed} from '../../tools/ci/known-red.js';
+import {matchesTest, parseKnownRed} from '../../tools/ci/known-red.js';
 import type {RunResult} from '../../tools/ci/verdict.js';
-import {formatVerdict, judge, TestState} from '../../tools/ci/verdict.js';
+import {formatVerdict, evaluateRun, TestState} from '../../tools/ci/verdict.js';
 import {parseReport} from '../../tools/ci/vitest-report.js';
 
 function entryOf(test: string): KnownRed {
@@ -16,7 +16,12 @@
     {test: 'a > passes', state: TestState.PASSED},
     ...failed.map((test) => ({test, state: TestState.FAILED})),
   ];
-  return {tests, failedFiles: [], isClean: failed.length === 0, ...rest};
+  return {
+    tests,
+    failedFiles: [],
+    runnerSucceeded: failed.length === 0,
+    ...rest,
+  };
 }
 
 const LISTS = [
@@ -50,7 +55,7 @@
 
 describe('namesTest', () => {
   it.each(NAMES)('$pattern, $test: $named', ({pattern, test, named}) => {
-    expect(namesTest({entry: entryOf(pattern), test})).toBe(named);
+    expect(matchesTest({entry: entryOf(pattern), test})).toBe(named);
   });
 });
 
@@ -93,7 +98,7 @@
   },
   {
     name: 'a file fails outside of its tests',
-    run: runOf({failedFiles: ['x.test.ts'], isClean: false}),
+    run: runOf({failedFiles: ['x.test.ts'], runnerSucceeded: false}),
     known: ['a > *'],
     faults: 1,
     failed: 1,
@@ -112,7 +117,7 @@
   },
   {
     name: 'the runner complains of something else',
-    run: runOf({isClean: false}),
+    run: runOf({runnerSucceeded: false}),
     known: [],
     faults: 1,
     failed: 0,
@@ -128,14 +133,14 @@
 
 describe('judge', () => {
   it.each(RUNS)('when $name', ({run, known, faults, failed}) => {
-    const verdict = judge({run, known: known.map(entryOf)});
-    expect(verdict.faults).toHaveLength(faults);
+    const verdict = evaluateRun({run, known: known.map(entryOf)});
+    expect(verdict.problems).toHaveLength(faults);
     expect(verdict.failed).toBe(failed);
   });
 
   it('prints what it passes over, and the counts alone on the last line', () => {
     const run = runOf({failed: ['b']});
-    const text = formatVerdict(judge({run, known: [entryOf('b')]}));
+    const text = formatVerdict(evaluateRun({run, known: [entryOf('b')]}));
     const lines = text.trimEnd().split('\n');
     expect(lines[0]).toBe('known red: b (npm test; seen: 503; issue 4)');
     expect(lines.at(-1)).toBe('Tests: 1 passed, 1 failed');
@@ -152,7 +157,7 @@
         {name: 'y', status: 'failed', assertionResults: [skipped]},
       ],
     };
-    const run = parseReport({report, isClean: false})._unsafeUnwrap();
+    const run = parseReport({report, runnerSucceeded: false})._unsafeUnwrap();
     expect(run.tests).toEqual([
       {test: 'a > b', state: TestState.PASSED},
       {test: 'c', state: TestState.NOT_RUN},
@@ -161,6 +166,6 @@
   });
 
   it('refuses another shape', () => {
-    expect(parseReport({report: {}, isClean: true}).isErr()).toBe(true);
+    expect(parseReport({report: {}, runnerSucceeded: true}).isErr()).toBe(true);
   });
 });
--- a/tools/capacity/slopes.ts
+++ b/tools/capacity/slopes.ts
@@ -15,11 +15,11 @@
   readonly bookingUs: number;
   readonly bookingCalls: number;
   readonly configUs: number;
-  readonly watchedBytes: number;
-  readonly watchedUs: number;
+  readonly watchedTargetBytes: number;
+  readonly watchedTargetUs: number;
   readonly heartbeatUs: number;
   readonly heartbeatBytes: number;
-  readonly bareHeartbeatBytes: number;
+  readonly heartbeatBytesWithoutPrefixes: number;
   readonly entryStreamBytes: number;
   readonly agentStreamBytes: number;
 }
@@ -36,30 +36,35 @@
 
 /** Picks the slopes out of a report. */
 export function resolveSlopes(report: Report): Slopes {
-  const of = (name: string): number => {
+  const medianOf = (name: string): number => {
     const found = report.cases.find((row) => row.name === name);
     if (found === undefined) throw new Error(`no case "${name}"`);
     return found.p50;
   };
   const bytesPerKb = 1_024;
   return {
-    entryIdleUs: of('entry: idle'),
-    agentIdleUs: of('agent: idle'),
-    entryBytes: of('entry: resident memory, idle') * bytesPerKb,
-    agentBytes: of('agent: resident memory, idle') * bytesPerKb,
-    entryTokenUs: of('entry: per token relayed'),
-    agentTokenUs: of('agent: per token relayed'),
-    requestUs: of('entry: per generation of one token'),
-    bookingUs: of('entry: per booking'),
-    bookingCalls: of('platform: object calls per booking'),
-    configUs: of('entry: per configuration change'),
-    watchedBytes: of('entry: memory per watched target'),
+    entryIdleUs: medianOf('entry: idle'),
+    agentIdleUs: medianOf('agent: idle'),
+    entryBytes: medianOf('entry: resident memory, idle') * bytesPerKb,
+    agentBytes: medianOf('agent: resident memory, idle') * bytesPerKb,
+    entryTokenUs: medianOf('entry: per token relayed'),
+    agentTokenUs: medianOf('agent: per token relayed'),
+    requestUs: medianOf('entry: per generation of one token'),
+    bookingUs: medianOf('entry: per booking'),
+    bookingCalls: medianOf('platform: object calls per booking'),
+    configUs: medianOf('entry: per configuration change'),
+    watchedTargetBytes: medianOf('entry: memory per watched target'),
     // Too small to be told from noise; below 0 it counts as nothing.
-    watchedUs: Math.max(0, of('entry: per watched target beside heartbeats')),
-    heartbeatUs: of('entry: per heartbeat'),
-    heartbeatBytes: of('peer: bytes of a heartbeat'),
-    bareHeartbeatBytes: of('peer: bytes of a heartbeat without prefixes'),
-    entryStreamBytes: of('entry: memory per stream'),
-    agentStreamBytes: of('agent: memory per stream'),
+    watchedTargetUs: Math.max(
+      0,
+      medianOf('entry: per watched target beside heartbeats'),
+    ),
+    heartbeatUs: medianOf('entry: per heartbeat'),
+    heartbeatBytes: medianOf('peer: bytes of a heartbeat'),
+    heartbeatBytesWithoutPrefixes: medianOf(
+      'peer: bytes of a heartbeat without prefixes',
+    ),
+    entryStreamBytes: medianOf('entry: memory per stream'),
+    agentStreamBytes: medianOf('agent: memory per stream'),
   };
 }
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -25,7 +25,7 @@
 /** A quantity at the letter's size. */
 interface Row {
   readonly quantity: string;
-  readonly working: string;
+  readonly formula: string;
   readonly value: number;
   readonly unit: string;
   /** Undefined where no limit is stated. */
@@ -42,100 +42,104 @@
 export function renderEntry(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / NODES;
   const streams = tokens * TOKEN_GAP_S;
-  const subset = Math.floor(CONTROL_BYTES_PER_SECOND / slopes.heartbeatBytes);
-  const bare = Math.floor(CONTROL_BYTES_PER_SECOND / slopes.bareHeartbeatBytes);
+  const maxTargets = Math.floor(
+    CONTROL_BYTES_PER_SECOND / slopes.heartbeatBytes,
+  );
+  const maxTargetsWithoutPrefixes = Math.floor(
+    CONTROL_BYTES_PER_SECOND / slopes.heartbeatBytesWithoutPrefixes,
+  );
   const changes = CONFIG_CHANGES_PER_DAY / SECONDS_PER_DAY;
-  const perWatchedUs =
-    slopes.watchedUs + HEARTBEATS_PER_SECOND * slopes.heartbeatUs;
+  const watchedTargetTotalUs =
+    slopes.watchedTargetUs + HEARTBEATS_PER_SECOND * slopes.heartbeatUs;
   return renderRows([
     {
       quantity: 'requests',
-      working: `${REQUESTS_PER_SECOND} / ${NODES} entries`,
+      formula: `${REQUESTS_PER_SECOND} / ${NODES} entries`,
       value: REQUESTS_PER_SECOND / NODES,
       unit: '/s',
     },
     {
       quantity: 'cores for requests, beside their tokens',
-      working: 'requests x entry: per generation of one token',
+      formula: 'requests x entry: per generation of one token',
       value: ((REQUESTS_PER_SECOND / NODES) * slopes.requestUs) / US_PER_SECOND,
       unit: 'cores',
       limit: 1,
     },
     {
       quantity: 'tokens relayed',
-      working: `${TOKENS_PER_SECOND} / ${NODES}`,
+      formula: `${TOKENS_PER_SECOND} / ${NODES}`,
       value: tokens,
       unit: '/s',
     },
     {
       quantity: 'cores for relaying; one process has one',
-      working: 'tokens x entry: per token relayed',
+      formula: 'tokens x entry: per token relayed',
       value: (tokens * slopes.entryTokenUs) / US_PER_SECOND,
       unit: 'cores',
       limit: 1,
     },
     {
       quantity: 'open streams',
-      working: `tokens x ${TOKEN_GAP_S} s between tokens`,
+      formula: `tokens x ${TOKEN_GAP_S} s between tokens`,
       value: streams,
       unit: '',
     },
     {
       quantity: 'memory of streams',
-      working: 'streams x entry: memory per stream',
+      formula: 'streams x entry: memory per stream',
       value: streams * slopes.entryStreamBytes,
       unit: 'bytes',
     },
     {
       quantity: 'heartbeats, if every target is watched',
-      working: `${TARGETS} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
+      formula: `${TARGETS} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
       value: TARGETS * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
       unit: 'bytes/s',
       limit: CONTROL_BYTES_PER_SECOND,
     },
     {
       quantity: 'control time, if every target is watched',
-      working: `${TARGETS} x (per target + per heartbeat)`,
-      value: (TARGETS * perWatchedUs) / US_PER_SECOND,
+      formula: `${TARGETS} x (per target + per heartbeat)`,
+      value: (TARGETS * watchedTargetTotalUs) / US_PER_SECOND,
       unit: 'of a core',
       limit: CONTROL_CORE_SHARE,
     },
     {
       quantity: 'targets that may be watched within the limit of bytes',
-      working: `${CONTROL_BYTES_PER_SECOND} / bytes of a heartbeat`,
-      value: subset,
+      formula: `${CONTROL_BYTES_PER_SECOND} / bytes of a heartbeat`,
+      value: maxTargets,
       unit: 'targets',
     },
     {
       quantity: 'the same, for heartbeats without prefixes',
-      working: `${CONTROL_BYTES_PER_SECOND} / bytes without prefixes`,
-      value: bare,
+      formula: `${CONTROL_BYTES_PER_SECOND} / bytes without prefixes`,
+      value: maxTargetsWithoutPrefixes,
       unit: 'targets',
     },
     {
       quantity: 'control time at rest',
-      working: 'entry: idle',
+      formula: 'entry: idle',
       value: slopes.entryIdleUs / US_PER_SECOND,
       unit: 'of a core',
       limit: CONTROL_CORE_SHARE,
     },
     {
       quantity: 'memory of watched targets, that many',
-      working: 'entry: memory per watched target',
-      value: subset * slopes.watchedBytes,
+      formula: 'entry: memory per watched target',
+      value: maxTargets * slopes.watchedTargetBytes,
       unit: 'bytes',
       limit: CONTROL_MEMORY_BYTES,
     },
     {
       quantity: 'the whole process at rest',
-      working: 'entry: resident memory, idle',
+      formula: 'entry: resident memory, idle',
       value: slopes.entryBytes,
       unit: 'bytes',
       limit: CONTROL_MEMORY_BYTES,
     },
     {
       quantity: 'configuration changes',
-      working: `${CONFIG_CHANGES_PER_DAY} a day x per configuration change`,
+      formula: `${CONFIG_CHANGES_PER_DAY} a day x per configuration change`,
       value: (changes * slopes.configUs) / US_PER_SECOND,
       unit: 'of a core',
       limit: CONTROL_CORE_SHARE,
@@ -150,46 +154,46 @@
   return renderRows([
     {
       quantity: 'tokens passed on',
-      working: `${TOKENS_PER_SECOND} / ${TARGETS} targets`,
+      formula: `${TOKENS_PER_SECOND} / ${TARGETS} targets`,
       value: tokens,
       unit: '/s',
     },
     {
       quantity: 'cores for passing them on; one process has one',
-      working: 'tokens x agent: per token relayed',
+      formula: 'tokens x agent: per token relayed',
       value: (tokens * slopes.agentTokenUs) / US_PER_SECOND,
       unit: 'cores',
       limit: 1,
     },
     {
       quantity: 'running journals',
-      working: `tokens x ${TOKEN_GAP_S} s between tokens`,
+      formula: `tokens x ${TOKEN_GAP_S} s between tokens`,
       value: streams,
       unit: '',
     },
     {
       quantity: 'memory of running journals',
-      working: 'journals x agent: memory per stream',
+      formula: 'journals x agent: memory per stream',
       value: streams * slopes.agentStreamBytes,
       unit: 'bytes',
     },
     {
       quantity: 'heartbeats sent, if every entry watches it',
-      working: `${NODES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
+      formula: `${NODES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
       value: NODES * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
       unit: 'bytes/s',
       limit: CONTROL_BYTES_PER_SECOND,
     },
     {
       quantity: 'control time at rest',
-      working: 'agent: idle',
+      formula: 'agent: idle',
       value: slopes.agentIdleUs / US_PER_SECOND,
       unit: 'of a core',
       limit: CONTROL_CORE_SHARE,
     },
     {
       quantity: 'the whole process at rest',
-      working: 'agent: resident memory, idle',
+      formula: 'agent: resident memory, idle',
       value: slopes.agentBytes,
       unit: 'bytes',
       limit: CONTROL_MEMORY_BYTES,
@@ -202,26 +206,26 @@
   return renderRows([
     {
       quantity: 'reads of the VM list',
-      working: `${NODES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
+      formula: `${NODES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
       value: NODES * VM_LIST_READS_PER_SECOND,
       unit: '/s',
       limit: PLATFORM_READS_PER_SECOND,
     },
     {
       quantity: 'bookings that the writes allow',
-      working: `${PLATFORM_WRITES_PER_SECOND} writes/s / calls per booking`,
+      formula: `${PLATFORM_WRITES_PER_SECOND} writes/s / calls per booking`,
       value: PLATFORM_WRITES_PER_SECOND / slopes.bookingCalls,
       unit: '/s',
     },
     {
       quantity: 'bookings that one entry has time for',
-      working: '1 core / entry: per booking',
+      formula: '1 core / entry: per booking',
       value: US_PER_SECOND / slopes.bookingUs,
       unit: '/s',
     },
     {
       quantity: 'writes of configuration changes',
-      working: `${CONFIG_CHANGES_PER_DAY} a day`,
+      formula: `${CONFIG_CHANGES_PER_DAY} a day`,
       value: CONFIG_CHANGES_PER_DAY / SECONDS_PER_DAY,
       unit: '/s',
       limit: PLATFORM_WRITES_PER_SECOND,
@@ -233,7 +237,7 @@
   const head = ['quantity', 'worked out from', 'value', 'limit', 'within'];
   const cells = rows.map((row) => [
     row.quantity,
-    row.working,
+    row.formula,
     `${format(row.value)} ${row.unit}`.trim(),
     row.limit === undefined ? '' : format(row.limit),
     row.limit === undefined ? '' : row.value <= row.limit ? 'yes' : 'NO',
--- a/tools/ci/known-red.ts
+++ b/tools/ci/known-red.ts
@@ -43,7 +43,7 @@
  * @example
  * namesTest({entry, test: 'gate > sheds'});
  */
-export function namesTest(options: {entry: KnownRed; test: string}): boolean {
+export function matchesTest(options: {entry: KnownRed; test: string}): boolean {
   const {entry, test} = options;
   const parts = entry.test.split('*').map(escapeRegExp);
   return new RegExp(`^${parts.join('.*')}$`, 's').test(test);
--- a/tools/ci/main.ts
+++ b/tools/ci/main.ts
@@ -7,7 +7,7 @@
 
 import {ROOT} from '../lab/paths.js';
 import {parseKnownRed} from './known-red.js';
-import {formatVerdict, judge} from './verdict.js';
+import {formatVerdict, evaluateRun} from './verdict.js';
 import {parseReport} from './vitest-report.js';
 
 const KNOWN_RED = new URL('KNOWN-RED.txt', ROOT);
@@ -19,19 +19,19 @@
   const text = existsSync(KNOWN_RED) ? readFileSync(KNOWN_RED, 'utf8') : '';
   const known = parseKnownRed(text);
   if (known.isErr()) {
-    return refuse(`KNOWN-RED.txt: malformed: ${known.error.join('; ')}`);
+    return failRun(`KNOWN-RED.txt: malformed: ${known.error.join('; ')}`);
   }
   const folder = mkdtempSync(join(tmpdir(), 'plantainrill-ci-'));
   try {
     const file = join(folder, 'report.json');
     const status = await runTests(file);
-    if (!existsSync(file)) return refuse('the runner left no report');
+    if (!existsSync(file)) return failRun('the runner left no report');
     const report = JSON.parse(readFileSync(file, 'utf8')) as unknown;
-    const run = parseReport({report, isClean: status === 0});
-    if (run.isErr()) return refuse(`the report is malformed: ${run.error}`);
-    const verdict = judge({run: run.value, known: known.value});
+    const run = parseReport({report, runnerSucceeded: status === 0});
+    if (run.isErr()) return failRun(`the report is malformed: ${run.error}`);
+    const verdict = evaluateRun({run: run.value, known: known.value});
     process.stdout.write(formatVerdict(verdict));
-    return verdict.faults.length === 0;
+    return verdict.problems.length === 0;
   } finally {
     rmSync(folder, {recursive: true});
   }
@@ -50,7 +50,7 @@
   });
 }
 
-function refuse(reason: string): false {
+function failRun(reason: string): false {
   process.stdout.write(`${reason}\nTests: 0 passed, 1 failed\n`);
   return false;
 }
--- a/tools/ci/verdict.ts
+++ b/tools/ci/verdict.ts
@@ -1,6 +1,6 @@
 /** Judges a run of all tests against the list of known failures. */
 import type {KnownRed} from './known-red.js';
-import {namesTest} from './known-red.js';
+import {matchesTest} from './known-red.js';
 
 /** How one test ended. */
 export enum TestState {
@@ -23,7 +23,7 @@
   /** Files that failed outside of their tests. */
   readonly failedFiles: readonly string[];
   /** Whether the runner itself ended without complaint. */
-  readonly isClean: boolean;
+  readonly runnerSucceeded: boolean;
 }
 
 /** What CI says of a run. */
@@ -31,11 +31,11 @@
   readonly passed: number;
   readonly failed: number;
   /** Listed failures that CI passes over. */
-  readonly passedOver: readonly KnownRed[];
+  readonly tolerated: readonly KnownRed[];
   /** Listed tests that all pass now. */
-  readonly mended: readonly KnownRed[];
+  readonly nowPassing: readonly KnownRed[];
   /** Why the run is refused; empty for a green run. */
-  readonly faults: readonly string[];
+  readonly problems: readonly string[];
 }
 
 /**
@@ -45,7 +45,7 @@
  * @example
  * judge({run, known}).faults.length === 0;
  */
-export function judge(options: {
+export function evaluateRun(options: {
   run: RunResult;
   known: readonly KnownRed[];
 }): Verdict {
@@ -54,39 +54,42 @@
     run.tests.filter((t) => t.state === state).map((t) => t.test);
   const failed = byState(TestState.FAILED);
   const isListed = (test: string): boolean =>
-    known.some((entry) => namesTest({entry, test}));
+    known.some((entry) => matchesTest({entry, test}));
   const names = (entry: KnownRed, tests: readonly string[]): boolean =>
-    tests.some((test) => namesTest({entry, test}));
+    tests.some((test) => matchesTest({entry, test}));
   const all = run.tests.map(({test}) => test);
   const unknown = known.filter((entry) => !names(entry, all));
-  const faults = [
+  const problems = [
     ...failed.filter((test) => !isListed(test)).map((t) => `failed: ${t}`),
     ...run.failedFiles.map((file) => `failed outside of its tests: ${file}`),
     ...byState(TestState.NOT_RUN).map((test) => `not run: ${test}`),
     ...unknown.map(({test}) => `listed, but no such test: ${test}`),
   ];
-  const isExplained = failed.length > 0 || faults.length > 0;
-  if (!run.isClean && !isExplained) faults.push('the runner reports an error');
-  if (all.length === 0) faults.push('no test ran');
+  const isExplained = failed.length > 0 || problems.length > 0;
+  if (!run.runnerSucceeded && !isExplained)
+    problems.push('the runner reports an error');
+  if (all.length === 0) problems.push('no test ran');
   return {
     passed: byState(TestState.PASSED).length,
     failed: failed.length + run.failedFiles.length,
-    passedOver: known.filter((entry) => names(entry, failed)),
-    mended: known.filter((entry) => names(entry, all) && !names(entry, failed)),
-    faults,
+    tolerated: known.filter((entry) => names(entry, failed)),
+    nowPassing: known.filter(
+      (entry) => names(entry, all) && !names(entry, failed),
+    ),
+    problems,
   };
 }
 
 /** Writes a verdict; its last line counts the tests. */
 export function formatVerdict(verdict: Verdict): string {
-  const {passed, failed, passedOver, mended, faults} = verdict;
+  const {passed, failed, tolerated, nowPassing, problems} = verdict;
   const lines = [
-    ...passedOver.map(
+    ...tolerated.map(
       ({test, command, seen, issue}) =>
         `known red: ${test} (${command}; seen: ${seen}; ${issue})`,
     ),
-    ...mended.map(({test}) => `known red, but passed: ${test}`),
-    ...faults,
+    ...nowPassing.map(({test}) => `known red, but passed: ${test}`),
+    ...problems,
     `Tests: ${passed} passed, ${failed} failed`,
   ];
   return `${lines.join('\n')}\n`;
--- a/tools/ci/vitest-report.ts
+++ b/tools/ci/vitest-report.ts
@@ -33,9 +33,9 @@
  */
 export function parseReport(options: {
   report: unknown;
-  isClean: boolean;
+  runnerSucceeded: boolean;
 }): Result<RunResult, string> {
-  const {report, isClean} = options;
+  const {report, runnerSucceeded} = options;
   return REPORT.decode(report).caseOf<Result<RunResult, string>>({
     Left: (detail) => err(detail),
     Right: ({testResults}) => {
@@ -48,7 +48,7 @@
         .filter(({hasFailed, tests}) => hasFailed && !tests.some(isFailed))
         .map(({name}) => name);
       const tests = files.flatMap((file) => file.tests);
-      return ok({tests, failedFiles, isClean});
+      return ok({tests, failedFiles, runnerSucceeded});
     },
   });
 }
--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -67,10 +67,10 @@
   signal?: AbortSignal;
   onChunk?: (transcript: Transcript) => void;
 }): Promise<void> {
-  const {url, req: ask, transcript, signal, onChunk: onPiece} = options;
+  const {url, req, transcript, signal, onChunk} = options;
   const {lastEventId} = transcript;
   const resume = lastEventId === '' ? {} : {'last-event-id': lastEventId};
-  const {deadlineMs} = ask;
+  const {deadlineMs} = req;
   const deadline =
     deadlineMs === undefined ? {} : {'x-deadline-ms': String(deadlineMs)};
   const res = await request(`${url}/v1/completions`, {
@@ -80,11 +80,11 @@
     bodyTimeout: 0,
     headers: {
       'content-type': 'application/json',
-      authorization: `Bearer ${ask.key ?? DEMO_KEY}`,
+      authorization: `Bearer ${req.key ?? DEMO_KEY}`,
       ...resume,
       ...deadline,
     },
-    body: JSON.stringify(createBody(ask)),
+    body: JSON.stringify(createBody(req)),
   });
   transcript.status = res.statusCode;
   if (res.statusCode !== 200) {
@@ -93,8 +93,8 @@
   }
   const parser = createParser({
     onEvent: (event) => {
-      takeEvent(transcript, event);
-      onPiece?.(transcript);
+      handleEvent(transcript, event);
+      onChunk?.(transcript);
     },
   });
   const decoder = new TextDecoder();
@@ -112,18 +112,11 @@
   transcript?: Transcript;
   onChunk?: (transcript: Transcript) => void;
 }): Promise<Transcript> {
-  const {
-    urls,
-    req: ask,
-    transcript = createTranscript(),
-    onChunk: onPiece,
-  } = options;
-  const maxTries = 40;
-  for (let i = 0; i < maxTries; i++) {
+  const {urls, req, transcript = createTranscript(), onChunk} = options;
+  const maxAttempts = 40;
+  for (let i = 0; i < maxAttempts; i++) {
     const url = urls[i % urls.length]!;
-    await readStream({url, req: ask, transcript, onChunk: onPiece}).catch(
-      () => undefined,
-    );
+    await readStream({url, req, transcript, onChunk}).catch(() => undefined);
     if (transcript.doneEvents > 0 || transcript.errors.length > 0)
       return transcript;
     await new Promise((resolve) => setTimeout(resolve, 50));
@@ -131,17 +124,17 @@
   return transcript;
 }
 
-function createBody(ask: CompletionRequest): unknown {
+function createBody(req: CompletionRequest): unknown {
   return {
-    model: ask.model ?? 'quote-writer',
-    prompt: ask.prompt,
-    max_tokens: ask.maxTokens,
-    stop: ask.stop,
+    model: req.model ?? 'quote-writer',
+    prompt: req.prompt,
+    max_tokens: req.maxTokens,
+    stop: req.stop,
     stream: true,
   };
 }
 
-function takeEvent(
+function handleEvent(
   transcript: Transcript,
   event: {event?: string; id?: string; data: string},
 ): void {
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -7,7 +7,7 @@
 import type {Site} from './site.js';
 
 const PAUSE_MS = 20;
-const MAX_TRIES = 1_500;
+const MAX_ATTEMPTS = 1_500;
 
 /** What became of the requests of one kind. */
 export interface KindTally {
@@ -36,7 +36,7 @@
 }
 
 /** One answer to a plain call; undefined where no connection was made. */
-type PlainAnswer = {status: number; body: unknown} | undefined;
+type PlainResponse = {status: number; body: unknown} | undefined;
 
 /** Sends to ready entries in turn and goes elsewhere when refused. */
 export class MixedLoad {
@@ -54,8 +54,8 @@
     bodyTimeout: 0,
   });
   private readonly loops: Array<Promise<void>> = [];
-  private ready: string[] = [];
-  private turn = 0;
+  private readyUrls: string[] = [];
+  private nextIndex = 0;
   private sequence = 0;
   private stopping = false;
 
@@ -73,12 +73,12 @@
 
   /** Begins; resolves once a ready entry is known. */
   async start(): Promise<void> {
-    await this.findReady();
-    this.loops.push(this.followReadiness());
+    await this.updateReadyUrls();
+    this.loops.push(this.pollReadiness());
     const {generations, bookings, lookups} = this.options;
-    for (let i = 0; i < generations; i++) this.loop(() => this.generate());
-    for (let i = 0; i < bookings; i++) this.loop(() => this.book());
-    for (let i = 0; i < lookups; i++) this.loop(() => this.lookUp());
+    for (let i = 0; i < generations; i++) this.startLoop(() => this.generate());
+    for (let i = 0; i < bookings; i++) this.startLoop(() => this.book());
+    for (let i = 0; i < lookups; i++) this.startLoop(() => this.lookUp());
   }
 
   /** Sends no more, waits for what is in flight and tells what became. */
@@ -89,7 +89,7 @@
     return this.tally;
   }
 
-  private loop(step: () => Promise<void>): void {
+  private startLoop(step: () => Promise<void>): void {
     const run = async (): Promise<void> => {
       while (!this.stopping) {
         await step();
@@ -99,14 +99,14 @@
     this.loops.push(run());
   }
 
-  private async followReadiness(): Promise<void> {
+  private async pollReadiness(): Promise<void> {
     while (!this.stopping) {
-      await this.findReady();
+      await this.updateReadyUrls();
       await pause();
     }
   }
 
-  private async findReady(): Promise<void> {
+  private async updateReadyUrls(): Promise<void> {
     const running = this.options.site.entries.filter((e) => e.proc.isRunning);
     const checks = running.map(async (entry) => {
       const res = await request(`${entry.operatorsUrl}/readyz`);
@@ -116,22 +116,22 @@
     const results = await Promise.allSettled(checks);
     const urls = results.map((r) => (r.status === 'fulfilled' ? r.value : ''));
     const ready = urls.filter((url) => url !== '');
-    if (ready.length > 0) this.ready = ready;
+    if (ready.length > 0) this.readyUrls = ready;
   }
 
-  private next(): string {
-    return this.ready[this.turn++ % this.ready.length]!;
+  private nextUrl(): string {
+    return this.readyUrls[this.nextIndex++ % this.readyUrls.length]!;
   }
 
   private async generate(): Promise<void> {
     const {tokens} = this.options;
     const prompt = `load ${this.sequence++} [length=${tokens}]`;
-    const ask = {prompt, maxTokens: tokens};
+    const req = {prompt, maxTokens: tokens};
     const transcript = createTranscript();
-    for (let i = 0; i < MAX_TRIES && transcript.doneEvents === 0; i++) {
-      const url = this.next();
+    for (let i = 0; i < MAX_ATTEMPTS && transcript.doneEvents === 0; i++) {
+      const url = this.nextUrl();
       try {
-        await readStream({url, req: ask, transcript});
+        await readStream({url, req, transcript});
         if (transcript.errors.length > 0) {
           const problem = transcript.errors.pop() as Problem;
           if (problem.ran !== 'no') {
@@ -143,59 +143,59 @@
           this.tally.cutOff.push(`stream at ${transcript.chunks} tokens`);
         }
       } catch (cause) {
-        this.noteBroken('generation', cause);
+        this.recordFailure('generation', cause);
       }
       if (transcript.doneEvents === 0) await pause();
     }
-    const answer = expectedAnswer({prompt, maxTokens: tokens, stop: []});
-    const text = answer.tokens.map((token) => token.text).join('');
-    const whole = transcript.text === text && transcript.doneEvents === 1;
-    if (whole && transcript.restarts === 0) this.tally.generations.done++;
+    const expected = expectedAnswer({prompt, maxTokens: tokens, stop: []});
+    const text = expected.tokens.map((token) => token.text).join('');
+    const isComplete = transcript.text === text && transcript.doneEvents === 1;
+    if (isComplete && transcript.restarts === 0) this.tally.generations.done++;
     else this.tally.generations.wrong.push(`${prompt}: ${transcript.text}`);
   }
 
   private async book(): Promise<void> {
     const key = `load-${this.sequence++}`;
     this.bookedKeys.push(key);
-    const answer = await this.askUntilRun({
+    const res = await this.sendUntilAccepted({
       path: '/services/orders/bookings',
       method: 'POST',
       key,
     });
-    if (answer?.status === 201) this.tally.bookings.done++;
-    else this.tally.bookings.wrong.push(`${key}: ${JSON.stringify(answer)}`);
+    if (res?.status === 201) this.tally.bookings.done++;
+    else this.tally.bookings.wrong.push(`${key}: ${JSON.stringify(res)}`);
   }
 
   private async lookUp(): Promise<void> {
     const item = `item-${this.sequence++}`;
     const path = `/services/stock/stock/${item}`;
-    const answer = await this.askUntilRun({path, method: 'GET'});
-    const found = (answer?.body as {item?: string} | undefined)?.item;
+    const res = await this.sendUntilAccepted({path, method: 'GET'});
+    const found = (res?.body as {item?: string} | undefined)?.item;
     if (found === item) this.tally.stock.done++;
-    else this.tally.stock.wrong.push(JSON.stringify(answer));
+    else this.tally.stock.wrong.push(JSON.stringify(res));
   }
 
   /** Asks entry after entry until one does not refuse as not run. */
-  private async askUntilRun(call: {
+  private async sendUntilAccepted(call: {
     path: string;
     method: 'GET' | 'POST';
     key?: string;
-  }): Promise<PlainAnswer> {
-    for (let i = 0; i < MAX_TRIES; i++) {
-      const answer = await this.askOnce(this.next(), call);
-      const problem = answer?.body as Problem | undefined;
-      const isOver = answer !== undefined && problem?.ran !== 'no';
-      if (isOver) return answer;
-      if (answer !== undefined) this.tally.refusedNotRun++;
+  }): Promise<PlainResponse> {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      const res = await this.sendOnce(this.nextUrl(), call);
+      const problem = res?.body as Problem | undefined;
+      const isFinal = res !== undefined && problem?.ran !== 'no';
+      if (isFinal) return res;
+      if (res !== undefined) this.tally.refusedNotRun++;
       await pause();
     }
     return undefined;
   }
 
-  private async askOnce(
+  private async sendOnce(
     url: string,
     call: {path: string; method: 'GET' | 'POST'; key?: string},
-  ): Promise<PlainAnswer> {
+  ): Promise<PlainResponse> {
     const {path, method, key} = call;
     try {
       const res = await request(`${url}${path}`, {
@@ -210,12 +210,12 @@
       });
       return {status: res.statusCode, body: await res.body.json()};
     } catch (cause) {
-      this.noteBroken(`${method} ${path}`, cause);
+      this.recordFailure(`${method} ${path}`, cause);
       return undefined;
     }
   }
 
-  private noteBroken(what: string, cause: unknown): void {
+  private recordFailure(what: string, cause: unknown): void {
     const {code, message} = cause as {code?: string; message?: string};
     if (code === 'ECONNREFUSED') this.tally.notConnected++;
     else this.tally.cutOff.push(`${what}: ${code ?? message ?? 'unknown'}`);
--- a/tools/lab/site.ts
+++ b/tools/lab/site.ts
@@ -57,7 +57,7 @@
   static async create(options: SiteOptions = {}): Promise<Site> {
     const site = new Site(options);
     try {
-      await site.open();
+      await site.start();
       return site;
     } catch (cause) {
       await site.close();
@@ -203,7 +203,7 @@
     }
   }
 
-  private async open(): Promise<void> {
+  private async start(): Promise<void> {
     const {entries = 2, engines = 2, orders = 0, stock = 0} = this.options;
     this.platform = await this.harness.startStandIn({
       name: 'platform',
@@ -212,10 +212,10 @@
     this.ledger = await this.harness.startStandIn({name: 'ledger'});
     await this.applyConfig();
     await Promise.all([
-      fill(this.engines, engines, (i) => this.startEngine(i)),
-      fill(this.orders, orders, (i) => this.startService('orders', i)),
-      fill(this.stock, stock, (i) => this.startService('stock', i)),
-      fill(this.entries, entries, (i) => this.startEntry(i)),
+      startMembers(this.engines, engines, (i) => this.startEngine(i)),
+      startMembers(this.orders, orders, (i) => this.startService('orders', i)),
+      startMembers(this.stock, stock, (i) => this.startService('stock', i)),
+      startMembers(this.entries, entries, (i) => this.startEntry(i)),
     ]);
     await this.waitUntilUsable();
   }
@@ -266,7 +266,7 @@
 }
 
 /** Starts `count` members at once and lists them in order. */
-async function fill<T>(
+async function startMembers<T>(
   list: T[],
   count: number,
   start: (index: number) => Promise<T>,
--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -12,14 +12,14 @@
 
 const PACE_MS = 20;
 const MAX_TOKENS = 200;
-const KILL_AFTER_PIECES = 60;
+const KILL_AFTER_CHUNKS = 60;
 const PROMPT = 'Pallet quote: pumice in bags, Poznań to Łódź [length=200]';
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-async function findWorkingEngine(site: Site): Promise<Target> {
+async function findBusyEngine(site: Site): Promise<Target> {
   for (const target of site.engines) {
     const url = `${target.standIn.url}/counts`;
     const counts = (await sendControl({url})) as {
@@ -31,36 +31,36 @@
   throw new Error('no engine works on the generation');
 }
 
-async function showGeneration(site: Site): Promise<boolean> {
-  let killed: Promise<Target> | undefined;
+async function runGeneration(site: Site): Promise<boolean> {
+  let pendingKill: Promise<Target> | undefined;
   const transcript = await readWithResume({
     urls: site.entries.map((entry) => entry.callersUrl),
     req: {prompt: PROMPT, maxTokens: MAX_TOKENS},
-    onChunk: ({chunks: pieces}) => {
-      if (pieces < KILL_AFTER_PIECES || killed !== undefined) return;
-      killed = findWorkingEngine(site);
-      void killed.then((target) => target.standIn.proc.kill());
+    onChunk: ({chunks}) => {
+      if (chunks < KILL_AFTER_CHUNKS || pendingKill !== undefined) return;
+      pendingKill = findBusyEngine(site);
+      void pendingKill.then((target) => target.standIn.proc.kill());
     },
   });
-  const answer = expectedAnswer({
+  const expected = expectedAnswer({
     prompt: PROMPT,
     maxTokens: MAX_TOKENS,
     stop: [],
   });
-  const text = answer.tokens.map((token) => token.text).join('');
-  const whole = transcript.text === text && transcript.doneEvents === 1;
+  const text = expected.tokens.map((token) => token.text).join('');
+  const isComplete = transcript.text === text && transcript.doneEvents === 1;
   const {arrivalsMs} = transcript;
   const gapsMs = arrivalsMs.slice(1).map((ms, i) => ms - arrivalsMs[i]!);
   const longestMs = Math.round(Math.max(...gapsMs));
-  const victim = await killed;
-  print(`generation   ${answer.tokens.length} tokens, ${PACE_MS} ms each`);
-  print(`killed       ${victim?.vm ?? 'none'} in the middle`);
+  const killedEngine = await pendingKill;
+  print(`generation   ${expected.tokens.length} tokens, ${PACE_MS} ms each`);
+  print(`killed       ${killedEngine?.vm ?? 'none'} in the middle`);
   print(`longest gap  ${longestMs} ms at the caller`);
-  print(`answer       ${whole ? 'whole, token by token' : 'NOT WHOLE'}`);
-  return whole && victim !== undefined;
+  print(`answer       ${isComplete ? 'whole, token by token' : 'NOT WHOLE'}`);
+  return isComplete && killedEngine !== undefined;
 }
 
-async function showBooking(site: Site): Promise<boolean> {
+async function runBooking(site: Site): Promise<boolean> {
   const key = 'quickstart-1';
   const statuses: number[] = [];
   for (const entry of site.entries) {
@@ -98,8 +98,8 @@
     engineFlags: {'pace-ms': PACE_MS},
   });
   try {
-    const generated = await showGeneration(site);
-    const booked = await showBooking(site);
+    const generated = await runGeneration(site);
+    const booked = await runBooking(site);
     return generated && booked;
   } finally {
     await site.close();
--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -15,16 +15,16 @@
 import {entryComponent, targetComponent} from './types.js';
 
 /** Statuses by which a configuration is said to allow no such request. */
-const UNKNOWN_STATUSES = [401, 403, 404];
+const DENIED_STATUSES = [401, 403, 404];
 
 /** A version takes away the key that came this many versions before. */
 export const KEY_LIFETIME_VERSIONS = 2;
 
 /** Time in which an answer may cross a newer configuration. */
-const DOWNGRADE_SLACK_MS = 500;
+const CONFIG_CHANGE_TOLERANCE_MS = 500;
 
 /** Share of the cancelled streams whose runs may go on. */
-const LEFT_RUNNING_SHARE = 0.25;
+const MAX_UNCANCELLED_SHARE = 0.25;
 
 /** Fewest cancelled streams by which that share is judged. */
 const MIN_CANCELLED = 4;
@@ -38,10 +38,10 @@
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, keyVersion, hasRun}) => {
-      const taken = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+      const revocation = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
       const sentMs = attempts.get(attemptId)?.sentMs ?? 0;
-      if (!hasRun || keyVersion === 0 || taken === undefined) return [];
-      const lateMs = sentMs - taken.ackMs - KEY_REVOCATION_MS;
+      if (!hasRun || keyVersion === 0 || revocation === undefined) return [];
+      const lateMs = sentMs - revocation.ackMs - KEY_REVOCATION_MS;
       if (lateMs <= 0) return [];
       return [{id: attemptId, detail: `ran ${lateMs} ms too late`}];
     });
@@ -53,18 +53,18 @@
   guarantee: 'an accepted configuration is in force in seconds',
   find: (history) =>
     history.attempts
-      .filter(({status = 0}) => UNKNOWN_STATUSES.includes(status))
+      .filter(({status = 0}) => DENIED_STATUSES.includes(status))
       .filter((attempt) => {
         const {keyVersion, entry, sentMs, endMs} = attempt;
         if (keyVersion === 0) return true;
-        const came = versionOf(history, keyVersion);
-        const goes = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
-        const isThere =
-          came !== undefined &&
-          sentMs > came.ackMs + CONFIG_APPLY_MS &&
-          endMs < (goes?.sentMs ?? Number.POSITIVE_INFINITY);
-        const parts = [STORE_COMPONENT, entryComponent(entry)];
-        return isThere && history.isFaultFree(parts, came.ackMs, endMs);
+        const added = versionOf(history, keyVersion);
+        const removed = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const isValid =
+          added !== undefined &&
+          sentMs > added.ackMs + CONFIG_APPLY_MS &&
+          endMs < (removed?.sentMs ?? Number.POSITIVE_INFINITY);
+        const components = [STORE_COMPONENT, entryComponent(entry)];
+        return isValid && history.components(components, added.ackMs, endMs);
       })
       .map(({id, status, keyVersion}) => ({
         id,
@@ -84,15 +84,18 @@
     return history.attempts
       .filter(({keyVersion}) => keyVersion > 0)
       .filter((attempt) => {
-        const newest = newestSeen(history, attempt, ran);
+        const newestUsed = newestUsedVersion(history, attempt, ran);
         const {id, keyVersion, status = 0} = attempt;
         const usesOld =
-          ran.has(id) && keyVersion <= newest - KEY_LIFETIME_VERSIONS;
-        const next = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
-        const isTaken = next !== undefined && next.sentMs < attempt.endMs;
-        const forgets =
-          UNKNOWN_STATUSES.includes(status) && keyVersion <= newest && !isTaken;
-        return usesOld || forgets;
+          ran.has(id) && keyVersion <= newestUsed - KEY_LIFETIME_VERSIONS;
+        const removal = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const isRevoked =
+          removal !== undefined && removal.sentMs < attempt.endMs;
+        const rejectsUsed =
+          DENIED_STATUSES.includes(status) &&
+          keyVersion <= newestUsed &&
+          !isRevoked;
+        return usesOld || rejectsUsed;
       })
       .map(({id, entry, keyVersion}) => ({
         id,
@@ -109,10 +112,12 @@
     return history.arrivals.flatMap(({attemptId, service, atMs}) => {
       const attempt = attempts.get(attemptId);
       if (attempt?.kind !== RequestKind.MOVING) return [];
-      const parts = [STORE_COMPONENT, entryComponent(attempt.entry)];
-      if (!history.isFaultFree(parts, attempt.sentMs - CONFIG_APPLY_MS, atMs))
+      const components = [STORE_COMPONENT, entryComponent(attempt.entry)];
+      if (
+        !history.components(components, attempt.sentMs - CONFIG_APPLY_MS, atMs)
+      )
         return [];
-      const allowed = servicesInForce(history, attempt.sentMs, atMs);
+      const allowed = allowedServices(history, attempt.sentMs, atMs);
       if (allowed.has(service)) return [];
       return [{id: attemptId, detail: `arrived at ${service}`}];
     });
@@ -130,7 +135,7 @@
         .filter(({atMs}) => atMs > ackMs + DRAIN_NOTICE_MS)
         .filter(({attemptId, atMs}) => {
           const {entry = ''} = attempts.get(attemptId) ?? {};
-          return history.isFaultFree(
+          return history.components(
             [STORE_COMPONENT, entryComponent(entry)],
             ackMs,
             atMs,
@@ -152,17 +157,17 @@
     const cancelled = history.attempts.flatMap(({id, entry, hungUpMs}) => {
       const run = arrivals.get(id)?.at(-1);
       if (hungUpMs === undefined || run === undefined) return [];
-      const parts = [entryComponent(entry), targetComponent(run.target)];
+      const components = [entryComponent(entry), targetComponent(run.target)];
       const limitMs = hungUpMs + CANCEL_TIMEOUT_MS;
-      if (!history.isFaultFree(parts, run.atMs, limitMs)) return [];
-      return [{id, isLeft: (run.endedMs ?? Infinity) > limitMs}];
+      if (!history.components(components, run.atMs, limitMs)) return [];
+      return [{id, isStillRunning: (run.endedMs ?? Infinity) > limitMs}];
     });
-    const left = cancelled.filter(({isLeft}) => isLeft);
-    const isFine =
+    const stillRunning = cancelled.filter(({isStillRunning}) => isStillRunning);
+    const isWithinLimit =
       cancelled.length < MIN_CANCELLED ||
-      left.length <= cancelled.length * LEFT_RUNNING_SHARE;
-    if (isFine) return [];
-    return left.map(({id}) => ({id, detail: 'its run went on'}));
+      stillRunning.length <= cancelled.length * MAX_UNCANCELLED_SHARE;
+    if (isWithinLimit) return [];
+    return stillRunning.map(({id}) => ({id, detail: 'its run went on'}));
   },
 };
 
@@ -176,12 +181,16 @@
       if (attempt?.kind !== RequestKind.STREAM) return [];
       const runs = arrivals.filter(({hasRun}) => hasRun);
       return runs.slice(1).flatMap((next, index) => {
-        const before = runs[index]!;
-        const overlapMs = endOf(before, next) - next.atMs;
-        const targets = [before.target, next.target].map(targetComponent);
-        const parts = [entryComponent(attempt.entry), ...targets];
-        const isCalm = history.isFaultFree(parts, before.atMs, next.atMs);
-        if (!isCalm || overlapMs <= MAX_OVERLAP_MS) return [];
+        const previous = runs[index]!;
+        const overlapMs = firstEndMs(previous, next) - next.atMs;
+        const targets = [previous.target, next.target].map(targetComponent);
+        const components = [entryComponent(attempt.entry), ...targets];
+        const isFaultFree = history.components(
+          components,
+          previous.atMs,
+          next.atMs,
+        );
+        if (!isFaultFree || overlapMs <= MAX_OVERLAP_MS) return [];
         return [{id, detail: `two runs for ${overlapMs} ms`}];
       });
     });
@@ -197,17 +206,21 @@
       {service: 'plain services', isOfService: isPlain},
     ];
     return kinds.flatMap(({service, isOfService}) => {
-      const repeats = repeatsOf(history.arrivals.filter(isOfService));
+      const retries = retryTimes(history.arrivals.filter(isOfService));
       const sent = history.attempts
         .filter((attempt) => isOfService(serviceOf(attempt)))
         .map(({sentMs}) => sentMs);
-      const broken = repeats.find((endMs) => {
-        const extra = countBetween(repeats, endMs - RETRY_WINDOW_MS, endMs);
-        const most = mostRequests(sent, endMs);
-        return extra > most * RETRY_RATIO + RETRY_SLACK;
+      const exceededMs = retries.find((endMs) => {
+        const retryCount = countBetween(
+          retries,
+          endMs - RETRY_WINDOW_MS,
+          endMs,
+        );
+        const peakRequests = peakRequestCount(sent, endMs);
+        return retryCount > peakRequests * RETRY_RATIO + RETRY_SLACK;
       });
-      if (broken === undefined) return [];
-      return [{id: service, detail: `too many retries until ${broken}`}];
+      if (exceededMs === undefined) return [];
+      return [{id: service, detail: `too many retries until ${exceededMs}`}];
     });
   },
 };
@@ -231,7 +244,7 @@
 };
 
 /** When the first of two runs ended. */
-function endOf(a: Arrival, b: Arrival): number {
+function firstEndMs(a: Arrival, b: Arrival): number {
   return Math.min(a.endedMs ?? Infinity, b.endedMs ?? Infinity);
 }
 
@@ -244,7 +257,7 @@
 }
 
 /** The newest version that the process is known to have used before. */
-function newestSeen(
+function newestUsedVersion(
   history: History,
   attempt: Attempt,
   ran: ReadonlySet<string>,
@@ -253,13 +266,13 @@
     .filter(({entry}) => entry === attempt.entry)
     .filter(({lifetime}) => lifetime === attempt.lifetime)
     .filter(({id, endMs}) => {
-      return ran.has(id) && endMs + DOWNGRADE_SLACK_MS < attempt.sentMs;
+      return ran.has(id) && endMs + CONFIG_CHANGE_TOLERANCE_MS < attempt.sentMs;
     })
     .map(({keyVersion}) => keyVersion);
   return Math.max(0, ...versions);
 }
 
-function servicesInForce(
+function allowedServices(
   history: History,
   fromMs: number,
   toMs: number,
@@ -285,19 +298,19 @@
 }
 
 /** Times of the arrivals beyond the first of each request. */
-function repeatsOf(arrivals: readonly Arrival[]): number[] {
+function retryTimes(arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   return arrivals
     .filter(({attemptId}) => {
-      const isRepeat = seen.has(attemptId);
+      const isRetry = seen.has(attemptId);
       seen.add(attemptId);
-      return isRepeat;
+      return isRetry;
     })
     .map(({atMs}) => atMs);
 }
 
 /** The most requests of the window, the one before, or half before. */
-function mostRequests(sentMs: readonly number[], endMs: number): number {
+function peakRequestCount(sentMs: readonly number[], endMs: number): number {
   const ends = [0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS];
   const counts = ends.map((shiftMs) => {
     const lastMs = endMs - shiftMs;
--- a/tools/soak/checks/responses.ts
+++ b/tools/soak/checks/responses.ts
@@ -17,7 +17,7 @@
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
 /** Fewest requests by which the recovery is judged. */
-const MIN_LAST_REQUESTS = 10;
+const MIN_RECOVERY_REQUESTS = 10;
 
 /** A success is the caller's own answer, with its proof, to the last byte. */
 export const COMPLETE_RESPONSES: GuaranteeCheck = {
@@ -37,7 +37,7 @@
     history.attempts
       .filter(({kind, status}) => kind === RequestKind.STREAM && status === 200)
       .flatMap((attempt) => {
-        const detail = streamFault(attempt);
+        const detail = findStreamError(attempt);
         return detail === undefined ? [] : [{id: attempt.id, detail}];
       }),
 };
@@ -82,7 +82,7 @@
         return endMs - sentMs > limitMs + DEADLINE_TOLERANCE_MS + history.lagMs;
       })
       .filter(({entry, sentMs, endMs}) =>
-        history.isFaultFree([entryComponent(entry)], sentMs, endMs),
+        history.components([entryComponent(entry)], sentMs, endMs),
       )
       .map(({id, sentMs, endMs}) => ({
         id,
@@ -98,13 +98,16 @@
     return history.attempts
       .filter(({status, hungUpMs}) => status === undefined && !hungUpMs)
       .filter((attempt) => {
-        const parts = componentsOf(attempt, arrivals.get(attempt.id) ?? []);
-        const isCalm = history.isFaultFree(
-          parts,
+        const components = componentsOf(
+          attempt,
+          arrivals.get(attempt.id) ?? [],
+        );
+        const isFaultFree = history.components(
+          components,
           attempt.sentMs,
           attempt.endMs,
         );
-        return isCalm && !endedAround(attempt, history.entryEnds);
+        return isFaultFree && !processEnded(attempt, history.entryEnds);
       })
       .map(({id, entry}) => ({id, detail: `no answer from ${entry}`}));
   },
@@ -125,10 +128,10 @@
         .filter(({isWhole, hungUpMs}) => !isWhole && hungUpMs === undefined)
         .filter((attempt) => {
           const seen = arrivals.get(attempt.id) ?? [];
-          const wasTaken = seen.length > 0 || attempt.sentMs < stopMs;
-          const parts = componentsOf(attempt, seen);
+          const wasAccepted = seen.length > 0 || attempt.sentMs < stopMs;
+          const components = componentsOf(attempt, seen);
           const {sentMs, endMs} = attempt;
-          return wasTaken && history.isFaultFree(parts, sentMs, endMs);
+          return wasAccepted && history.components(components, sentMs, endMs);
         })
         .map(({id, entry}) => ({id, detail: `cut off as ${entry} stopped`}));
     });
@@ -145,12 +148,12 @@
     );
     const served = last.filter(isServed).length;
     const isEnough = served >= last.length * RECOVERED_SHARE;
-    if (isEnough && last.length >= MIN_LAST_REQUESTS) return [];
+    if (isEnough && last.length >= MIN_RECOVERY_REQUESTS) return [];
     return [{id: 'site', detail: `${served} of ${last.length} were served`}];
   },
 };
 
-function streamFault(attempt: Attempt): string | undefined {
+function findStreamError(attempt: Attempt): string | undefined {
   const pieces: Array<{id?: string; data: string}> = [];
   const parser = createParser({
     onEvent: ({id, data}) => pieces.push({id, data}),
@@ -166,7 +169,7 @@
   return isEarly ? `ended as whole after ${pieces.length}` : undefined;
 }
 
-function endedAround(
+function processEnded(
   attempt: Attempt,
   ends: ReadonlyArray<{entry: string; lifetime: number}>,
 ): boolean {
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -20,15 +20,15 @@
 const MAX_DELAY_MS = 400;
 
 /** How long a leaving target stays beyond the time without new work. */
-const STAY_MS = 1_500;
+const DRAIN_EXTENSION_MS = 1_500;
 
 /** Pause before an entry's next process, in milliseconds. */
-const RESTART_MS = 400;
+const RESTART_DELAY_MS = 400;
 
 /** What a fault is played on. */
-interface Stage {
+interface FaultContext {
   readonly site: SoakSite;
-  readonly episode: PlannedFault;
+  readonly planned: PlannedFault;
   readonly entry: SoakEntry;
   readonly target: SoakTarget;
   /** Targets of one zone. */
@@ -36,120 +36,134 @@
 }
 
 /** Begins a fault, waits, and ends it. */
-type Script = (stage: Stage) => Promise<void>;
-
-const SCRIPTS: Readonly<Record<FaultKind, Script>> = {
-  [FaultKind.ENTRY_KILL]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
-      if (!entry.isUp) return;
-      await entry.kill();
-      await sleep(episode.durationMs);
-      await entry.startProcess();
-    }),
-  [FaultKind.ENTRY_PAUSE]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
-      entry.pause();
-      await sleep(episode.durationMs);
-      entry.resume();
-    }),
+type FaultInjector = (context: FaultContext) => Promise<void>;
+
+const INJECTORS: Readonly<Record<FaultKind, FaultInjector>> = {
+  [FaultKind.ENTRY_KILL]: ({site, entry, planned}) =>
+    withRecordedFault(
+      {site, planned, parts: [entryComponent(entry.name)]},
+      async () => {
+        if (!entry.isUp) return;
+        await entry.kill();
+        await sleep(planned.durationMs);
+        await entry.startProcess();
+      },
+    ),
+  [FaultKind.ENTRY_PAUSE]: ({site, entry, planned}) =>
+    withRecordedFault(
+      {site, planned, parts: [entryComponent(entry.name)]},
+      async () => {
+        entry.pause();
+        await sleep(planned.durationMs);
+        entry.resume();
+      },
+    ),
   // A planned stop is no fault: nothing excuses what it cuts off.
   [FaultKind.ENTRY_STOP]: async ({entry}) => {
     if (!entry.isUp) return;
     await entry.stop();
-    await sleep(RESTART_MS);
+    await sleep(RESTART_DELAY_MS);
     await entry.startProcess();
   },
-  [FaultKind.ENTRY_CLOCK_STEP]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryComponent(entry.name)]}, async () => {
-      entry.stepClock((episode.variant - 0.5) * 2 * MAX_CLOCK_STEP_MS);
-      await sleep(episode.durationMs);
-      entry.stepClock(0);
-    }),
-  [FaultKind.ENTRY_SETTINGS_TORN]: async ({entry, episode}) => {
-    entry.writeSettings(episode.variant);
-    await sleep(episode.durationMs);
+  [FaultKind.ENTRY_CLOCK_STEP]: ({site, entry, planned}) =>
+    withRecordedFault(
+      {site, planned, parts: [entryComponent(entry.name)]},
+      async () => {
+        entry.stepClock((planned.variant - 0.5) * 2 * MAX_CLOCK_STEP_MS);
+        await sleep(planned.durationMs);
+        entry.stepClock(0);
+      },
+    ),
+  [FaultKind.ENTRY_SETTINGS_TORN]: async ({entry, planned}) => {
+    entry.writeSettings(planned.variant);
+    await sleep(planned.durationMs);
     entry.writeSettings();
   },
-  [FaultKind.ENTRY_STORE_CUT]: (stage) => cutFromStore(stage),
+  [FaultKind.ENTRY_STORE_CUT]: (stage) => disconnectFromStore(stage),
   [FaultKind.ENTRY_STORE_ONE_WAY]: (stage) =>
-    cutFromStore(stage, [directionOf(stage.episode)]),
-  [FaultKind.ENTRY_STORE_RESET]: ({site, entry, episode}) =>
-    disturb({site, episode, parts: [entryComponent(entry.name)]}, () => {
-      entry.storeRelay.reset();
-      return Promise.resolve();
-    }),
-  [FaultKind.STORE_BUSY]: (stage) => putStoreIn(stage, StoreMode.BUSY),
-  [FaultKind.STORE_SILENT]: (stage) => putStoreIn(stage, StoreMode.SILENT),
-  [FaultKind.STORE_RESET]: (stage) => putStoreIn(stage, StoreMode.RESET),
-  [FaultKind.STORE_PAUSE]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE_COMPONENT]}, async () => {
+    disconnectFromStore(stage, [directionOf(stage.planned)]),
+  [FaultKind.ENTRY_STORE_RESET]: ({site, entry, planned}) =>
+    withRecordedFault(
+      {site, planned, parts: [entryComponent(entry.name)]},
+      () => {
+        entry.storeRelay.reset();
+        return Promise.resolve();
+      },
+    ),
+  [FaultKind.STORE_BUSY]: (stage) => setStoreMode(stage, StoreMode.BUSY),
+  [FaultKind.STORE_SILENT]: (stage) => setStoreMode(stage, StoreMode.SILENT),
+  [FaultKind.STORE_RESET]: (stage) => setStoreMode(stage, StoreMode.RESET),
+  [FaultKind.STORE_PAUSE]: ({site, planned}) =>
+    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, async () => {
       site.store.proc.pause();
-      await sleep(episode.durationMs);
+      await sleep(planned.durationMs);
       site.store.proc.resume();
     }),
-  [FaultKind.STORE_HISTORY_LOST]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE_COMPONENT]}, () =>
+  [FaultKind.STORE_HISTORY_LOST]: ({site, planned}) =>
+    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, () =>
       site.store.execute('dropHistory', undefined),
     ),
-  [FaultKind.STORE_WAITERS_CUT]: ({site, episode}) =>
-    disturb({site, episode, parts: [STORE_COMPONENT]}, () =>
+  [FaultKind.STORE_WAITERS_CUT]: ({site, planned}) =>
+    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, () =>
       site.store.execute('cutWaiters', undefined),
     ),
   // Another writer leaves what names no target; no other target may suffer.
-  [FaultKind.STORE_JUNK]: async ({site, episode}) => {
-    const junk = {kind: Kind.TARGETS, name: `junk-${episode.atMs}`};
-    const spec = {service: 7, address: 'nowhere', state: episode.variant};
+  [FaultKind.STORE_JUNK]: async ({site, planned}) => {
+    const junk = {kind: Kind.TARGETS, name: `junk-${planned.atMs}`};
+    const spec = {service: 7, address: 'nowhere', state: planned.variant};
     await site.store.execute('put', {...junk, spec});
-    await sleep(episode.durationMs);
+    await sleep(planned.durationMs);
     await site.store.execute('remove', junk);
   },
-  [FaultKind.TARGET_KILL]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], () =>
-      site.replaceTarget(target, episode.durationMs),
+  [FaultKind.TARGET_KILL]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], () =>
+      site.replaceTarget(target, planned.durationMs),
     ),
-  [FaultKind.TARGET_PAUSE]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], async () => {
+  [FaultKind.TARGET_PAUSE]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], async () => {
       target.standIn.proc.pause();
-      await sleep(episode.durationMs);
+      await sleep(planned.durationMs);
       target.standIn.proc.resume();
     }),
-  [FaultKind.TARGET_LEAVE]: (stage) => leave(stage),
-  [FaultKind.TARGET_FAULTY]: ({site, target, episode}) => {
+  [FaultKind.TARGET_LEAVE]: (stage) => drainTarget(stage),
+  [FaultKind.TARGET_FAULTY]: ({site, target, planned}) => {
     const faults = Object.values(Fault);
-    const fault = faults[Math.floor(episode.variant * faults.length)]!;
-    return disturbTargets({site, episode}, [target], () =>
-      site.withFault(target, fault, episode.durationMs),
+    const fault = faults[Math.floor(planned.variant * faults.length)]!;
+    return withRecordedTargetFaults({site, planned}, [target], () =>
+      site.applyTargetFault(target, fault, planned.durationMs),
     );
   },
-  [FaultKind.TARGET_CUT]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], () =>
-      site.withCut([target], episode.durationMs),
+  [FaultKind.TARGET_CUT]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], () =>
+      site.disconnectTargets([target], planned.durationMs),
     ),
-  [FaultKind.TARGET_ONE_WAY]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], () =>
-      site.withCut([target], episode.durationMs, [directionOf(episode)]),
+  [FaultKind.TARGET_ONE_WAY]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], () =>
+      site.disconnectTargets([target], planned.durationMs, [
+        directionOf(planned),
+      ]),
     ),
-  [FaultKind.TARGET_RESET]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], () => {
+  [FaultKind.TARGET_RESET]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], () => {
       target.relay.reset();
       return Promise.resolve();
     }),
-  [FaultKind.TARGET_DELAY]: ({site, target, episode}) =>
-    disturbTargets({site, episode}, [target], async () => {
-      target.relay.delay(episode.variant * MAX_DELAY_MS);
-      await sleep(episode.durationMs);
+  [FaultKind.TARGET_DELAY]: ({site, target, planned}) =>
+    withRecordedTargetFaults({site, planned}, [target], async () => {
+      target.relay.delay(planned.variant * MAX_DELAY_MS);
+      await sleep(planned.durationMs);
       target.relay.mend();
     }),
-  [FaultKind.ZONE_KILL]: ({site, zone, episode}) =>
-    disturbTargets({site, episode}, zone, async () => {
-      const {durationMs} = episode;
+  [FaultKind.ZONE_KILL]: ({site, zone, planned}) =>
+    withRecordedTargetFaults({site, planned}, zone, async () => {
+      const {durationMs} = planned;
       await Promise.all(
         zone.map((target) => site.replaceTarget(target, durationMs)),
       );
     }),
-  [FaultKind.ZONE_CUT]: ({site, zone, episode}) =>
-    disturbTargets({site, episode}, zone, () =>
-      site.withCut(zone, episode.durationMs),
+  [FaultKind.ZONE_CUT]: ({site, zone, planned}) =>
+    withRecordedTargetFaults({site, planned}, zone, () =>
+      site.disconnectTargets(zone, planned.durationMs),
     ),
   [FaultKind.CONFIG_CHANGE]: ({site}) => site.changeConfig(),
 };
@@ -162,74 +176,84 @@
  */
 export async function injectFault(
   site: SoakSite,
-  episode: PlannedFault,
+  planned: PlannedFault,
 ): Promise<void> {
   const pick = <T>(parts: readonly T[]): T =>
-    parts[Math.floor(episode.part * parts.length)]!;
+    parts[Math.floor(planned.part * parts.length)]!;
   const zoneName = pick(ZONES);
   const zone = site.targets.filter((target) => target.zone === zoneName);
   const entry = pick(site.entries);
   const target = pick(site.targets);
   // All targets may be down at once.
   if (target === undefined) return;
-  await SCRIPTS[episode.kind]({site, episode, entry, target, zone});
+  await INJECTORS[planned.kind]({site, planned, entry, target, zone});
 }
 
-interface Scope {
+interface FaultScope {
   readonly site: SoakSite;
-  readonly episode: PlannedFault;
+  readonly planned: PlannedFault;
 }
 
 /** Plays a fault and notes which parts were under it, and when. */
-async function disturb(
-  {site, episode, parts}: Scope & {parts: readonly string[]},
-  play: () => Promise<void>,
+async function withRecordedFault(
+  {site, planned, parts}: FaultScope & {parts: readonly string[]},
+  inject: () => Promise<void>,
 ): Promise<void> {
   const fromMs = Date.now();
-  const kind = episode.kind;
+  const kind = planned.kind;
   const faults = parts.map((part) => ({part, kind, fromMs, toMs: Infinity}));
   site.history.disturbances.push(...faults);
-  await play();
+  await inject();
   const toMs = Date.now();
   for (const fault of faults) fault.toMs = toMs;
 }
 
-function disturbTargets(
-  scope: Scope,
+function withRecordedTargetFaults(
+  scope: FaultScope,
   targets: readonly SoakTarget[],
-  play: () => Promise<void>,
+  inject: () => Promise<void>,
 ): Promise<void> {
-  const parts = targets.map(({id}) => targetComponent(id));
-  return disturb({...scope, parts}, play);
+  const components = targets.map(({id}) => targetComponent(id));
+  return withRecordedFault({...scope, parts: components}, inject);
 }
 
-function cutFromStore(
-  {site, entry, episode}: Stage,
+function disconnectFromStore(
+  {site, entry, planned}: FaultContext,
   directions?: readonly Direction[],
 ): Promise<void> {
   const parts = [entryComponent(entry.name)];
-  return disturb({site, episode, parts}, async () => {
+  return withRecordedFault({site, planned, parts}, async () => {
     entry.storeRelay.cut(directions);
-    await sleep(episode.durationMs);
+    await sleep(planned.durationMs);
     entry.storeRelay.mend();
   });
 }
 
-function putStoreIn({site, episode}: Stage, mode: StoreMode): Promise<void> {
-  return disturb({site, episode, parts: [STORE_COMPONENT]}, async () => {
-    await site.store.execute('setMode', mode);
-    await sleep(episode.durationMs);
-    await site.store.execute('setMode', StoreMode.UP);
-  });
+function setStoreMode(
+  {site, planned}: FaultContext,
+  mode: StoreMode,
+): Promise<void> {
+  return withRecordedFault(
+    {site, planned, parts: [STORE_COMPONENT]},
+    async () => {
+      await site.store.execute('setMode', mode);
+      await sleep(planned.durationMs);
+      await site.store.execute('setMode', StoreMode.UP);
+    },
+  );
 }
 
 /** A target says that it leaves, serves on for a time, and ends. */
-async function leave({site, target, episode}: Stage): Promise<void> {
+async function drainTarget({
+  site,
+  target,
+  planned,
+}: FaultContext): Promise<void> {
   await target.register('draining');
   site.history.leavings.push({target: target.id, ackMs: Date.now()});
-  await sleep(DRAIN_NOTICE_MS + STAY_MS);
-  await disturbTargets({site, episode}, [target], () =>
-    site.replaceTarget(target, episode.durationMs),
+  await sleep(DRAIN_NOTICE_MS + DRAIN_EXTENSION_MS);
+  await withRecordedTargetFaults({site, planned}, [target], () =>
+    site.replaceTarget(target, planned.durationMs),
   );
 }
 
--- a/tools/soak/history.ts
+++ b/tools/soak/history.ts
@@ -106,7 +106,7 @@
   }
 
   /** Whether none of the parts was under a fault, nor shortly before. */
-  isFaultFree(parts: readonly string[], fromMs: number, toMs: number): boolean {
+  components(parts: readonly string[], fromMs: number, toMs: number): boolean {
     return !this.disturbances.some(
       (fault) =>
         parts.includes(fault.part) &&
--- a/tools/soak/run.ts
+++ b/tools/soak/run.ts
@@ -52,10 +52,10 @@
   const site = new SoakSite(history, {folder, size});
   try {
     await site.start();
-    await play({site, plan, durationMs, seed});
+    await runPlan({site, plan, durationMs, seed});
   } finally {
     await site.close();
-    keep(folder, {plan, history});
+    writeArtifacts(folder, {plan, history});
   }
   const {attempts, lagMs} = history;
   return {
@@ -68,7 +68,7 @@
   };
 }
 
-async function play(options: {
+async function runPlan(options: {
   site: SoakSite;
   plan: readonly PlannedFault[];
   durationMs: number;
@@ -76,7 +76,7 @@
 }): Promise<void> {
   const {site, plan, durationMs, seed} = options;
   const {history} = site;
-  const stopWatch = monitorTimerLag((lagMs) => {
+  const stopMonitor = monitorTimerLag((lagMs) => {
     history.lagMs = Math.max(history.lagMs, lagMs);
   });
   const balancer = new LoadBalancer(site.entries);
@@ -85,14 +85,14 @@
     const callerSeed = seed * SEEDS_PER_RUN + index;
     return new SoakCaller(`c${index}`, callerSeed, site, balancer);
   });
-  const asking = balancer.run();
-  const calling = callers.map((caller) => caller.run());
+  const probing = balancer.run();
+  const callerRuns = callers.map((caller) => caller.run());
   const startMs = Date.now();
-  const episodes = plan.map(async (episode) => {
-    await sleep(episode.atMs);
-    await injectFault(site, episode);
+  const injections = plan.map(async (fault) => {
+    await sleep(fault.atMs);
+    await injectFault(site, fault);
   });
-  await Promise.all(episodes);
+  await Promise.all(injections);
   history.calmFromMs = Date.now() + FAULT_AFTERMATH_MS;
   const endMs = Math.max(
     startMs + durationMs,
@@ -100,18 +100,18 @@
   );
   await sleep(endMs - Date.now());
   for (const caller of callers) caller.stop();
-  await Promise.all(calling);
+  await Promise.all(callerRuns);
   balancer.stop();
-  await asking;
-  stopWatch();
+  await probing;
+  stopMonitor();
 }
 
 /** Leaves what is needed to trace a broken promise. */
-function keep(
+function writeArtifacts(
   folder: string,
-  evidence: {plan: readonly PlannedFault[]; history: History},
+  artifacts: {plan: readonly PlannedFault[]; history: History},
 ): void {
-  for (const [name, content] of Object.entries(evidence)) {
+  for (const [name, content] of Object.entries(artifacts)) {
     const text = JSON.stringify(content, null, 1);
     writeFileSync(join(folder, `${name}.json`), text);
   }
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -19,7 +19,7 @@
 const FIRST_HOST = 10;
 
 const READY_TIMEOUT_MS = 20_000;
-const READY_STEP_MS = 100;
+const READY_POLL_MS = 100;
 
 /** How many of each there are. */
 export interface SiteSize {
@@ -53,12 +53,12 @@
     this.store = await StandInProcess.start({script: 'store-main.js'});
     await this.changeConfig();
     const services = Object.values(SiteService);
-    const places = ZONES.flatMap((zone) =>
+    const placements = ZONES.flatMap((zone) =>
       services.flatMap((service) =>
         Array.from({length: size.targets}, () => ({zone, service})),
       ),
     );
-    await Promise.all(places.map((place) => this.addTarget(place)));
+    await Promise.all(placements.map((place) => this.addTarget(place)));
     const network = `127.${FIRST_NETWORK + (process.pid % NETWORKS)}`;
     const subnet = Math.floor(process.pid / NETWORKS) % SUBNETS;
     const starts = Array.from({length: size.entries}, (_, index) =>
@@ -76,9 +76,12 @@
   }
 
   /** Starts one more target. */
-  async addTarget(place: {zone: string; service: SiteService}): Promise<void> {
+  async addTarget(placement: {
+    zone: string;
+    service: SiteService;
+  }): Promise<void> {
     if (this.isClosed) return;
-    const {zone, service} = place;
+    const {zone, service} = placement;
     const target = await SoakTarget.start({
       zone,
       service,
@@ -94,10 +97,10 @@
   /** Kills a target and starts another in its place. */
   async replaceTarget(target: SoakTarget, downMs: number): Promise<void> {
     this.targets = this.targets.filter((other) => other !== target);
-    const gone = target.kill();
+    const killed = target.kill();
     await sleep(downMs);
     await this.addTarget(target);
-    await gone;
+    await killed;
   }
 
   /** Writes the next version, which moves a route and changes keys. */
@@ -121,7 +124,7 @@
   }
 
   /** Has a target answer wrongly for a time. */
-  async withFault(
+  async applyTargetFault(
     target: SoakTarget,
     fault: Fault,
     durationMs: number,
@@ -132,7 +135,7 @@
   }
 
   /** Cuts the connections to targets for a time. */
-  async withCut(
+  async disconnectTargets(
     targets: readonly SoakTarget[],
     durationMs: number,
     directions?: readonly Direction[],
@@ -161,7 +164,7 @@
     for (const entry of this.entries) {
       while (!(await entry.isReady())) {
         if (Date.now() > endMs) throw new Error(`${entry.name} is not ready`);
-        await sleep(READY_STEP_MS);
+        await sleep(READY_POLL_MS);
       }
     }
   }
