--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -1,36 +1,37 @@
-/** A caller that reads a stream and goes on where it broke. */
+/** A test client that reads completion streams and resumes broken ones. */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
 /** Bearer key of the quickstart's client account. */
 export const DEMO_KEY = 'demo-key';
 
-/** What a caller has seen of an answer. */
+/** The parts of a response that a caller has received. */
 export interface Transcript {
   text: string;
-  /** Events that carried text. */
+  /** Number of events that carried text. */
   chunks: number;
-  /** Times that `[DONE]` came. */
+  /** Number of `[DONE]` events. */
   doneEvents: number;
   finishReason: string;
   lastEventId: string;
+  /** Number of `restart` events; each discards the text received so far. */
   restarts: number;
-  /** Error documents in the stream or in place of it. */
+  /** Error documents received in the stream or instead of it. */
   errors: unknown[];
-  /** Arrival of each piece, in milliseconds. */
+  /** Arrival time of each text event, as `performance.now()`. */
   arrivalsMs: number[];
   /** HTTP status of the last response. */
   status: number;
 }
 
-/** What a caller asks. */
+/** Parameters of a completion request. */
 export interface CompletionRequest {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly model?: string;
   readonly stop?: readonly string[];
   readonly key?: string;
-  /** Time allowed for the whole answer, in milliseconds. */
+  /** Deadline for the whole response, in milliseconds. */
   readonly deadlineMs?: number;
 }
 
@@ -41,7 +42,7 @@
   }>;
 }
 
-/** Begins with nothing seen. */
+/** Creates an empty transcript. */
 export function createTranscript(): Transcript {
   return {
     text: '',
@@ -57,8 +58,8 @@
 }
 
 /**
- * Reads a stream into a transcript until it ends or breaks. A transcript
- * that holds an event identity goes on from there.
+ * Reads a stream into a transcript until it ends or breaks. If the transcript
+ * holds an event id, the stream resumes after that event.
  */
 export async function readStream(options: {
   url: string;
@@ -104,7 +105,7 @@
 }
 
 /**
- * Reads an answer to its end, at the next entry whenever a stream breaks.
+ * Reads a response to its end, resuming at the next entry after each break.
  */
 export async function readWithResume(options: {
   urls: readonly string[];
--- a/tools/lab/lab.ts
+++ b/tools/lab/lab.ts
@@ -1,4 +1,4 @@
-/** Starts the stand-ins and the daemon as processes, and ends them all. */
+/** Starts stand-ins and daemons as child processes and ends them all. */
 import {fileURLToPath} from 'node:url';
 
 import {request} from 'undici';
@@ -9,7 +9,7 @@
 
 const ADDRESS = '127.0.0.1';
 
-/** A stand-in that listens on one port. */
+/** A running stand-in. */
 export interface StandIn {
   readonly proc: Proc;
   readonly url: string;
@@ -24,16 +24,16 @@
   readonly operatorsUrl: string;
   /** Empty for an agent. */
   readonly callersUrl: string;
-  /** 0 where the role listens for no peers. */
+  /** 0 if the role accepts no peer connections. */
   readonly peersPort: number;
 }
 
-/** Flags of a stand-in or settings of a daemon. */
+/** Flags of a stand-in or settings of a daemon, by name. */
 export interface NamedValues {
   readonly [name: string]: string | number | boolean;
 }
 
-/** Holds child processes; whoever creates a lab must close it. */
+/** Owns child processes; must be closed after use. */
 export class ProcessHarness {
   private readonly procs: Proc[] = [];
   private closed = false;
@@ -81,7 +81,7 @@
     return createDaemon(String(settings['vm']), proc, ready);
   }
 
-  /** Ends all processes and waits until they are gone. */
+  /** Kills all processes and waits until they have exited. */
   async close(): Promise<void> {
     this.closed = true;
     for (const proc of this.procs) {
@@ -91,8 +91,8 @@
   }
 
   private async start(script: string, args: readonly string[]) {
-    // A start that another one's failure overtook must leave nothing behind.
-    if (this.closed) throw new Error('the lab is closed');
+    // After a failed parallel start closed the harness, no process may be left.
+    if (this.closed) throw new Error('the process harness is closed');
     const proc = Proc.start({script, args});
     this.procs.push(proc);
     const ready = await proc.ready.catch((cause: unknown) => {
@@ -118,7 +118,7 @@
   return text === '' ? undefined : (JSON.parse(text) as unknown);
 }
 
-/** Cuts, mends or resets the connections of a relay. */
+/** Cuts, restores or resets the connections of a relay. */
 export async function controlRelay(
   relay: StandIn,
   action: 'cut' | 'mend' | 'reset',
@@ -127,7 +127,7 @@
   await sendControl({url, method: 'POST', body: {}});
 }
 
-/** Polls until `check` holds; fails after `timeoutMs`. */
+/** Polls until `check` resolves to true; rejects after `timeoutMs`. */
 export async function waitUntil(options: {
   what: string;
   check: () => Promise<boolean>;
@@ -136,7 +136,8 @@
   const {what, check, timeoutMs = 20_000} = options;
   const endMs = performance.now() + timeoutMs;
   while (!(await check().catch(() => false))) {
-    if (performance.now() > endMs) throw new Error(`timeout: ${what}`);
+    if (performance.now() > endMs)
+      throw new Error(`timed out waiting until ${what}`);
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 }
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -1,4 +1,4 @@
-/** Callers that keep generations, bookings and stock lookups in flight. */
+/** A mixed load of concurrent generations, bookings and stock lookups. */
 import type {Dispatcher} from 'undici';
 import {Agent, request} from 'undici';
 
@@ -9,24 +9,24 @@
 const PAUSE_MS = 20;
 const MAX_ATTEMPTS = 1_500;
 
-/** What became of the requests of one kind. */
+/** Outcomes of the requests of one kind. */
 export interface KindTally {
-  /** Answered whole and right. */
+  /** Number of complete and correct responses. */
   done: number;
-  /** Answered, but not as they should be. */
+  /** Descriptions of the requests with any other outcome. */
   wrong: string[];
 }
 
-/** What became of a load. */
+/** Outcomes of all requests of a load. */
 export interface LoadTally {
   readonly generations: KindTally;
   readonly bookings: KindTally;
   readonly stock: KindTally;
-  /** Refusals that said that nothing ran. */
+  /** Number of refusals stating that nothing ran. */
   refusedNotRun: number;
-  /** Connections that an entry did not take. */
+  /** Number of connections that entries refused. */
   notConnected: number;
-  /** Requests whose connection broke before their answer was whole. */
+  /** Requests whose connection broke before the response was complete. */
   cutOff: string[];
 }
 
@@ -35,10 +35,10 @@
   readonly ran?: string;
 }
 
-/** One answer to a plain call; undefined where no connection was made. */
+/** Response to a plain call; undefined if the connection failed or broke. */
 type PlainResponse = {status: number; body: unknown} | undefined;
 
-/** Sends to ready entries in turn and goes elsewhere when refused. */
+/** Sends to ready entries in turn; retries refused requests at the next. */
 export class MixedLoad {
   readonly bookedKeys: string[] = [];
   private readonly tally: LoadTally = {
@@ -62,16 +62,16 @@
   constructor(
     private readonly options: {
       site: Site;
-      /** Generations at once and the tokens of each. */
+      /** Number of concurrent generations, and tokens of each. */
       generations: number;
       tokens: number;
-      /** Loops of bookings and of lookups. */
+      /** Number of concurrent loops of bookings and of lookups. */
       bookings: number;
       lookups: number;
     },
   ) {}
 
-  /** Begins; resolves once a ready entry is known. */
+  /** Looks for ready entries and starts the load. */
   async start(): Promise<void> {
     await this.updateReadyUrls();
     this.loops.push(this.pollReadiness());
@@ -81,7 +81,7 @@
     for (let i = 0; i < lookups; i++) this.startLoop(() => this.lookUp());
   }
 
-  /** Sends no more, waits for what is in flight and tells what became. */
+  /** Sends no more requests, waits for those in flight, returns the tally. */
   async stop(): Promise<LoadTally> {
     this.stopping = true;
     await Promise.all(this.loops);
@@ -175,7 +175,7 @@
     else this.tally.stock.wrong.push(JSON.stringify(res));
   }
 
-  /** Asks entry after entry until one does not refuse as not run. */
+  /** Tries entry after entry until a response does not state `ran: no`. */
   private async sendUntilAccepted(call: {
     path: string;
     method: 'GET' | 'POST';
@@ -226,7 +226,7 @@
   return new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
 }
 
-/** Keys are new, so a refusal can say that nothing ran under them. */
+/** Marks the key as new, so that a refusal can state that nothing ran. */
 function createKeyHeaders(key: string): Record<string, string> {
   return {'idempotency-key': key, 'idempotency-first-use': 'true'};
 }
--- a/tools/lab/paths.ts
+++ b/tools/lab/paths.ts
@@ -1,4 +1,4 @@
-/** Where the lab finds programs and examples, also when it is not compiled. */
+/** Paths of programs and examples, for compiled and uncompiled use. */
 import {existsSync} from 'node:fs';
 
 /** Root of the repository. */
--- a/tools/lab/proc.ts
+++ b/tools/lab/proc.ts
@@ -1,4 +1,4 @@
-/** One child process of a lab. */
+/** A child process of the test harness. */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import type {Interface} from 'node:readline';
@@ -9,7 +9,7 @@
 
 const READY_TIMEOUT_MS = 20_000;
 
-/** Fields of the line that a program prints once it listens. */
+/** Fields of the JSON line that a program prints once it listens. */
 export interface ReadyFields {
   readonly port?: number;
   readonly controlPort?: number;
@@ -18,23 +18,23 @@
   readonly callersPort?: number;
 }
 
-/** How a program is started. */
+/** Options for starting a program. */
 export interface ProcOptions {
   /** Path of the program below `dist/`. */
   readonly script: string;
   readonly args: readonly string[];
-  /** Modules that are loaded before the program, below `dist/`. */
+  /** Paths below `dist/` of modules that are loaded before the program. */
   readonly preload?: readonly string[];
   readonly env?: Readonly<Record<string, string>>;
-  /** Opens a channel for messages and takes what comes on it. */
+  /** Opens an IPC channel; called with each message received on it. */
   readonly onMessage?: (message: unknown) => void;
-  /** Takes each line of standard output. */
+  /** Called with each line of standard output. */
   readonly onLine?: (line: string) => void;
 }
 
-/** A running program that can be stopped in several ways. */
+/** A program in a child process, controlled by signals. */
 export class Proc {
-  /** Settles with the exit status; null after a signal. */
+  /** Resolves to the exit status; null if a signal ended the process. */
   readonly exited: Promise<number | null>;
   private running = true;
   private stderrText = '';
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Starts `dist/<script>` and waits for nothing. */
+  /** Starts `dist/<script>` without waiting until it is ready. */
   static start(options: ProcOptions): Proc {
     const {script, args, preload = [], env, onMessage, onLine} = options;
     const imports = preload.flatMap((module) => ['--import', toPath(module)]);
@@ -72,7 +72,7 @@
     return new Proc(child, ready);
   }
 
-  /** Identity of the process on this machine. */
+  /** Process id; 0 if the process could not be started. */
   get pid(): number {
     return this.child.pid ?? 0;
   }
@@ -81,39 +81,40 @@
     return this.running;
   }
 
-  /** All that the program wrote to standard error. */
+  /** Standard error output so far. */
   get stderr(): string {
     return this.stderrText;
   }
 
-  /** Sends a message to a process that was started with a channel. */
+  /** Sends a message on the IPC channel, if the process has one. */
   send(message: object): void {
     if (!this.running || !this.child.connected) return;
-    // A process that has just ended gets no message; its end is seen.
+    // Ignores send errors: the process may have just exited, which `exited`
+    // reports.
     this.child.send(message, () => undefined);
   }
 
-  /** Has the process read its settings anew. */
+  /** Makes the process reload its settings (SIGHUP). */
   reload(): void {
     this.signal('SIGHUP');
   }
 
-  /** Ends the process with no notice. */
+  /** Kills the process (SIGKILL). */
   kill(): void {
     this.signal('SIGKILL');
   }
 
-  /** Asks the process to stop as planned. */
+  /** Requests a graceful shutdown (SIGTERM). */
   terminate(): void {
     this.signal('SIGTERM');
   }
 
-  /** Pauses the process. */
+  /** Pauses the process (SIGSTOP). */
   pause(): void {
     this.signal('SIGSTOP');
   }
 
-  /** Lets a paused process go on. */
+  /** Resumes a paused process (SIGCONT). */
   resume(): void {
     this.signal('SIGCONT');
   }
@@ -135,11 +136,11 @@
   const {child, lines, script} = options;
   return new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
-      reject(new Error(`${script} did not get ready`));
+      reject(new Error(`${script} did not become ready in time`));
     }, READY_TIMEOUT_MS);
     child.once('exit', (code) => {
       clearTimeout(timer);
-      reject(new Error(`${script} ended with status ${code}`));
+      reject(new Error(`${script} exited with status ${code}`));
     });
     lines.once('line', (line) => {
       clearTimeout(timer);
--- a/tools/lab/site-caller.ts
+++ b/tools/lab/site-caller.ts
@@ -1,44 +1,44 @@
-/** A caller of a site on the platform. */
+/** A test client that sends HTTP requests to the entries of a site. */
 import type {Agent, IncomingHttpHeaders} from 'node:http';
 import {request} from 'node:http';
 
 import {HOST} from '../../stand-ins/site/config.js';
 
-/** What a caller got. */
+/** A response as received by a caller. */
 export interface SiteResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly text: string;
-  /** Whether the answer ended as its framing says. */
+  /** Whether the body was complete according to its HTTP framing. */
   readonly isComplete: boolean;
 }
 
-/** One request of a caller. */
+/** A request of a caller. */
 export interface SiteRequest {
   readonly host: string;
   readonly port: number;
-  /** Holds the connection on which the request is sent. */
+  /** Agent that owns the connection on which the request is sent. */
   readonly agent: Agent;
   readonly path: string;
   readonly method?: string;
   readonly key: string;
   readonly attemptId: string;
-  /** Time for which the caller waits, as it tells the entry. */
+  /** Value of the `Deadline-Ms` header, in milliseconds. */
   readonly deadlineMs: number;
   readonly headers?: Record<string, string>;
   readonly body?: string;
-  /** Called with all that has come so far. */
+  /** Called with the whole body received so far, after each chunk. */
   readonly onData?: (text: string) => void;
-  /** Ends the request from the caller's side. */
+  /** Aborts the request. */
   readonly signal?: AbortSignal;
 }
 
 /**
- * Sends a request and reads what comes until the answer or the connection
- * ends; rejects where no answer began.
+ * Sends a request and reads until the response or the connection ends.
+ * Rejects if no response headers were received.
  *
  * @example
- * const reply = await callSite({...address, agent, path: '/stock/1', ...});
+ * const res = await sendSiteRequest({...address, agent, path: '/stock/1', ...});
  */
 export function sendSiteRequest(call: SiteRequest): Promise<SiteResponse> {
   const {host, port, agent, path, method = 'POST', body, signal} = call;
@@ -57,7 +57,7 @@
         text += String(chunk);
         call.onData?.(text);
       });
-      // What came is judged by the reply's framing.
+      // `isComplete` reports a broken body.
       res.on('error', () => undefined);
       res.on('close', () =>
         resolve({
--- a/tools/lab/site.ts
+++ b/tools/lab/site.ts
@@ -1,4 +1,4 @@
-/** A whole small site: platform, targets with agents, and entries. */
+/** A small test site: platform, targets with agents, and entries. */
 import {readdirSync, readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 
@@ -19,13 +19,13 @@
   readonly vm: string;
   readonly standIn: StandIn;
   readonly agent: Daemon;
-  /** Between the agent and its target; where the site has relays. */
+  /** Relay between the agent and its target, if the site has relays. */
   readonly targetRelay?: StandIn;
-  /** Between entries and the agent; where the site has relays. */
+  /** Relay between entries and the agent, if the site has relays. */
   readonly agentRelay?: StandIn;
 }
 
-/** How large a site is and how its stand-ins behave. */
+/** Size of a site and flags of its stand-ins. */
 export interface SiteOptions {
   readonly entries?: number;
   readonly engines?: number;
@@ -34,13 +34,13 @@
   readonly engineFlags?: NamedValues;
   readonly serviceFlags?: NamedValues;
   readonly platformFlags?: NamedValues;
-  /** Puts relays in front of targets and agents, so that they can be cut. */
+  /** Puts relays in front of targets and agents, to inject network faults. */
   readonly relays?: boolean;
-  /** Changes the base of the quickstart's configuration before it applies. */
+  /** Edits the base of the quickstart's configuration before it is applied. */
   readonly editBase?: (base: Record<string, unknown>) => void;
 }
 
-/** A running site; whoever creates one must close it. */
+/** A running site; must be closed after use. */
 export class Site {
   readonly harness = new ProcessHarness();
   readonly engines: Target[] = [];
@@ -48,12 +48,12 @@
   readonly stock: Target[] = [];
   readonly entries: Daemon[] = [];
   platform!: StandIn;
-  /** Counts bookings, also those of services that have died since. */
+  /** Counts bookings, including those of services that have exited since. */
   ledger!: StandIn;
 
   private constructor(private readonly options: SiteOptions) {}
 
-  /** Starts everything and waits until each entry sees each target. */
+  /** Starts all processes and waits until each entry can use each target. */
   static async create(options: SiteOptions = {}): Promise<Site> {
     const site = new Site(options);
     try {
@@ -150,13 +150,13 @@
     return entry;
   }
 
-  /** Starts another agent beside a target, on the same VM name. */
+  /** Starts a new agent for a target, under the same VM name. */
   async restartAgent(target: Target, kind: string, service: string) {
     const index = 0;
     return this.addTarget({...target, kind, service, index});
   }
 
-  /** Puts a VM on the platform's list. */
+  /** Adds or updates a VM in the platform's VM list. */
   async register(vm: {
     name: string;
     role: string;
@@ -172,13 +172,13 @@
     });
   }
 
-  /** Takes a VM off the platform's list. */
+  /** Removes a VM from the platform's VM list. */
   async unregister(name: string): Promise<void> {
     const url = `${this.platform.url}/vms/${name}`;
     await sendControl({url, method: 'DELETE'});
   }
 
-  /** Lets the platform's list say that a target leaves. */
+  /** Marks a target as leaving (draining) in the platform's VM list. */
   async markAsLeaving(target: Target, service: string): Promise<void> {
     await this.register({
       name: target.vm,
@@ -197,7 +197,7 @@
     for (const entry of this.entries) {
       if (!entry.proc.isRunning) continue;
       await waitUntil({
-        what: `${entry.vm} sees ${expected} targets`,
+        what: `${entry.vm} can use ${expected} targets`,
         check: async () => (await countUsable(entry)) >= expected,
       });
     }
@@ -265,7 +265,7 @@
   }
 }
 
-/** Starts `count` members at once and lists them in order. */
+/** Starts `count` members concurrently and appends them in order. */
 async function startMembers<T>(
   list: T[],
   count: number,
