--- a/test/tools/soak/checks.test.ts
+++ b/test/tools/soak/checks.test.ts
@@ -1,4 +1,4 @@
-/** Each check of the soak finds the promise that it stands for broken. */
+/** Each check of the soak detects violations of its guarantee, and no others. */
 import {describe, expect, it} from 'vitest';
 
 import {
@@ -23,11 +23,11 @@
 const START_MS = 1_000_000;
 const ENTRY = 'entry-1';
 
-/** Late enough for all that was accepted at the start to hold. */
+/** Late enough that everything accepted at the start is applied. */
 const LATER_MS = START_MS + 60_000;
 
-function attempt(over: Partial<Attempt> = {}): Attempt {
-  const {id = 'r1', kind = RequestKind.SAFE, sentMs = LATER_MS} = over;
+function attempt(overrides: Partial<Attempt> = {}): Attempt {
+  const {id = 'r1', kind = RequestKind.SAFE, sentMs = LATER_MS} = overrides;
   return {
     id,
     kind,
@@ -40,12 +40,12 @@
     text: kind === RequestKind.STREAM ? stream(id) : `answer to ${id}`,
     isWhole: true,
     isProven: true,
-    ...over,
+    ...overrides,
   };
 }
 
-function arrival(over: Partial<Arrival> = {}): Arrival {
-  const {atMs = LATER_MS + 5} = over;
+function arrival(overrides: Partial<Arrival> = {}): Arrival {
+  const {atMs = LATER_MS + 5} = overrides;
   return {
     attemptId: 'r1',
     target: 'i-1',
@@ -54,7 +54,7 @@
     atMs,
     hasRun: true,
     endedMs: atMs + 20,
-    ...over,
+    ...overrides,
   };
 }
 
@@ -65,12 +65,12 @@
   return texts.join('');
 }
 
-function piece(id: string, number: number): string {
-  return `id: ${number}\ndata: piece ${number} of ${id}\n\n`;
+function piece(id: string, index: number): string {
+  return `id: ${index}\ndata: piece ${index} of ${id}\n\n`;
 }
 
-/** A run in which nothing went wrong, before the case adds to it. */
-function calmHistory(): History {
+/** History of a run without violations, to which a case adds events. */
+function faultFreeHistory(): History {
   const history = new History();
   history.calmFromMs = LATER_MS + 100_000;
   for (let i = 0; i < 20; i++) {
@@ -88,66 +88,66 @@
 
 interface Case {
   readonly name: string;
-  /** Part of the promise that must be found broken. */
-  readonly promise: string;
+  /** Substring of the guarantee that must be reported as violated. */
+  readonly guarantee: string;
   readonly add: (history: History) => void;
 }
 
-const streamCase = (name: string, text: string, isWhole = true): Case => ({
+const streamCheck = (name: string, text: string, isWhole = true): Case => ({
   name,
-  promise: 'no piece of a stream',
+  guarantee: 'no event of a stream',
   add: ({attempts}) =>
     attempts.push(attempt({kind: RequestKind.STREAM, text, isWhole})),
 });
 
 const CASES: readonly Case[] = [
   {
-    name: 'the answer to another request',
-    promise: 'own whole answer',
+    name: 'the response to another request',
+    guarantee: 'own complete response',
     add: ({attempts}) => attempts.push(attempt({text: 'answer to r2'})),
   },
   {
-    name: 'an answer without proof',
-    promise: 'own whole answer',
+    name: 'a response without proof',
+    guarantee: 'own complete response',
     add: ({attempts}) => attempts.push(attempt({isProven: false})),
   },
-  streamCase('a missing piece', piece('r1', 1) + piece('r1', 3), false),
-  streamCase('a repeated piece', piece('r1', 1) + piece('r1', 1), false),
-  streamCase('a piece of another run', piece('r2', 1), false),
-  streamCase('an early end that looks whole', stream('r1', 3)),
+  streamCheck('a missing event', piece('r1', 1) + piece('r1', 3), false),
+  streamCheck('a duplicated event', piece('r1', 1) + piece('r1', 1), false),
+  streamCheck('an event of another request', piece('r2', 1), false),
+  streamCheck('an early end that looks complete', stream('r1', 3)),
   {
     name: 'a second run of a booking',
-    promise: 'at most once',
+    guarantee: 'at most once',
     add: ({attempts, arrivals}) => {
       attempts.push(attempt({kind: RequestKind.UNSAFE}));
       arrivals.push(arrival(), arrival({target: 'i-2'}));
     },
   },
   {
-    name: 'a refusal of what ran',
-    promise: 'has not run',
+    name: 'a refusal of a request that ran',
+    guarantee: 'has not run',
     add: ({attempts, arrivals}) => {
       attempts.push(attempt({kind: RequestKind.UNSAFE, status: 503}));
       arrivals.push(arrival());
     },
   },
   {
-    name: 'a late answer',
-    promise: 'by its deadline',
+    name: 'a late response',
+    guarantee: 'by its deadline',
     add: ({attempts}) => {
       const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
       attempts.push(attempt({endMs}));
     },
   },
   {
-    name: 'a connection that ends without an answer',
-    promise: 'answers each request',
+    name: 'a connection that ends without a response',
+    guarantee: 'responds to each request',
     add: ({attempts}) =>
       attempts.push(attempt({status: undefined, isWhole: false})),
   },
   {
-    name: 'an answer that a planned stop cut off',
-    promise: 'cuts nothing off',
+    name: 'a response interrupted by a graceful shutdown',
+    guarantee: 'interrupts no request',
     add: ({attempts, entryEnds}) => {
       attempts.push(attempt({isWhole: false}));
       entryEnds.push({
@@ -163,7 +163,7 @@
   },
   {
     name: 'failures after the faults',
-    promise: 'back after the faults',
+    guarantee: 'recovers after the faults',
     add: ({attempts, calmFromMs}) => {
       for (let i = 0; i < 5; i++) {
         const sentMs = calmFromMs + 1 + i;
@@ -172,8 +172,8 @@
     },
   },
   {
-    name: 'a run with a key that was taken away',
-    promise: 'refused in time',
+    name: 'a run with a revoked key',
+    guarantee: 'refused in time',
     add: ({configs, attempts, arrivals}) => {
       configs.push(config(2, START_MS), config(3, START_MS));
       const sentMs = START_MS + KEY_REVOCATION_MS + 1;
@@ -182,21 +182,21 @@
     },
   },
   {
-    name: 'a refusal of a key that is there',
-    promise: 'in force in seconds',
+    name: 'a refusal of a valid key',
+    guarantee: 'applied within seconds',
     add: ({attempts}) => {
       const sentMs = START_MS + CONFIG_APPLY_MS + 1;
       attempts.push(attempt({sentMs, keyVersion: 1, status: 401}));
     },
   },
   {
-    name: 'a refusal of the key that is always there',
-    promise: 'in force in seconds',
+    name: 'a refusal of the permanent key',
+    guarantee: 'applied within seconds',
     add: ({attempts}) => attempts.push(attempt({status: 401})),
   },
   {
-    name: 'a process that forgets a version',
-    promise: 'never reverts',
+    name: 'a process that rejects the key of a version it has used',
+    guarantee: 'never reverts',
     add: ({configs, attempts, arrivals}) => {
       configs.push(config(2, LATER_MS));
       const sentMs = LATER_MS + 1_000;
@@ -208,8 +208,8 @@
     },
   },
   {
-    name: 'a process that uses a key it has seen taken away',
-    promise: 'never reverts',
+    name: 'a process that accepts a key after applying its revocation',
+    guarantee: 'never reverts',
     add: ({configs, attempts, arrivals}) => {
       configs.push(config(2, LATER_MS), config(3, LATER_MS));
       const sentMs = LATER_MS + 1_000;
@@ -225,7 +225,7 @@
   },
   {
     name: 'a moved route at its old service',
-    promise: 'moved to',
+    guarantee: 'by its new service',
     add: ({configs, attempts, arrivals}) => {
       configs.push(config(2, LATER_MS - CONFIG_APPLY_MS - 100));
       attempts.push(attempt({kind: RequestKind.MOVING}));
@@ -233,8 +233,8 @@
     },
   },
   {
-    name: 'work for a target that leaves',
-    promise: 'leaving target',
+    name: 'new work for a draining target',
+    guarantee: 'draining target',
     add: ({attempts, arrivals, leavings}) => {
       attempts.push(attempt());
       leavings.push({target: 'i-1', ackMs: LATER_MS - DRAIN_NOTICE_MS});
@@ -242,8 +242,8 @@
     },
   },
   {
-    name: 'runs that go on without their callers',
-    promise: 'ends when its caller goes',
+    name: 'runs that continue after their callers disconnected',
+    guarantee: 'ends when its caller disconnects',
     add: ({attempts, arrivals}) => {
       for (const id of ['a', 'b', 'c', 'd']) {
         const hungUpMs = LATER_MS + 500;
@@ -256,8 +256,8 @@
     },
   },
   {
-    name: 'two runs of a stream at once',
-    promise: 'do not overlap',
+    name: 'two concurrent runs of a stream',
+    guarantee: 'do not overlap',
     add: ({attempts, arrivals}) => {
       attempts.push(attempt({kind: RequestKind.STREAM}));
       const nextMs = LATER_MS + 100;
@@ -270,16 +270,16 @@
     },
   },
   {
-    name: 'a storm of retries',
-    promise: 'within their budget',
+    name: 'more retries than the budget allows',
+    guarantee: 'within their budget',
     add: ({attempts, arrivals}) => {
       attempts.push(attempt());
       for (let i = 0; i < RETRY_SLACK + 5; i++) arrivals.push(arrival());
     },
   },
   {
-    name: 'a process that ends by itself',
-    promise: 'ends by itself',
+    name: 'a process that exits unexpectedly',
+    guarantee: 'exits unexpectedly',
     add: ({entryEnds}) =>
       entryEnds.push({
         entry: ENTRY,
@@ -291,27 +291,27 @@
       }),
   },
   {
-    name: 'a line that is no JSON',
-    promise: 'JSON lines only',
+    name: 'a log line that is not JSON',
+    guarantee: 'JSON lines only',
     add: ({strayLines}) => strayLines.push('Error: oops'),
   },
 ];
 
 describe('findViolations', () => {
-  it('finds nothing in a calm run', () => {
-    expect(findViolations(calmHistory())).toEqual([]);
+  it('finds no violation in a run without faults', () => {
+    expect(findViolations(faultFreeHistory())).toEqual([]);
   });
 
-  it.each(CASES)('finds $name', ({promise, add}) => {
-    const history = calmHistory();
+  it.each(CASES)('finds $name', ({guarantee, add}) => {
+    const history = faultFreeHistory();
     add(history);
     const found = findViolations(history);
-    const promises = new Set(found.map((violation) => violation.promise));
-    expect([...promises]).toEqual([expect.stringContaining(promise)]);
+    const guarantees = new Set(found.map((violation) => violation.promise));
+    expect([...guarantees]).toEqual([expect.stringContaining(guarantee)]);
   });
 
-  it('excuses a late answer of an entry that was just under a fault', () => {
-    const history = calmHistory();
+  it('ignores a late response of an entry shortly after a fault', () => {
+    const history = faultFreeHistory();
     const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
     history.attempts.push(attempt({endMs}));
     history.disturbances.push({
@@ -323,8 +323,8 @@
     expect(findViolations(history)).toEqual([]);
   });
 
-  it('excuses a run that began late and ended at once', () => {
-    const history = calmHistory();
+  it('ignores an overlapping run that ended immediately', () => {
+    const history = faultFreeHistory();
     history.attempts.push(attempt({kind: RequestKind.STREAM}));
     const nextMs = LATER_MS + 100;
     const endedMs = nextMs + MAX_OVERLAP_MS + 1;
@@ -340,8 +340,8 @@
     expect(findViolations(history)).toEqual([]);
   });
 
-  it('excuses a process that was stopped before it ran', () => {
-    const history = calmHistory();
+  it('ignores a process that was stopped before it listened', () => {
+    const history = faultFreeHistory();
     const end = {entry: ENTRY, lifetime: 1, code: null, wasKilled: false};
     history.entryEnds.push({
       ...end,
@@ -352,8 +352,8 @@
     expect(findViolations(history)).toEqual([]);
   });
 
-  it('excuses no second run of a booking, whatever was under a fault', () => {
-    const history = calmHistory();
+  it('finds a second run of a booking even during a fault', () => {
+    const history = faultFreeHistory();
     history.attempts.push(attempt({kind: RequestKind.UNSAFE}));
     history.arrivals.push(arrival(), arrival({target: 'i-2'}));
     const fault = {kind: 'entry_pause', fromMs: 0, toMs: Infinity};
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers that keep their connections until the entry's process is gone. */
+/** Callers that keep using one connection until it is closed or fails. */
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -26,7 +26,7 @@
   [RequestKind.MOVING]: SitePath.MOVING,
 };
 
-/** Shares of the kinds of requests: each entry of the list is as likely. */
+/** Mix of request kinds; each list element is equally likely. */
 const REQUEST_MIX = [
   RequestKind.SAFE,
   RequestKind.UNSAFE,
@@ -35,32 +35,32 @@
   RequestKind.MOVING,
 ];
 
-/** Share of the streams that callers give up. */
+/** Share of the streams that callers abort, and the latest time to do so. */
 const ABORT_SHARE = 0.1;
 const MAX_ABORT_MS = 1_500;
 
-/** Share of the requests with a key that comes and goes. */
+/** Share of the requests with a key that configuration changes revoke. */
 const CHANGING_KEY_SHARE = 0.4;
 
-/** Pause between two requests of a caller, in milliseconds. */
+/** Longest pause between two requests of a caller, in milliseconds. */
 const MAX_PAUSE_MS = 120;
 
-/** Pause of a caller that finds no entry, in milliseconds. */
+/** Pause of a caller while no entry is ready, in milliseconds. */
 const NO_ENTRY_PAUSE_MS = 100;
 
 const PROBE_INTERVAL_MS = 200;
 
-/** Questions without a yes that take an entry out. */
+/** Consecutive failed readiness probes that remove an entry. */
 const UNREADY_THRESHOLD = 2;
 
-/** Knows which entries take new connections. */
+/** Probes the entries and lists those that accept new connections. */
 export class LoadBalancer {
   private readonly failures = new Map<SoakEntry, number>();
   private isStopped = false;
 
   constructor(private readonly entries: readonly SoakEntry[]) {}
 
-  /** Asks all entries again and again until it is stopped. */
+  /** Probes all entries periodically until it is stopped. */
   async run(): Promise<void> {
     while (!this.isStopped) {
       await Promise.all(this.entries.map((entry) => this.probe(entry)));
@@ -72,7 +72,7 @@
     this.isStopped = true;
   }
 
-  /** Entries that take new connections. */
+  /** Entries that accept new connections. */
   readyEntries(): SoakEntry[] {
     return this.entries.filter((entry) => {
       return (this.failures.get(entry) ?? 0) < UNREADY_THRESHOLD;
@@ -80,12 +80,12 @@
   }
 
   private async probe(entry: SoakEntry): Promise<void> {
-    const misses = (this.failures.get(entry) ?? 0) + 1;
-    this.failures.set(entry, (await entry.isReady()) ? 0 : misses);
+    const failures = (this.failures.get(entry) ?? 0) + 1;
+    this.failures.set(entry, (await entry.isReady()) ? 0 : failures);
   }
 }
 
-/** Sends one request after the other until it is stopped. */
+/** Sends requests sequentially until it is stopped. */
 export class SoakCaller {
   private readonly random: RandomSource;
   private agent = new Agent({keepAlive: true, maxSockets: 1});
@@ -109,8 +109,8 @@
         await sleep(NO_ENTRY_PAUSE_MS);
         continue;
       }
-      const isKept = await this.request(this.entry);
-      if (!isKept) this.disconnect();
+      const isReusable = await this.request(this.entry);
+      if (!isReusable) this.disconnect();
       await sleep(this.random.below(MAX_PAUSE_MS));
     }
     this.agent.destroy();
@@ -120,7 +120,7 @@
     this.isStopped = true;
   }
 
-  /** Sends a request; tells whether its connection may be used again. */
+  /** Sends a request; returns whether its connection may be reused. */
   private async request(entry: SoakEntry): Promise<boolean> {
     const kind = this.pick(REQUEST_MIX)!;
     const isStream = kind === RequestKind.STREAM;
@@ -137,7 +137,7 @@
       sentMs,
     };
     const signal = AbortSignal.timeout(abortMs ?? deadlineMs + ABORT_MARGIN_MS);
-    const reply = await sendSiteRequest({
+    const res = await sendSiteRequest({
       ...entry.callers,
       agent: this.agent,
       path: PATHS[kind],
@@ -152,11 +152,11 @@
     const attempt: Attempt = {
       ...request,
       endMs,
-      ...outcomeOf(reply, request.id),
+      ...outcomeOf(res, request.id),
       hungUpMs: hasAborted ? sentMs + abortMs : undefined,
     };
     this.site.history.attempts.push(attempt);
-    return attempt.isWhole && reply?.headers.connection !== 'close';
+    return attempt.isWhole && res?.headers.connection !== 'close';
   }
 
   private disconnect(): void {
@@ -170,7 +170,7 @@
     return 1 + this.random.below(MAX_ABORT_MS);
   }
 
-  /** Mostly a key that is there; at times one that was taken away. */
+  /** Draws mostly a valid key, sometimes a revoked one. */
   private drawKeyVersion(): number {
     if (this.random.float() >= CHANGING_KEY_SHARE) return 0;
     const accepted = this.site.history.configs.filter(
@@ -186,10 +186,10 @@
   }
 }
 
-function outcomeOf(reply: SiteResponse | undefined, id: string) {
-  if (reply === undefined) return {text: '', isWhole: false, isProven: false};
-  const {status, text, isComplete: isWhole, headers} = reply;
-  const hasOwnId = headers['attempt-id'] === id;
-  const isProven = hasOwnId && headers['server-stamp'] !== undefined;
+function outcomeOf(res: SiteResponse | undefined, id: string) {
+  if (res === undefined) return {text: '', isWhole: false, isProven: false};
+  const {status, text, isComplete: isWhole, headers} = res;
+  const idMatches = headers['attempt-id'] === id;
+  const isProven = idMatches && headers['server-stamp'] !== undefined;
   return {status, text, isWhole, isProven};
 }
--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -1,4 +1,4 @@
-/** Promises about configurations, keys, targets and processes. */
+/** Guarantees about configurations, keys, targets and processes. */
 import {
   CONFIG_APPLY_MS,
   CANCEL_TIMEOUT_MS,
@@ -14,27 +14,27 @@
 import type {GuaranteeCheck} from './types.js';
 import {entryComponent, targetComponent} from './types.js';
 
-/** Statuses by which a configuration is said to allow no such request. */
+/** Statuses for requests that the active configuration does not allow. */
 const DENIED_STATUSES = [401, 403, 404];
 
-/** A version takes away the key that came this many versions before. */
+/** A version revokes the key that was added this many versions before. */
 export const KEY_LIFETIME_VERSIONS = 2;
 
-/** Time in which an answer may cross a newer configuration. */
+/** Time for which responses may still follow an older configuration. */
 const CONFIG_CHANGE_TOLERANCE_MS = 500;
 
-/** Share of the cancelled streams whose runs may go on. */
+/** Largest tolerated share of aborted streams whose runs continue. */
 const MAX_UNCANCELLED_SHARE = 0.25;
 
-/** Fewest cancelled streams by which that share is judged. */
+/** Minimum number of aborted streams for checking that share. */
 const MIN_CANCELLED = 4;
 
-/** Arrivals at model servers and plain services have budgets of their own. */
+/** Service of the model servers; their retry budget is separate. */
 const WRITERS = 'writers';
 
-/** A key that was taken away opens nothing, whatever else has failed. */
+/** A revoked key is not accepted, whatever other faults there are. */
 export const REVOKED_KEYS: GuaranteeCheck = {
-  guarantee: 'a key that was taken away is refused in time',
+  guarantee: 'a revoked key is refused in time',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, keyVersion, hasRun}) => {
@@ -48,9 +48,9 @@
   },
 };
 
-/** An accepted configuration is in force in seconds. */
+/** An accepted configuration is applied within seconds. */
 export const CONFIG_APPLIED: GuaranteeCheck = {
-  guarantee: 'an accepted configuration is in force in seconds',
+  guarantee: 'an accepted configuration is applied within seconds',
   find: (history) =>
     history.attempts
       .filter(({status = 0}) => DENIED_STATUSES.includes(status))
@@ -68,11 +68,11 @@
       })
       .map(({id, status, keyVersion}) => ({
         id,
-        detail: `answered ${status} with key ${keyVersion}`,
+        detail: `status ${status} for key ${keyVersion}`,
       })),
 };
 
-/** A process that has used a configuration uses no older one later. */
+/** A process never uses an older configuration than before. */
 export const NO_CONFIG_ROLLBACK: GuaranteeCheck = {
   guarantee: 'a configuration never reverts',
   find: (history) => {
@@ -99,14 +99,14 @@
       })
       .map(({id, entry, keyVersion}) => ({
         id,
-        detail: `${entry} went back behind version ${keyVersion}`,
+        detail: `${entry} reverted its configuration at key version ${keyVersion}`,
       }));
   },
 };
 
-/** A route that was moved is served by its new service. */
+/** A moved route is served by its new service. */
 export const MOVED_ROUTES: GuaranteeCheck = {
-  guarantee: 'a moved route is served where it was moved to',
+  guarantee: 'a moved route is served by its new service',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, service, atMs}) => {
@@ -124,9 +124,9 @@
   },
 };
 
-/** A target that leaves gets no new work. */
+/** A draining target gets no new work. */
 export const DRAINING_TARGETS: GuaranteeCheck = {
-  guarantee: 'a leaving target gets no new work after seconds',
+  guarantee: 'a draining target gets no new work after a few seconds',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.leavings.flatMap(({target, ackMs}) =>
@@ -143,15 +143,15 @@
         })
         .map(({attemptId, atMs}) => ({
           id: attemptId,
-          detail: `reached ${target} ${atMs - ackMs} ms after it left`,
+          detail: `reached ${target} ${atMs - ackMs} ms after it began draining`,
         })),
     );
   },
 };
 
-/** Runs end soon after their callers went. */
+/** Runs end soon after their callers disconnected. */
 export const CANCELLED_RUNS: GuaranteeCheck = {
-  guarantee: 'work ends when its caller goes',
+  guarantee: 'a run ends when its caller disconnects',
   find: (history) => {
     const arrivals = history.arrivalsById();
     const cancelled = history.attempts.flatMap(({id, entry, hungUpMs}) => {
@@ -167,11 +167,11 @@
       cancelled.length < MIN_CANCELLED ||
       stillRunning.length <= cancelled.length * MAX_UNCANCELLED_SHARE;
     if (isWithinLimit) return [];
-    return stillRunning.map(({id}) => ({id, detail: 'its run went on'}));
+    return stillRunning.map(({id}) => ({id, detail: 'its run continued'}));
   },
 };
 
-/** A stream goes on elsewhere only once its former run has ended. */
+/** A stream resumes at another target only after its previous run has ended. */
 export const NO_OVERLAPPING_RUNS: GuaranteeCheck = {
   guarantee: 'two runs of one stream do not overlap',
   find: (history) => {
@@ -225,25 +225,26 @@
   },
 };
 
-/** Processes end only when they are told to, and in time. */
+/** Processes exit only when killed or stopped; a stop ends with status 0. */
 export const NO_UNEXPECTED_EXITS: GuaranteeCheck = {
-  guarantee: 'no process ends by itself; planned stops end as planned',
+  guarantee:
+    'no process exits unexpectedly; graceful shutdowns exit with status 0',
   find: (history) =>
     history.entryEnds
       .filter(({wasKilled}) => !wasKilled)
-      // Node itself ends on a signal that comes before it runs any code.
+      // Node.js itself exits on a signal that arrives before any code runs.
       .filter(({stopMs, hasListened}) => hasListened || stopMs === undefined)
       .filter(({code, stopMs}) => stopMs === undefined || code !== 0)
-      .map(({entry, code}) => ({id: entry, detail: `ended with ${code}`})),
+      .map(({entry, code}) => ({id: entry, detail: `exited with ${code}`})),
 };
 
-/** Logs are JSON lines, and nothing else is written. */
+/** Processes write nothing but JSON log lines. */
 export const JSON_LOGS: GuaranteeCheck = {
   guarantee: 'processes write JSON lines only',
   find: ({strayLines}) => strayLines.map((line) => ({id: 'log', detail: line})),
 };
 
-/** When the first of two runs ended. */
+/** End of the run that ended first. */
 function firstEndMs(a: Arrival, b: Arrival): number {
   return Math.min(a.endedMs ?? Infinity, b.endedMs ?? Infinity);
 }
@@ -256,7 +257,7 @@
   return history.configs.find((config) => config.version === version);
 }
 
-/** The newest version that the process is known to have used before. */
+/** The newest version that the process had used before the attempt. */
 function newestUsedVersion(
   history: History,
   attempt: Attempt,
@@ -297,7 +298,7 @@
   return {service: kind === RequestKind.STREAM ? WRITERS : 'desk'};
 }
 
-/** Times of the arrivals beyond the first of each request. */
+/** Arrival times of all but the first arrival of each request. */
 function retryTimes(arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   return arrivals
@@ -309,7 +310,7 @@
     .map(({atMs}) => atMs);
 }
 
-/** The most requests of the window, the one before, or half before. */
+/** Largest request count of the windows that end 0, 0.5 and 1 window earlier. */
 function peakRequestCount(sentMs: readonly number[], endMs: number): number {
   const ends = [0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS];
   const counts = ends.map((shiftMs) => {
--- a/tools/soak/checks/index.ts
+++ b/tools/soak/checks/index.ts
@@ -1,4 +1,4 @@
-/** The promises of the product, checked against what one run showed. */
+/** The guarantees of the product, checked against the history of a run. */
 import type {History} from '../history.js';
 import {
   ALL_ANSWERED,
@@ -27,7 +27,7 @@
 export type {GuaranteeCheck, Violation} from './types.js';
 export {entryComponent, targetComponent} from './types.js';
 
-/** All promises that the soak checks. */
+/** All guarantees that the soak checks. */
 export const GUARANTEES: readonly GuaranteeCheck[] = [
   COMPLETE_RESPONSES,
   COMPLETE_STREAMS,
@@ -50,7 +50,7 @@
 ];
 
 /**
- * Finds all broken promises of a run.
+ * Finds all violated guarantees of a run.
  *
  * @example
  * const violations = findViolations(history);
--- a/tools/soak/checks/responses.ts
+++ b/tools/soak/checks/responses.ts
@@ -1,4 +1,4 @@
-/** Promises about what callers get. */
+/** Guarantees about the responses that callers receive. */
 import {createParser} from 'eventsource-parser';
 
 import {
@@ -13,15 +13,15 @@
 import type {GuaranteeCheck} from './types.js';
 import {entryComponent, isServed, componentsOf} from './types.js';
 
-/** Statuses that say that a request has not run and will not run. */
+/** Statuses which state that a request has not run and will not run. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
-/** Fewest requests by which the recovery is judged. */
+/** Minimum number of requests for the recovery check. */
 const MIN_RECOVERY_REQUESTS = 10;
 
-/** A success is the caller's own answer, with its proof, to the last byte. */
+/** A successful response is complete, belongs to its request and is proven. */
 export const COMPLETE_RESPONSES: GuaranteeCheck = {
-  guarantee: 'each caller gets its own whole answer',
+  guarantee: 'each caller receives its own complete response',
   find: (history) =>
     history.attempts
       .filter(({kind}) => kind !== RequestKind.STREAM)
@@ -30,9 +30,10 @@
       .map(({id, text}) => ({id, detail: `got ${JSON.stringify(text)}`})),
 };
 
-/** Streams have each piece once and in order, and end after the last. */
+/** Streams have each event exactly once and in order, and end after the last. */
 export const COMPLETE_STREAMS: GuaranteeCheck = {
-  guarantee: 'no piece of a stream is missing, repeated or from another run',
+  guarantee:
+    'no event of a stream is missing, duplicated or from another request',
   find: (history) =>
     history.attempts
       .filter(({kind, status}) => kind === RequestKind.STREAM && status === 200)
@@ -42,9 +43,9 @@
       }),
 };
 
-/** What cannot be repeated runs once at most. */
+/** Non-idempotent requests run at most once. */
 export const AT_MOST_ONCE: GuaranteeCheck = {
-  guarantee: 'a request that must not be repeated runs at most once',
+  guarantee: 'a non-idempotent request runs at most once',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
@@ -58,22 +59,22 @@
   },
 };
 
-/** A refusal that says so means that nothing ran. */
+/** A request refused with one of `NOT_RUN_STATUSES` has not run. */
 export const REFUSED_NOT_RUN: GuaranteeCheck = {
-  guarantee: 'a request that was refused as not run has not run',
+  guarantee: 'a request refused as not run has not run',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
       .filter(({kind}) => kind === RequestKind.UNSAFE)
       .filter(({status = 0}) => NOT_RUN_STATUSES.includes(status))
       .filter(({id}) => arrivals.get(id)?.some(({hasRun}) => hasRun) === true)
-      .map(({id, status}) => ({id, detail: `answered ${status}, but ran`}));
+      .map(({id, status}) => ({id, detail: `refused with ${status}, but ran`}));
   },
 };
 
-/** Whatever happens to targets and store, an answer comes in time. */
+/** Responses meet their deadline despite faults of targets and the store. */
 export const DEADLINES_MET: GuaranteeCheck = {
-  guarantee: 'each request has a final answer by its deadline',
+  guarantee: 'each request has a final response by its deadline',
   find: (history) =>
     history.attempts
       .filter(({kind, sentMs, endMs}) => {
@@ -90,9 +91,9 @@
       })),
 };
 
-/** Connections end without an answer only where something broke them. */
+/** Connections end without a response only because of a fault. */
 export const ALL_ANSWERED: GuaranteeCheck = {
-  guarantee: 'a calm entry answers each request',
+  guarantee: 'an entry without faults responds to each request',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
@@ -109,13 +110,13 @@
         );
         return isFaultFree && !processEnded(attempt, history.entryEnds);
       })
-      .map(({id, entry}) => ({id, detail: `no answer from ${entry}`}));
+      .map(({id, entry}) => ({id, detail: `no response from ${entry}`}));
   },
 };
 
-/** A planned stop lets open requests end. */
+/** A graceful shutdown lets open requests finish. */
 export const GRACEFUL_SHUTDOWN: GuaranteeCheck = {
-  guarantee: 'a planned stop cuts nothing off',
+  guarantee: 'a graceful shutdown interrupts no request',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.entryEnds.flatMap((end) => {
@@ -133,14 +134,17 @@
           const {sentMs, endMs} = attempt;
           return wasAccepted && history.components(components, sentMs, endMs);
         })
-        .map(({id, entry}) => ({id, detail: `cut off as ${entry} stopped`}));
+        .map(({id, entry}) => ({
+          id,
+          detail: `interrupted as ${entry} stopped`,
+        }));
     });
   },
 };
 
-/** Once the faults are over, requests succeed again. */
+/** Requests succeed again after all faults. */
 export const RECOVERY: GuaranteeCheck = {
-  guarantee: 'service is back after the faults',
+  guarantee: 'the service recovers after the faults',
   find: (history) => {
     const last = history.attempts.filter(
       ({sentMs, hungUpMs, keyVersion}) =>
@@ -166,7 +170,7 @@
     }
   }
   const isEarly = attempt.isWhole && pieces.length !== STREAM_EVENTS;
-  return isEarly ? `ended as whole after ${pieces.length}` : undefined;
+  return isEarly ? `ended as complete after ${pieces.length}` : undefined;
 }
 
 function processEnded(
--- a/tools/soak/checks/types.ts
+++ b/tools/soak/checks/types.ts
@@ -1,36 +1,36 @@
-/** What the promises of the product are checked against. */
+/** Types and helpers of the guarantee checks. */
 import type {Arrival, Attempt, History} from '../history.js';
 
-/** A promise that was broken, and how. */
+/** A violated guarantee. */
 export interface Violation {
   readonly promise: string;
-  /** Id of the request, or name of the part, that shows it. */
+  /** Id of the request, or name of the component, that shows it. */
   readonly id: string;
   readonly detail: string;
 }
 
-/** A promise of the product, judged after a run. */
+/** A guarantee of the product, checked after a run. */
 export interface GuaranteeCheck {
   readonly guarantee: string;
   readonly find: (history: History) => Array<Omit<Violation, 'promise'>>;
 }
 
-/** Part of the site: an entry. */
+/** Component name of an entry. */
 export function entryComponent(name: string): string {
   return `entry:${name}`;
 }
 
-/** Part of the site: a target. */
+/** Component name of a target. */
 export function targetComponent(id: string): string {
   return `target:${id}`;
 }
 
-/** Whether a request got its full answer from a target. */
+/** Whether a request received a complete response with status 200. */
 export function isServed(attempt: Attempt): boolean {
   return attempt.status === 200 && attempt.isWhole;
 }
 
-/** All parts that a request touched, but for the store. */
+/** The entry and the targets that a request reached. */
 export function componentsOf(
   attempt: Attempt,
   arrivals: readonly Arrival[],
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -1,4 +1,4 @@
-/** Plays the faults of a plan on a site. */
+/** Injects the planned faults into a site. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Kind} from '../../platform/names.js';
@@ -19,23 +19,23 @@
 
 const MAX_DELAY_MS = 400;
 
-/** How long a leaving target stays beyond the time without new work. */
+/** Time for which a draining target runs after `DRAIN_NOTICE_MS`. */
 const DRAIN_EXTENSION_MS = 1_500;
 
-/** Pause before an entry's next process, in milliseconds. */
+/** Delay before a stopped entry is started again, in milliseconds. */
 const RESTART_DELAY_MS = 400;
 
-/** What a fault is played on. */
+/** A planned fault and the components that it may affect. */
 interface FaultContext {
   readonly site: SoakSite;
   readonly planned: PlannedFault;
   readonly entry: SoakEntry;
   readonly target: SoakTarget;
-  /** Targets of one zone. */
+  /** All targets of one zone. */
   readonly zone: readonly SoakTarget[];
 }
 
-/** Begins a fault, waits, and ends it. */
+/** Starts a fault, waits for its duration, and ends it. */
 type FaultInjector = (context: FaultContext) => Promise<void>;
 
 const INJECTORS: Readonly<Record<FaultKind, FaultInjector>> = {
@@ -58,7 +58,8 @@
         entry.resume();
       },
     ),
-  // A planned stop is no fault: nothing excuses what it cuts off.
+  // A graceful shutdown is not recorded as a fault: it must not interrupt
+  // requests.
   [FaultKind.ENTRY_STOP]: async ({entry}) => {
     if (!entry.isUp) return;
     await entry.stop();
@@ -107,7 +108,8 @@
     withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, () =>
       site.store.execute('cutWaiters', undefined),
     ),
-  // Another writer leaves what names no target; no other target may suffer.
+  // Another writer stores a malformed target; other targets must not be
+  // affected.
   [FaultKind.STORE_JUNK]: async ({site, planned}) => {
     const junk = {kind: Kind.TARGETS, name: `junk-${planned.atMs}`};
     const spec = {service: 7, address: 'nowhere', state: planned.variant};
@@ -169,22 +171,22 @@
 };
 
 /**
- * Plays one fault from its begin to its end.
+ * Injects one fault and resolves when it has ended.
  *
  * @example
- * await playEpisode(site, {kind: FaultKind.TARGET_KILL, ...});
+ * await injectFault(site, {kind: FaultKind.TARGET_KILL, ...});
  */
 export async function injectFault(
   site: SoakSite,
   planned: PlannedFault,
 ): Promise<void> {
-  const pick = <T>(parts: readonly T[]): T =>
-    parts[Math.floor(planned.part * parts.length)]!;
+  const pick = <T>(candidates: readonly T[]): T =>
+    candidates[Math.floor(planned.part * candidates.length)]!;
   const zoneName = pick(ZONES);
   const zone = site.targets.filter((target) => target.zone === zoneName);
   const entry = pick(site.entries);
   const target = pick(site.targets);
-  // All targets may be down at once.
+  // All targets may be down at the same time.
   if (target === undefined) return;
   await INJECTORS[planned.kind]({site, planned, entry, target, zone});
 }
@@ -194,7 +196,7 @@
   readonly planned: PlannedFault;
 }
 
-/** Plays a fault and notes which parts were under it, and when. */
+/** Injects a fault; records the affected components and its start and end. */
 async function withRecordedFault(
   {site, planned, parts}: FaultScope & {parts: readonly string[]},
   inject: () => Promise<void>,
@@ -243,7 +245,7 @@
   );
 }
 
-/** A target says that it leaves, serves on for a time, and ends. */
+/** Registers a target as draining, lets it serve for a time, replaces it. */
 async function drainTarget({
   site,
   target,
--- a/tools/soak/history.ts
+++ b/tools/soak/history.ts
@@ -1,4 +1,4 @@
-/** What callers, targets and the operator saw in one run of the soak. */
+/** Record of the requests, runs, faults and exits of one soak run. */
 import {FAULT_AFTERMATH_MS} from './consts.js';
 
 /** Kinds of requests that callers send. */
@@ -14,24 +14,24 @@
   readonly id: string;
   readonly kind: RequestKind;
   readonly entry: string;
-  /** Starts of the entry until then. */
+  /** Number of the entry's process starts at that time. */
   readonly lifetime: number;
-  /** Version of the configuration that brought the key; 0: always there. */
+  /** Configuration version that added the key; 0 for the permanent key. */
   readonly keyVersion: number;
   readonly sentMs: number;
   readonly endMs: number;
-  /** Missing where the connection ended without an answer. */
+  /** Undefined if the connection ended without a response. */
   readonly status?: number;
   readonly text: string;
-  /** Whether the answer ended as its framing says. */
+  /** Whether the body was complete according to its HTTP framing. */
   readonly isWhole: boolean;
-  /** Whether the answer bears the proof of a target and the request's id. */
+  /** Whether the response has the `Server-Stamp` and the request's id. */
   readonly isProven: boolean;
-  /** When the caller gave up by its own choice. */
+  /** Time at which the caller deliberately aborted the request. */
   readonly hungUpMs?: number;
 }
 
-/** A request at a target. */
+/** The arrival of a request at a target. */
 export interface Arrival {
   readonly attemptId: string;
   readonly target: string;
@@ -42,7 +42,7 @@
   endedMs?: number;
 }
 
-/** A time in which a part of the site was under a fault. */
+/** The period in which a component was affected by an injected fault. */
 export interface InjectedFault {
   readonly part: string;
   readonly kind: string;
@@ -50,7 +50,7 @@
   toMs: number;
 }
 
-/** A configuration, from its sending until the store accepted it. */
+/** A configuration change, and when it was sent and accepted by the store. */
 export interface ConfigChange {
   readonly version: number;
   readonly movingTo: string;
@@ -58,29 +58,29 @@
   ackMs: number;
 }
 
-/** A target that was told to leave. */
+/** A target registered as draining, and when the store accepted that. */
 export interface DrainStart {
   readonly target: string;
   readonly ackMs: number;
 }
 
-/** The end of an entry's process. */
+/** The exit of an entry's process. */
 export interface EntryEnd {
   readonly entry: string;
   readonly lifetime: number;
   readonly code: number | null;
   readonly wasKilled: boolean;
-  /** Whether the process had got as far as serving. */
+  /** Whether the process had begun to listen. */
   readonly hasListened: boolean;
-  /** When the planned stop began, if one did. */
+  /** When a graceful shutdown was requested, if it was. */
   readonly stopMs?: number;
   readonly endedMs: number;
 }
 
-/** Part of the site: its store. */
+/** Component name of the store. */
 export const STORE_COMPONENT = 'store';
 
-/** Collects what was seen; the checks read it after the run. */
+/** Events recorded during a run, for the checks after it. */
 export class History {
   readonly attempts: Attempt[] = [];
   readonly arrivals: Arrival[] = [];
@@ -88,24 +88,24 @@
   readonly configs: ConfigChange[] = [];
   readonly leavings: DrainStart[] = [];
   readonly entryEnds: EntryEnd[] = [];
-  /** Lines of entries that are no JSON, and what they wrote to stderr. */
+  /** Log lines of entries that are not JSON, and their stderr output. */
   readonly strayLines: string[] = [];
-  /** When the last fault ended. */
+  /** Time after the last fault from which on requests must succeed. */
   calmFromMs = Number.POSITIVE_INFINITY;
-  /** Longest time for which the soak's own process was late. */
+  /** Longest delay of a timer in the soak's own process. */
   lagMs = 0;
 
-  /** Arrivals of each request, by its id. */
+  /** Arrivals grouped by request id. */
   arrivalsById(): Map<string, Arrival[]> {
     const byId = new Map<string, Arrival[]>();
     for (const arrival of this.arrivals) {
-      const others = byId.get(arrival.attemptId) ?? [];
-      byId.set(arrival.attemptId, [...others, arrival]);
+      const previous = byId.get(arrival.attemptId) ?? [];
+      byId.set(arrival.attemptId, [...previous, arrival]);
     }
     return byId;
   }
 
-  /** Whether none of the parts was under a fault, nor shortly before. */
+  /** Whether no fault affected the components in a period or shortly before. */
   components(parts: readonly string[], fromMs: number, toMs: number): boolean {
     return !this.disturbances.some(
       (fault) =>
--- a/tools/soak/main.ts
+++ b/tools/soak/main.ts
@@ -1,4 +1,4 @@
-/** Runs the soak: real processes under faults drawn from seeds. */
+/** Runs the soak test: real processes under faults generated from seeds. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -14,7 +14,7 @@
 const DEFAULT_ENTRIES = 3;
 const DEFAULT_TARGETS = 1;
 
-/** Seeds are drawn below this where none is given. */
+/** Upper limit of the random first seed, if none is given. */
 const SEED_RANGE = 1_000_000_000;
 
 interface Flags {
@@ -45,28 +45,30 @@
   );
 
 const status = await main();
-// What a run left open must not keep the program running.
+// Exits explicitly: handles left open by a run would keep the process alive.
 process.stdout.write('', () => process.exit(status));
 
 async function main(): Promise<number> {
   const flags = program.parse().opts<Flags>();
   const first = flags.seed ?? Math.floor(Math.random() * SEED_RANGE);
-  let broken = 0;
+  let failedRuns = 0;
   for (let seed = first; seed < first + flags.seeds; seed++) {
     const folder = mkdtempSync(join(tmpdir(), `soak-${seed}-`));
     const {entries, targets} = flags;
     const durationMs = flags.seconds * MS_PER_S;
     const size = {entries, targets};
     const result = await runSoak({seed, durationMs, size, folder});
-    const isRed = result.violations.length > 0;
-    if (isRed) broken++;
+    const hasFailed = result.violations.length > 0;
+    if (hasFailed) failedRuns++;
     else rmSync(folder, {recursive: true});
     const text = flags.json ? JSON.stringify(result) : describe(result);
     process.stdout.write(`${text}\n`);
-    if (isRed) process.stdout.write(`  kept in ${folder}\n`);
+    if (hasFailed) process.stdout.write(`  kept in ${folder}\n`);
   }
-  process.stdout.write(`${flags.seeds - broken} green, ${broken} red\n`);
-  return broken > 0 ? 1 : 0;
+  process.stdout.write(
+    `${flags.seeds - failedRuns} green, ${failedRuns} red\n`,
+  );
+  return failedRuns > 0 ? 1 : 0;
 }
 
 function describe(result: SoakResult): string {
--- a/tools/soak/plan.ts
+++ b/tools/soak/plan.ts
@@ -1,8 +1,8 @@
-/** Which faults come when: drawn from a seed before anything starts. */
+/** Schedule of the faults of a run, generated from a seed. */
 import {SeededRandom} from '../../src/core/clock/index.js';
 import {RECOVERY_MS} from './consts.js';
 
-/** A fault that comes from outside the processes, or a planned change. */
+/** Kinds of injected faults and planned changes. */
 export enum FaultKind {
   ENTRY_KILL = 'entry_kill',
   ENTRY_PAUSE = 'entry_pause',
@@ -32,37 +32,37 @@
   CONFIG_CHANGE = 'config_change',
 }
 
-/** One fault of a plan. */
+/** One scheduled fault. */
 export interface PlannedFault {
   readonly kind: FaultKind;
   /** Time since the start of the run, in milliseconds. */
   readonly atMs: number;
   readonly durationMs: number;
-  /** Chooses the part that is hit, 0 to 1. */
+  /** Random value from 0 to 1 that selects the affected component. */
   readonly part: number;
-  /** Chooses how it is hit, 0 to 1. */
+  /** Random value from 0 to 1 that selects a variant of the fault. */
   readonly variant: number;
 }
 
 const MIN_DURATION_MS = 150;
 const MAX_DURATION_MS = 4_000;
 
-/** Pauses between faults; short ones make faults overlap. */
+/** Longest gaps between fault starts; short gaps make faults overlap. */
 const SHORT_GAP_MS = 150;
 const LONG_GAP_MS = 2_200;
 const SHORT_GAP_SHARE = 0.45;
 
-/** Time for a first calm. */
-const START_MS = 500;
+/** Time before the first fault. */
+const FIRST_FAULT_MS = 500;
 
-/** Changes of the configuration are this many times as frequent as a fault. */
+/** Frequency of configuration changes relative to each kind of fault. */
 const CONFIG_WEIGHT = 4;
 
 /**
- * Draws the faults of one run.
+ * Generates the faults of one run.
  *
  * @example
- * const episodes = drawPlan({seed: 7, durationMs: 20_000});
+ * const plan = createPlan({seed: 7, durationMs: 20_000});
  */
 export function createPlan(options: {
   seed: number;
@@ -71,12 +71,12 @@
   const random = new SeededRandom(options.seed);
   const kinds = weightedKinds();
   const endMs = options.durationMs - RECOVERY_MS;
-  const episodes: PlannedFault[] = [];
-  let atMs = START_MS;
+  const plan: PlannedFault[] = [];
+  let atMs = FIRST_FAULT_MS;
   while (atMs < endMs) {
     const longestMs = Math.min(MAX_DURATION_MS, endMs - atMs);
     const shape = random.float() ** 2;
-    episodes.push({
+    plan.push({
       kind: kinds[random.below(kinds.length)]!,
       atMs,
       durationMs: Math.round(MIN_DURATION_MS + shape * longestMs),
@@ -87,11 +87,11 @@
     const gapMs = isShort ? SHORT_GAP_MS : LONG_GAP_MS;
     atMs += Math.round(random.float() * gapMs);
   }
-  return episodes;
+  return plan;
 }
 
 function weightedKinds(): FaultKind[] {
   const kinds = Object.values(FaultKind);
-  const more = Array<FaultKind>(CONFIG_WEIGHT - 1);
-  return [...kinds, ...more.fill(FaultKind.CONFIG_CHANGE)];
+  const extra = Array<FaultKind>(CONFIG_WEIGHT - 1);
+  return [...kinds, ...extra.fill(FaultKind.CONFIG_CHANGE)];
 }
--- a/tools/soak/regressions.ts
+++ b/tools/soak/regressions.ts
@@ -1,10 +1,10 @@
-/** Seeds that once failed; CI plays them again. */
+/** Seeds that failed once; CI runs them as regression tests. */
 
-/** A seed with what it showed. */
+/** A seed and the fault that it revealed. */
 export interface Regression {
   readonly seed: number;
   readonly durationMs: number;
-  /** What was wrong when the seed failed. */
+  /** The fault that made the seed fail. */
   readonly cause: string;
 }
 
@@ -18,31 +18,31 @@
   {
     seed: 203,
     durationMs: 20_000,
-    cause: 'a stop of an entry that was still starting ended it by the signal',
+    cause: 'stopping an entry that was still starting killed it by the signal',
   },
   {
     seed: 207,
     durationMs: 20_000,
-    cause: 'a request that arrived late and was dropped was taken for a run',
+    cause: 'a request that arrived late and was dropped was counted as a run',
   },
   {
     seed: 2001,
     durationMs: 20_000,
-    cause: 'equal requests that one lost engine had begun were held for poison',
+    cause: 'equal requests begun by one lost engine were classified as poison',
   },
   {
     seed: 2006,
     durationMs: 20_000,
-    cause: 'an entry that started while its settings were half written ended',
+    cause: 'an entry that started while its settings were half written exited',
   },
   {
     seed: 5011,
     durationMs: 20_000,
-    cause: 'the relay passed a reset on as a clean end of an unframed answer',
+    cause: 'the relay forwarded a reset as a clean end of an unframed response',
   },
   {
     seed: 7212,
     durationMs: 20_000,
-    cause: 'the stand-in store ended when a write to it broke off midway',
+    cause: 'the stand-in store exited when a write to it was interrupted',
   },
 ];
--- a/tools/soak/run.ts
+++ b/tools/soak/run.ts
@@ -1,4 +1,4 @@
-/** One run of the soak: a site, callers and faults, then the checks. */
+/** One soak run: starts a site, callers and faults, then runs the checks. */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -15,31 +15,31 @@
 import {SoakSite} from './site.js';
 import {monitorTimerLag} from './timer-lag.js';
 
-/** What one run is made from. */
+/** Parameters of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly durationMs: number;
   readonly size: SiteSize;
-  /** Folder for settings, logs and the history. */
+  /** Folder for settings, logs, the plan and the history. */
   readonly folder: string;
 }
 
-/** What one run showed. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly violations: readonly Violation[];
   readonly requests: number;
   readonly served: number;
   readonly faults: number;
-  /** Longest time for which the soak's own process was late. */
+  /** Longest delay of a timer in the soak's own process. */
   readonly lagMs: number;
 }
 
-/** Seeds of callers must not repeat those of other runs. */
+/** Distance of the caller seeds of two runs, so that no seed is reused. */
 const SEEDS_PER_RUN = 10_000;
 
 /**
- * Plays one seed from start to end.
+ * Runs the soak with one seed.
  *
  * @example
  * const {violations} = await runSoak({seed: 7, durationMs, size, folder});
@@ -106,7 +106,7 @@
   stopMonitor();
 }
 
-/** Leaves what is needed to trace a broken promise. */
+/** Writes the plan and the history, to diagnose violations. */
 function writeArtifacts(
   folder: string,
   artifacts: {plan: readonly PlannedFault[]; history: History},
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -1,4 +1,4 @@
-/** The site of one run: a store, entries and targets, and who steers them. */
+/** The site of one run: its store, entries and targets. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Kind} from '../../platform/names.js';
@@ -12,7 +12,7 @@
 import {SoakTarget} from './soak-target.js';
 import {StandInProcess} from './stand-in-process.js';
 
-/** Loopback networks, of which each soak process takes one. */
+/** Loopback addresses; each soak process uses its own subnet. */
 const FIRST_NETWORK = 20;
 const NETWORKS = 200;
 const SUBNETS = 250;
@@ -21,19 +21,19 @@
 const READY_TIMEOUT_MS = 20_000;
 const READY_POLL_MS = 100;
 
-/** How many of each there are. */
+/** Number of entries and targets. */
 export interface SiteSize {
   readonly entries: number;
   /** Targets of each service in each zone. */
   readonly targets: number;
 }
 
-/** The key that came with a version; 0 names the key that is always there. */
+/** Key added by a configuration version; the permanent key for version 0. */
 export function keyOf(version: number): string {
   return version === 0 ? KEY : `key-${version}`;
 }
 
-/** Holds all processes of a run; whoever starts a site must close it. */
+/** Owns all processes of a run; must be closed after use. */
 export class SoakSite {
   readonly entries: SoakEntry[] = [];
   targets: SoakTarget[] = [];
@@ -47,7 +47,7 @@
     private readonly options: {folder: string; size: SiteSize},
   ) {}
 
-  /** Starts everything and waits until all entries are ready. */
+  /** Starts all processes and waits until all entries are ready. */
   async start(): Promise<void> {
     const {size, folder} = this.options;
     this.store = await StandInProcess.start({script: 'store-main.js'});
@@ -90,7 +90,7 @@
       history: this.history,
     });
     this.targets.push(target);
-    // A start may cross the end of the run.
+    // The site may have been closed while the target started.
     if (this.isClosed) target.standIn.proc.kill();
   }
 
@@ -103,7 +103,7 @@
     await killed;
   }
 
-  /** Writes the next version, which moves a route and changes keys. */
+  /** Writes the next configuration, which moves a route and changes keys. */
   async changeConfig(): Promise<void> {
     const version = ++this.version;
     const {DESK, SPARE} = SiteService;
@@ -123,7 +123,7 @@
     change.ackMs = Date.now();
   }
 
-  /** Has a target answer wrongly for a time. */
+  /** Makes a target respond incorrectly for a time. */
   async applyTargetFault(
     target: SoakTarget,
     fault: Fault,
@@ -145,7 +145,7 @@
     for (const {relay} of targets) relay.mend();
   }
 
-  /** Ends all processes and waits until they are gone. */
+  /** Kills all processes and waits until they have exited. */
   async close(): Promise<void> {
     this.isClosed = true;
     const entries = this.entries.map((entry) => entry.kill());
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -1,4 +1,4 @@
-/** An entry of the soak: its processes, one after the other. */
+/** An entry of the soak and its consecutive processes. */
 import {createWriteStream, writeFileSync} from 'node:fs';
 import type {WriteStream} from 'node:fs';
 import {join} from 'node:path';
@@ -25,10 +25,10 @@
 const MS_PER_S = 1_000;
 const READINESS_TIMEOUT_MS = 400;
 
-/** Time from SIGTERM to SIGKILL beyond the grace, in milliseconds. */
+/** Time after the grace period until SIGKILL, in milliseconds. */
 const KILL_MARGIN_MS = 500;
 
-/** Where an entry is put, and what it follows. */
+/** Parameters of an entry. */
 export interface SoakEntryOptions {
   readonly name: string;
   /** Loopback address on which only this entry listens. */
@@ -40,11 +40,11 @@
   readonly history: History;
 }
 
-/** One place of an entry, whose process may end and be started anew. */
+/** An entry whose process can be stopped and started again. */
 export class SoakEntry {
-  /** Starts so far. */
+  /** Number of process starts so far. */
   lifetime = 0;
-  /** Whether a process runs and was not told to stop. */
+  /** Whether a process runs that was not requested to stop. */
   isUp = false;
   private proc?: Proc;
   private stopMs?: number;
@@ -54,7 +54,7 @@
 
   private constructor(
     private readonly options: SoakEntryOptions,
-    /** Stands between the entry and the store. */
+    /** Relay between the entry and the store. */
     readonly storeRelay: Relay,
   ) {
     this.log = createWriteStream(join(options.folder, `${options.name}.log`));
@@ -84,12 +84,12 @@
     return callersOf(this.options.address);
   }
 
-  /** Identity of the present process on this machine. */
+  /** Process id of the current process; 0 if there is none. */
   get pid(): number {
     return this.proc?.pid ?? 0;
   }
 
-  /** Starts a process and waits until it listens or ends. */
+  /** Starts a process and waits until it listens or exits. */
   async startProcess(): Promise<void> {
     this.lifetime++;
     this.stopMs = undefined;
@@ -105,14 +105,14 @@
     });
     this.isUp = true;
     void this.recordExit(this.proc, this.lifetime);
-    // A fault may end the process before it listens; its end is noted.
+    // A fault may end the process before it listens; `recordExit` records it.
     await this.proc.ready.then(
       () => (this.hasListened = true),
       () => undefined,
     );
   }
 
-  /** Ends the process with no notice. */
+  /** Kills the process. */
   async kill(): Promise<void> {
     this.isUp = false;
     this.wasKilled = true;
@@ -120,7 +120,7 @@
     await this.proc?.exited;
   }
 
-  /** Stops the process as planned, and kills it after the grace. */
+  /** Shuts the process down gracefully; kills it after the grace period. */
   async stop(): Promise<void> {
     this.isUp = false;
     this.stopMs = Date.now();
@@ -141,12 +141,12 @@
     this.proc?.resume();
   }
 
-  /** Steps the process's wall clock. */
+  /** Sets the offset of the process's wall clock. */
   stepClock(offsetMs: number): void {
     this.proc?.send({offsetMs});
   }
 
-  /** Writes the settings, whole or up to a share of them. */
+  /** Writes the settings file, or only the first `share` of its text. */
   writeSettings(share = 1): void {
     const text = this.settingsText();
     const part = text.slice(0, Math.floor(text.length * share));
@@ -154,7 +154,7 @@
     if (this.hasListened) this.proc?.reload();
   }
 
-  /** Whether the entry says that it takes new connections. */
+  /** Whether the entry reports that it accepts new connections. */
   async isReady(): Promise<boolean> {
     const url = `http://${readinessOf(this.options.address)}${Path.READY}`;
     const signal = AbortSignal.timeout(READINESS_TIMEOUT_MS);
@@ -163,7 +163,7 @@
       await body.dump();
       return statusCode === 200;
     } catch {
-      // An entry that cannot be asked takes no connections either.
+      // An entry that does not respond accepts no connections either.
       return false;
     }
   }
@@ -189,7 +189,7 @@
     try {
       JSON.parse(line);
     } catch {
-      // A process that is killed may leave half a line.
+      // A killed process may leave an incomplete line.
       if (!this.wasKilled) this.options.history.strayLines.push(line);
     }
   }
--- a/tools/soak/soak-target.ts
+++ b/tools/soak/soak-target.ts
@@ -1,4 +1,4 @@
-/** A target of the soak: its process, and the relay in front of it. */
+/** A target of the soak: its process and the relay in front of it. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Kind} from '../../platform/names.js';
@@ -18,7 +18,7 @@
 
 const HOST = '127.0.0.1';
 
-/** What a target is started with. */
+/** Parameters of a target. */
 export interface SoakTargetOptions {
   readonly id: string;
   readonly service: SiteService;
@@ -27,7 +27,7 @@
   readonly history: History;
 }
 
-/** One lifetime of a target. */
+/** A target process with its registration in the store. */
 export class SoakTarget {
   private readonly running = new Map<string, Arrival>();
 
@@ -75,7 +75,7 @@
     return this.options.zone;
   }
 
-  /** Writes the target's state to the store. */
+  /** Writes the target's registration, with its state, to the store. */
   async register(state: string): Promise<void> {
     const {id, service, zone, store} = this.options;
     const address = `${HOST}:${this.relay.port}`;
@@ -83,13 +83,13 @@
     await store.execute('put', {kind: Kind.TARGETS, name: id, spec});
   }
 
-  /** Takes the target's registration away. */
+  /** Removes the target's registration from the store. */
   async unregister(): Promise<void> {
     const {id, store} = this.options;
     await store.execute('remove', {kind: Kind.TARGETS, name: id});
   }
 
-  /** Kills the process; its registration lapses later. */
+  /** Kills the process and removes its registration after the expiry time. */
   async kill(): Promise<void> {
     this.standIn.proc.kill();
     const endedMs = Date.now();
--- a/tools/soak/stand-in-process.ts
+++ b/tools/soak/stand-in-process.ts
@@ -1,11 +1,11 @@
-/** A stand-in as a process of its own, steered by messages. */
+/** A stand-in in its own process, controlled by IPC messages. */
 import type {
   SteeringReply,
   SteeringRequest,
 } from '../../stand-ins/site/steering.js';
 import {Proc} from '../lab/proc.js';
 
-/** A stand-in process that carries out steps. */
+/** A stand-in process that executes control steps. */
 export class StandInProcess {
   private number = 0;
   private readonly pending = new Map<number, () => void>();
@@ -19,12 +19,12 @@
    * Starts a program of `stand-ins/site` and waits until it listens.
    *
    * @example
-   * const store = await SteeredStandIn.start({script: 'store-main.js'});
+   * const store = await StandInProcess.start({script: 'store-main.js'});
    */
   static async start(options: {
     script: string;
     args?: readonly string[];
-    /** Takes messages that answer no step. */
+    /** Called with messages that are not replies to steps. */
     onReport?: (report: unknown) => void;
   }): Promise<StandInProcess> {
     const {script, args = [], onReport} = options;
@@ -43,7 +43,7 @@
     return standIn;
   }
 
-  /** Has a step carried out; resolves once it is done, or the process ends. */
+  /** Executes a step; resolves when it is done or the process exits. */
   async execute(step: string, args: unknown): Promise<void> {
     const number = ++this.number;
     const done = new Promise<void>((resolve) => {
--- a/tools/soak/timer-lag.ts
+++ b/tools/soak/timer-lag.ts
@@ -1,19 +1,19 @@
-/** How late this process is. */
+/** Measures the timer lag of this process. */
 
-const PROBE_MS = 20;
+const INTERVAL_MS = 20;
 
 /**
- * Measures how late timers of this process are; returns how to end it.
+ * Reports the delay of a periodic timer; returns a function that stops it.
  *
  * @example
- * const stop = watchLag((lagMs) => console.log(lagMs));
+ * const stop = monitorTimerLag((lagMs) => console.log(lagMs));
  */
 export function monitorTimerLag(onLag: (lagMs: number) => void): () => void {
   let lastMs = performance.now();
   const timer = setInterval(() => {
     const nowMs = performance.now();
-    onLag(nowMs - lastMs - PROBE_MS);
+    onLag(nowMs - lastMs - INTERVAL_MS);
     lastMs = nowMs;
-  }, PROBE_MS);
+  }, INTERVAL_MS);
   return () => clearInterval(timer);
 }
