--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -64,7 +64,7 @@
           sentMs > added.ackMs + CONFIG_APPLY_MS &&
           endMs < (removed?.sentMs ?? Number.POSITIVE_INFINITY);
         const components = [STORE_COMPONENT, entryComponent(entry)];
-        return isValid && history.components(components, added.ackMs, endMs);
+        return isValid && history.isFaultFree(components, added.ackMs, endMs);
       })
       .map(({id, status, keyVersion}) => ({
         id,
@@ -114,7 +114,7 @@
       if (attempt?.kind !== RequestKind.MOVING) return [];
       const components = [STORE_COMPONENT, entryComponent(attempt.entry)];
       if (
-        !history.components(components, attempt.sentMs - CONFIG_APPLY_MS, atMs)
+        !history.isFaultFree(components, attempt.sentMs - CONFIG_APPLY_MS, atMs)
       )
         return [];
       const allowed = allowedServices(history, attempt.sentMs, atMs);
@@ -135,7 +135,7 @@
         .filter(({atMs}) => atMs > ackMs + DRAIN_NOTICE_MS)
         .filter(({attemptId, atMs}) => {
           const {entry = ''} = attempts.get(attemptId) ?? {};
-          return history.components(
+          return history.isFaultFree(
             [STORE_COMPONENT, entryComponent(entry)],
             ackMs,
             atMs,
@@ -159,7 +159,7 @@
       if (hungUpMs === undefined || run === undefined) return [];
       const components = [entryComponent(entry), targetComponent(run.target)];
       const limitMs = hungUpMs + CANCEL_TIMEOUT_MS;
-      if (!history.components(components, run.atMs, limitMs)) return [];
+      if (!history.isFaultFree(components, run.atMs, limitMs)) return [];
       return [{id, isStillRunning: (run.endedMs ?? Infinity) > limitMs}];
     });
     const stillRunning = cancelled.filter(({isStillRunning}) => isStillRunning);
@@ -185,7 +185,7 @@
         const overlapMs = firstEndMs(previous, next) - next.atMs;
         const targets = [previous.target, next.target].map(targetComponent);
         const components = [entryComponent(attempt.entry), ...targets];
-        const isFaultFree = history.components(
+        const isFaultFree = history.isFaultFree(
           components,
           previous.atMs,
           next.atMs,
--- a/tools/soak/checks/responses.ts
+++ b/tools/soak/checks/responses.ts
@@ -83,7 +83,7 @@
         return endMs - sentMs > limitMs + DEADLINE_TOLERANCE_MS + history.lagMs;
       })
       .filter(({entry, sentMs, endMs}) =>
-        history.components([entryComponent(entry)], sentMs, endMs),
+        history.isFaultFree([entryComponent(entry)], sentMs, endMs),
       )
       .map(({id, sentMs, endMs}) => ({
         id,
@@ -103,7 +103,7 @@
           attempt,
           arrivals.get(attempt.id) ?? [],
         );
-        const isFaultFree = history.components(
+        const isFaultFree = history.isFaultFree(
           components,
           attempt.sentMs,
           attempt.endMs,
@@ -132,7 +132,7 @@
           const wasAccepted = seen.length > 0 || attempt.sentMs < stopMs;
           const components = componentsOf(attempt, seen);
           const {sentMs, endMs} = attempt;
-          return wasAccepted && history.components(components, sentMs, endMs);
+          return wasAccepted && history.isFaultFree(components, sentMs, endMs);
         })
         .map(({id, entry}) => ({
           id,
--- a/tools/soak/history.ts
+++ b/tools/soak/history.ts
@@ -106,10 +106,14 @@
   }
 
   /** Whether no fault affected the components in a period or shortly before. */
-  components(parts: readonly string[], fromMs: number, toMs: number): boolean {
+  isFaultFree(
+    components: readonly string[],
+    fromMs: number,
+    toMs: number,
+  ): boolean {
     return !this.disturbances.some(
       (fault) =>
-        parts.includes(fault.part) &&
+        components.includes(fault.part) &&
         fault.fromMs <= toMs &&
         fault.toMs >= fromMs - FAULT_AFTERMATH_MS,
     );
