--- a/test/tools/known-red.test.ts
+++ b/test/tools/known-red.test.ts
@@ -25,13 +25,13 @@
 }
 
 const LISTS = [
-  {name: 'nothing', text: '', entries: 0, bad: 0},
+  {name: 'an empty list', text: '', entries: 0, bad: 0},
   {name: 'comments', text: '# mend first\n\n', entries: 0, bad: 0},
   {name: 'an entry', text: 'a > b | npm test | 503 | 4', entries: 1, bad: 0},
-  {name: 'a field too few', text: 'a > b | npm test | 503', entries: 0, bad: 1},
+  {name: 'a missing field', text: 'a > b | npm test | 503', entries: 0, bad: 1},
   {name: 'an empty field', text: 'a > b | | 503 | 4', entries: 0, bad: 1},
   {
-    name: 'a pattern of all',
+    name: 'a pattern that matches all tests',
     text: '* | npm test | 503 | 4',
     entries: 0,
     bad: 1,
@@ -53,44 +53,44 @@
   {pattern: 'a.b', test: 'axb', named: false},
 ];
 
-describe('namesTest', () => {
+describe('matchesTest', () => {
   it.each(NAMES)('$pattern, $test: $named', ({pattern, test, named}) => {
     expect(matchesTest({entry: entryOf(pattern), test})).toBe(named);
   });
 });
 
 const RUNS = [
-  {name: 'all pass', run: runOf({}), known: [], faults: 0, failed: 0},
+  {name: 'all tests pass', run: runOf({}), known: [], faults: 0, failed: 0},
   {
-    name: 'one fails',
+    name: 'an unlisted test fails',
     run: runOf({failed: ['b']}),
     known: [],
     faults: 1,
     failed: 1,
   },
   {
-    name: 'a listed one fails',
+    name: 'a listed test fails',
     run: runOf({failed: ['b']}),
     known: ['b'],
     faults: 0,
     failed: 1,
   },
   {
-    name: 'a listed and another one fail',
+    name: 'a listed and an unlisted test fail',
     run: runOf({failed: ['b', 'c']}),
     known: ['b'],
     faults: 1,
     failed: 2,
   },
   {
-    name: 'a listed one passes',
+    name: 'a listed test passes',
     run: runOf({}),
     known: ['a > *'],
     faults: 0,
     failed: 0,
   },
   {
-    name: 'a listed one is none',
+    name: 'an entry matches no test',
     run: runOf({}),
     known: ['z'],
     faults: 1,
@@ -104,7 +104,7 @@
     failed: 1,
   },
   {
-    name: 'one is skipped',
+    name: 'a test is skipped',
     run: runOf({
       tests: [
         {test: 'a > passes', state: TestState.PASSED},
@@ -116,14 +116,14 @@
     failed: 0,
   },
   {
-    name: 'the runner complains of something else',
+    name: 'the runner fails for another reason',
     run: runOf({runnerSucceeded: false}),
     known: [],
     faults: 1,
     failed: 0,
   },
   {
-    name: 'nothing ran',
+    name: 'no test ran',
     run: runOf({tests: []}),
     known: [],
     faults: 1,
@@ -131,14 +131,14 @@
   },
 ];
 
-describe('judge', () => {
+describe('evaluateRun', () => {
   it.each(RUNS)('when $name', ({run, known, faults, failed}) => {
     const verdict = evaluateRun({run, known: known.map(entryOf)});
     expect(verdict.problems).toHaveLength(faults);
     expect(verdict.failed).toBe(failed);
   });
 
-  it('prints what it passes over, and the counts alone on the last line', () => {
+  it('prints tolerated failures, and only the counts on the last line', () => {
     const run = runOf({failed: ['b']});
     const text = formatVerdict(evaluateRun({run, known: [entryOf('b')]}));
     const lines = text.trimEnd().split('\n');
@@ -148,7 +148,7 @@
 });
 
 describe('parseReport', () => {
-  it('reads tests, and files that failed outside of them', () => {
+  it('converts tests, and files that failed outside of their tests', () => {
     const pass = {ancestorTitles: ['', 'a'], title: 'b', status: 'passed'};
     const skipped = {ancestorTitles: [], title: 'c', status: 'skipped'};
     const report = {
@@ -165,7 +165,7 @@
     expect(run.failedFiles).toEqual(['y']);
   });
 
-  it('refuses another shape', () => {
+  it('rejects a malformed report', () => {
     expect(parseReport({report: {}, runnerSucceeded: true}).isErr()).toBe(true);
   });
 });
--- a/tools/ci/known-red.ts
+++ b/tools/ci/known-red.ts
@@ -1,13 +1,14 @@
-/** Failing tests that may land: the entries of KNOWN-RED.txt. */
+/** Entries of KNOWN-RED.txt: known failing tests that CI tolerates. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
-/** One failing test that is known and listed. */
+/** A known failing test. */
 export interface KnownRed {
-  /** Full name of the test; `*` stands for any text. */
+  /** Full name of the test; `*` matches any text. */
   readonly test: string;
-  /** Command and seed that show the failure. */
+  /** Command and seed that reproduce the failure. */
   readonly command: string;
+  /** Observed failure. */
   readonly seen: string;
   readonly issue: string;
 }
@@ -16,8 +17,8 @@
 const COMMENT = '#';
 
 /**
- * Reads the list: one entry a line, its four fields parted by `|`. Lines that
- * begin with `#` are comments. Fails with the lines that have another shape.
+ * Parses the list: one entry per line, with four fields separated by `|`.
+ * Lines that start with `#` are comments. Fails with the malformed lines.
  *
  * @example
  * parseKnownRed('gate > sheds | npx vitest run gate, seed 7 | 503 | issue 4');
@@ -25,23 +26,23 @@
 export function parseKnownRed(text: string): Result<KnownRed[], string[]> {
   const lines = text.split('\n').map((line) => line.trim());
   const entries: KnownRed[] = [];
-  const bad: string[] = [];
+  const malformed: string[] = [];
   for (const line of lines) {
     if (line === '' || line.startsWith(COMMENT)) continue;
     const fields = line.split(SEPARATOR).map((field) => field.trim());
     const [test = '', command = '', seen = '', issue = ''] = fields;
-    const isWhole = fields.length === 4 && !fields.includes('');
-    if (isWhole && test !== '*') entries.push({test, command, seen, issue});
-    else bad.push(line);
+    const isComplete = fields.length === 4 && !fields.includes('');
+    if (isComplete && test !== '*') entries.push({test, command, seen, issue});
+    else malformed.push(line);
   }
-  return bad.length === 0 ? ok(entries) : err(bad);
+  return malformed.length === 0 ? ok(entries) : err(malformed);
 }
 
 /**
- * Says whether an entry names a test.
+ * Returns whether an entry matches the full name of a test.
  *
  * @example
- * namesTest({entry, test: 'gate > sheds'});
+ * matchesTest({entry, test: 'gate > sheds'});
  */
 export function matchesTest(options: {entry: KnownRed; test: string}): boolean {
   const {entry, test} = options;
--- a/tools/ci/main.ts
+++ b/tools/ci/main.ts
@@ -1,4 +1,4 @@
-/** Runs all tests and judges them against KNOWN-RED.txt. */
+/** Runs all tests and checks the failures against KNOWN-RED.txt. */
 import {spawn} from 'node:child_process';
 import {existsSync, mkdtempSync, readFileSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -25,7 +25,7 @@
   try {
     const file = join(folder, 'report.json');
     const status = await runTests(file);
-    if (!existsSync(file)) return failRun('the runner left no report');
+    if (!existsSync(file)) return failRun('the test runner wrote no report');
     const report = JSON.parse(readFileSync(file, 'utf8')) as unknown;
     const run = parseReport({report, runnerSucceeded: status === 0});
     if (run.isErr()) return failRun(`the report is malformed: ${run.error}`);
--- a/tools/ci/verdict.ts
+++ b/tools/ci/verdict.ts
@@ -1,49 +1,49 @@
-/** Judges a run of all tests against the list of known failures. */
+/** Checks the results of all tests against the list of known failures. */
 import type {KnownRed} from './known-red.js';
 import {matchesTest} from './known-red.js';
 
-/** How one test ended. */
+/** Result of a test. */
 export enum TestState {
   PASSED = 'passed',
   FAILED = 'failed',
-  /** Skipped, or never begun since its file or its set-up failed. */
+  /** Skipped, or not started because its file or set-up failed. */
   NOT_RUN = 'not_run',
 }
 
-/** One test of a run. */
+/** A test and its result. */
 export interface TestResult {
-  /** Names of its groups and its own, parted by ` > `. */
+  /** Names of its groups and its own name, separated by ` > `. */
   readonly test: string;
   readonly state: TestState;
 }
 
-/** What a run of all tests left. */
+/** Results of a run of all tests. */
 export interface RunResult {
   readonly tests: readonly TestResult[];
-  /** Files that failed outside of their tests. */
+  /** Test files that failed outside of their tests. */
   readonly failedFiles: readonly string[];
-  /** Whether the runner itself ended without complaint. */
+  /** Whether the test runner exited with status 0. */
   readonly runnerSucceeded: boolean;
 }
 
-/** What CI says of a run. */
+/** Verdict of CI on a run. */
 export interface Verdict {
   readonly passed: number;
   readonly failed: number;
-  /** Listed failures that CI passes over. */
+  /** Listed failures that occurred and that CI tolerates. */
   readonly tolerated: readonly KnownRed[];
-  /** Listed tests that all pass now. */
+  /** Entries whose tests no longer fail. */
   readonly nowPassing: readonly KnownRed[];
-  /** Why the run is refused; empty for a green run. */
+  /** Reasons why CI fails; empty for a successful run. */
   readonly problems: readonly string[];
 }
 
 /**
- * Judges a run: every failure has to be listed, every entry has to name a
- * test, and every test has to run.
+ * Evaluates a run: every failure must be listed, every entry must match a
+ * test, and every test must run.
  *
  * @example
- * judge({run, known}).faults.length === 0;
+ * evaluateRun({run, known}).problems.length === 0;
  */
 export function evaluateRun(options: {
   run: RunResult;
@@ -55,15 +55,15 @@
   const failed = byState(TestState.FAILED);
   const isListed = (test: string): boolean =>
     known.some((entry) => matchesTest({entry, test}));
-  const names = (entry: KnownRed, tests: readonly string[]): boolean =>
+  const matchesAny = (entry: KnownRed, tests: readonly string[]): boolean =>
     tests.some((test) => matchesTest({entry, test}));
   const all = run.tests.map(({test}) => test);
-  const unknown = known.filter((entry) => !names(entry, all));
+  const unmatched = known.filter((entry) => !matchesAny(entry, all));
   const problems = [
     ...failed.filter((test) => !isListed(test)).map((t) => `failed: ${t}`),
     ...run.failedFiles.map((file) => `failed outside of its tests: ${file}`),
     ...byState(TestState.NOT_RUN).map((test) => `not run: ${test}`),
-    ...unknown.map(({test}) => `listed, but no such test: ${test}`),
+    ...unmatched.map(({test}) => `listed, but no such test: ${test}`),
   ];
   const isExplained = failed.length > 0 || problems.length > 0;
   if (!run.runnerSucceeded && !isExplained)
@@ -72,15 +72,15 @@
   return {
     passed: byState(TestState.PASSED).length,
     failed: failed.length + run.failedFiles.length,
-    tolerated: known.filter((entry) => names(entry, failed)),
+    tolerated: known.filter((entry) => matchesAny(entry, failed)),
     nowPassing: known.filter(
-      (entry) => names(entry, all) && !names(entry, failed),
+      (entry) => matchesAny(entry, all) && !matchesAny(entry, failed),
     ),
     problems,
   };
 }
 
-/** Writes a verdict; its last line counts the tests. */
+/** Formats a verdict as text; the last line contains the test counts. */
 export function formatVerdict(verdict: Verdict): string {
   const {passed, failed, tolerated, nowPassing, problems} = verdict;
   const lines = [
--- a/tools/ci/vitest-report.ts
+++ b/tools/ci/vitest-report.ts
@@ -1,4 +1,4 @@
-/** The JSON report of the test runner. */
+/** Parser of the JSON report of Vitest. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import {array, Codec, optional, string} from 'purify-ts';
@@ -26,10 +26,10 @@
 });
 
 /**
- * Reads the report of a run.
+ * Converts the JSON report of a run.
  *
  * @example
- * parseReport({report: JSON.parse(text), isClean: status === 0});
+ * parseReport({report: JSON.parse(text), runnerSucceeded: status === 0});
  */
 export function parseReport(options: {
   report: unknown;
