--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -1,6 +1,7 @@
 /**
- * Shows the whole path: starts a small site, kills the engine under a long
- * generation, checks the answer whole, and books twice under one key.
+ * End-to-end demonstration: starts a small site, kills the engine during a long
+ * generation, checks that the response is complete, and sends a booking twice
+ * with one idempotency key.
  */
 import {request} from 'undici';
 
@@ -28,7 +29,7 @@
     };
     if (counts.started > counts.finished) return target;
   }
-  throw new Error('no engine works on the generation');
+  throw new Error('no engine is running the generation');
 }
 
 async function runGeneration(site: Site): Promise<boolean> {
