--- a/tools/capacity/consts.ts
+++ b/tools/capacity/consts.ts
@@ -1,6 +1,6 @@
-/** The size of the letter and the users' limits, as the page works them out. */
+/** Reference workload and limits for the capacity calculations. */
 
-/** Entries, targets, and what they serve together at the peak. */
+/** Number of entries and targets, and their total load at the peak. */
 export const NODES = 900;
 export const TARGETS = 6_000;
 export const REQUESTS_PER_SECOND = 87_000;
@@ -12,19 +12,19 @@
 /** Time between the tokens of a stream at the peak, in seconds. */
 export const TOKEN_GAP_S = 0.05;
 
-/** Limits of control for a node. */
+/** Limits for the control overhead of a node. */
 export const CONTROL_CORE_SHARE = 0.017;
 export const CONTROL_MEMORY_BYTES = 64 * 1_024 * 1_024;
 export const CONTROL_BYTES_PER_SECOND = 9_000;
 
-/** What the platform takes in a second; "several hundred" writes. */
+/** Platform limits per second; 300 stands for "several hundred" writes. */
 export const PLATFORM_READS_PER_SECOND = 2_000;
 export const PLATFORM_WRITES_PER_SECOND = 300;
 
-/** Heartbeats a second of a target that an entry watches. */
+/** Heartbeats per second from each target that an entry watches. */
 export const HEARTBEATS_PER_SECOND = 1;
 
-/** Reads of the VM list a second by each entry. */
+/** Reads of the VM list per second by each entry. */
 export const VM_LIST_READS_PER_SECOND = 2;
 
 export const SECONDS_PER_DAY = 86_400;
--- a/tools/capacity/main.ts
+++ b/tools/capacity/main.ts
@@ -1,4 +1,4 @@
-/** Writes the tables of docs/CAPACITY.md anew from the measured JSON. */
+/** Regenerates the tables of docs/CAPACITY.md from measured slopes. */
 import {readFileSync, writeFileSync} from 'node:fs';
 
 import {fillPage} from './page.js';
--- a/tools/capacity/page.ts
+++ b/tools/capacity/page.ts
@@ -1,13 +1,13 @@
-/** Puts tables into a page, between markers. */
+/** Inserts tables into a page between markers. */
 
-/** A table and the marker that it stands behind. */
+/** A table and the name in its marker. */
 export interface NamedTable {
   readonly name: string;
   readonly text: string;
 }
 
 /**
- * Replaces what stands between `<!-- table:NAME -->` and `<!-- end -->`.
+ * Replaces the text between `<!-- table:NAME -->` and `<!-- end -->`.
  *
  * @example
  * fillPage({page, tables: [{name: 'entry', text: renderEntry(slopes)}]});
--- a/tools/capacity/slopes.ts
+++ b/tools/capacity/slopes.ts
@@ -1,9 +1,9 @@
-/** The measured slopes that the page is worked out from. */
+/** Measured slopes: costs per unit, from which the page is calculated. */
 import {readFileSync} from 'node:fs';
 
 import type {Report} from '../../bench/lib/report.js';
 
-/** Slopes by what they are used for; times in microseconds. */
+/** Slopes by use; `Us` in microseconds, `Bytes` in bytes. */
 export interface Slopes {
   readonly entryIdleUs: number;
   readonly agentIdleUs: number;
@@ -34,7 +34,7 @@
   return JSON.parse(readFileSync(file, 'utf8')) as Report;
 }
 
-/** Picks the slopes out of a report. */
+/** Extracts the slopes from a report. */
 export function resolveSlopes(report: Report): Slopes {
   const medianOf = (name: string): number => {
     const found = report.cases.find((row) => row.name === name);
@@ -54,7 +54,7 @@
     bookingCalls: medianOf('platform: object calls per booking'),
     configUs: medianOf('entry: per configuration change'),
     watchedTargetBytes: medianOf('entry: memory per watched target'),
-    // Too small to be told from noise; below 0 it counts as nothing.
+    // Within measurement noise, so the measured value may be negative.
     watchedTargetUs: Math.max(
       0,
       medianOf('entry: per watched target beside heartbeats'),
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -22,23 +22,24 @@
 
 const DIGITS = 3;
 
-/** A quantity at the letter's size. */
+/** A quantity calculated for the reference workload. */
 interface Row {
   readonly quantity: string;
+  /** Text that explains how the value is calculated. */
   readonly formula: string;
   readonly value: number;
   readonly unit: string;
-  /** Undefined where no limit is stated. */
+  /** Undefined if there is no limit. */
   readonly limit?: number;
 }
 
-/** The slopes as measured. */
+/** Renders the measured slopes. */
 export function renderSlopes(report: Report): string {
   const rows = report.cases.map((row) => [row.name, format(row.p50), row.unit]);
   return renderTable(['slope', 'measured', 'unit'], rows);
 }
 
-/** What an entry does at the letter's size. */
+/** Renders the load of an entry for the reference workload. */
 export function renderEntry(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / NODES;
   const streams = tokens * TOKEN_GAP_S;
@@ -147,7 +148,7 @@
   ]);
 }
 
-/** What an agent does at the letter's size. */
+/** Renders the load of an agent for the reference workload. */
 export function renderAgent(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / TARGETS;
   const streams = tokens * TOKEN_GAP_S;
@@ -201,7 +202,7 @@
   ]);
 }
 
-/** What the platform is asked at the letter's size. */
+/** Renders the load of the platform for the reference workload. */
 export function renderPlatform(slopes: Slopes): string {
   return renderRows([
     {
@@ -251,7 +252,7 @@
   return [head, rule, ...rows].map(line).join('\n');
 }
 
-/** Three digits, with a unit of thousands where bytes are many. */
+/** Rounds to three digits; large values get thousands separators. */
 function format(value: number): string {
   const rounded = Number(value.toPrecision(DIGITS));
   return rounded >= BYTES_PER_KB
