--- a/test/processes/booking.test.ts
+++ b/test/processes/booking.test.ts
@@ -124,11 +124,11 @@
     run: async () => {
       await setServiceFault(site, {kind: 'slow', factor: 100});
       const first = await bookDuring(async () => {
-        agents().forEach((proc) => proc.freeze());
+        agents().forEach((proc) => proc.pause());
         await Promise.resolve();
       }, SHORT_DEADLINE_MS);
       await sleep(PAUSE_MS - SHORT_DEADLINE_MS);
-      agents().forEach((proc) => proc.thaw());
+      agents().forEach((proc) => proc.resume());
       return [first, await retry()];
     },
     expected: ['unknown outcome_unknown', '*'],
@@ -153,9 +153,9 @@
       await setStoreFault(site, {mode: 'slow', delayMs: 400});
       const entry = site.entries[0]!.proc;
       const first = bookDuring(async () => {
-        entry.freeze();
+        entry.pause();
         await sleep(PAUSE_MS);
-        entry.thaw();
+        entry.resume();
       }, SHORT_DEADLINE_MS);
       await sleep(PAUSE_MS / 2);
       await setStoreFault(site, {mode: 'ok'});
@@ -223,9 +223,9 @@
       await setStoreFault(site, {mode: 'lose_write_answer', count: 1});
       await setServiceFault(site, {kind: 'slow', factor: 60});
       const first = await bookDuring(async () => {
-        agents().forEach((proc) => proc.freeze());
+        agents().forEach((proc) => proc.pause());
         await sleep(PAUSE_MS);
-        agents().forEach((proc) => proc.thaw());
+        agents().forEach((proc) => proc.resume());
       }, SHORT_DEADLINE_MS);
       return [first, await retry()];
     },
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -75,7 +75,7 @@
     });
     expect(transcript.errors).toEqual([]);
     expect(transcript.text).toBe(expectedTextOf(req));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect(transcript.finishReason).toBe(finish);
   });
 });
--- a/test/processes/generation-moves.test.ts
+++ b/test/processes/generation-moves.test.ts
@@ -27,13 +27,13 @@
     const abort = new AbortController();
     const reading = readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG_REQUEST,
+      req: LONG_REQUEST,
       transcript,
       signal: abort.signal,
-      onPiece: (t) => {
-        if (t.pieces < 10) return;
+      onChunk: (t) => {
+        if (t.chunks < 10) return;
         pausedTarget ??= faultSite.targetOf(t).then((target) => {
-          target.agent.proc.freeze();
+          target.agent.proc.pause();
           return target;
         });
       },
@@ -48,7 +48,7 @@
     });
     const target = (await pausedTarget)!;
     const before = (await readCounts(target)).cancelled;
-    target.agent.proc.thaw();
+    target.agent.proc.resume();
     await waitUntil({
       what: 'the earlier attempt is cancelled',
       timeoutMs: 5_000,
@@ -63,11 +63,11 @@
     const abort = new AbortController();
     await readStream({
       url: faultSite.site.entries[0]!.callersUrl,
-      ask: LONG_REQUEST,
+      req: LONG_REQUEST,
       transcript: createTranscript(),
       signal: abort.signal,
-      onPiece: (t) => {
-        if (t.pieces === 10) abort.abort();
+      onChunk: (t) => {
+        if (t.chunks === 10) abort.abort();
       },
     }).catch(() => undefined);
     await waitUntil({
@@ -86,7 +86,7 @@
     const transcript = await faultSite.readGeneration({
       req,
       onChunk: (t) => {
-        if (t.pieces < 20) return;
+        if (t.chunks < 20) return;
         drainingTarget ??= faultSite.targetOf(t).then((target) => {
           target.agent.proc.terminate();
           return target;
@@ -95,7 +95,7 @@
     });
     const target = (await drainingTarget)!;
     expect(transcript.text).toBe(expectedTextOf(req));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect(transcript.restarts).toBe(0);
     expect(transcript.lastEventId.split(':')[2]).not.toBe(target.vm);
     expect(await target.agent.proc.exited).toBe(0);
@@ -112,7 +112,7 @@
     });
     await setFault(engines, 'none', 1);
     expect(transcript.text).toBe(expectedTextOf({...req, maxTokens: 6}));
-    expect(transcript.ends).toBe(1);
+    expect(transcript.doneEvents).toBe(1);
     expect((await countStarted(engines)) - before).toBe(1);
   });
 });
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -5,11 +5,11 @@
 import {afterEach, describe, expect, it} from 'vitest';
 
 import {Executed, RefusalReason} from '../../src/core/errors/index.js';
-import type {Ask, Transcript} from '../../tools/lab/caller.js';
+import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {
   createTranscript,
   readStream,
-  readWhole,
+  readWithResume,
 } from '../../tools/lab/caller.js';
 import {sendControl, waitUntil} from '../../tools/lab/lab.js';
 import type {SiteOptions, Target} from '../../tools/lab/site.js';
@@ -54,13 +54,13 @@
   topic: string,
   tokens: number,
   deadlineMs = TIMEOUT_MS,
-): Ask {
+): CompletionRequest {
   const prompt = `${topic} [length=${tokens}]`;
   return {prompt, maxTokens: tokens, deadlineMs};
 }
 
-function isComplete(transcript: Transcript, req: Ask): boolean {
-  const {ends, errors, text} = transcript;
+function isComplete(transcript: Transcript, req: CompletionRequest): boolean {
+  const {doneEvents: ends, errors, text} = transcript;
   const isCorrect = text === expectedText(req.prompt, req.maxTokens);
   return ends === 1 && errors.length === 0 && isCorrect;
 }
@@ -82,7 +82,7 @@
     );
     const started = new Set<string>();
     const reading = reqs.map((req) =>
-      readWhole({urls, ask: req, onPiece: () => started.add(req.prompt)}),
+      readWithResume({urls, req: ask: req, onChunk: () => started.add(req.prompt)}),
     );
     // Two slots are reserved for resumes; all others are busy.
     const check = (): Promise<boolean> => Promise.resolve(started.size >= 22);
@@ -112,7 +112,7 @@
         createRequest(`wave ${wave} ${i}`, 150),
       );
       const reading = reqs.map((req) =>
-        readWhole({urls, ask: req, onPiece: () => started.add(req.prompt)}),
+        readWithResume({urls, req: ask: req, onChunk: () => started.add(req.prompt)}),
       );
       const check = (): Promise<boolean> =>
         Promise.resolve(started.size === 22);
@@ -140,7 +140,7 @@
     const flood = Array.from({length: 400}, (_, i) => {
       const req = createRequest(`greedy ${i}`, 50);
       const transcript = createTranscript();
-      return readStream({url, ask: req, transcript, signal}).catch(
+      return readStream({url, req: ask: req, transcript, signal}).catch(
         () => undefined,
       );
     });
@@ -148,7 +148,7 @@
     for (let i = 0; i < 6; i++) {
       const req = {...createRequest(`modest ${i}`, 50, 8_000), key: OTHER_KEY};
       const transcript = createTranscript();
-      await readStream({url, ask: req, transcript});
+      await readStream({url, req: ask: req, transcript});
       expect(transcript.errors).toEqual([]);
       expect(isComplete(transcript, req)).toBe(true);
     }
@@ -168,7 +168,7 @@
       for (let i = 0; i < 30; i++) {
         const req = createRequest(`haste ${caller} ${i}`, 20, 2_000);
         const transcript = createTranscript();
-        await readStream({url, ask: req, transcript}).catch(() => undefined);
+        await readStream({url, req: ask: req, transcript}).catch(() => undefined);
         transcripts.push(transcript);
       }
     };
--- a/test/processes/plain-calls.test.ts
+++ b/test/processes/plain-calls.test.ts
@@ -30,10 +30,10 @@
 describe('an idempotent call', () => {
   it('completes within its deadline when its target is paused', async () => {
     const paused = site.stock[0]!.standIn.proc;
-    paused.freeze();
+    paused.pause();
     const items = Array.from({length: LOOKUPS}, (_, i) => `pumice-${i}`);
     const responses = await Promise.all(items.map(lookUp));
-    paused.thaw();
+    paused.resume();
     expect(responses.map(({status}) => status)).toEqual(items.map(() => 200));
     responses.forEach(({text}, i) => expect(text).toContain(items[i]));
     responses.forEach(({elapsedMs}) =>
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,6 +1,6 @@
 /** A small site in which tests fail engines, agents and entries. */
 import {expectedAnswer} from '../../stand-ins/engine/text.js';
-import type {Ask, Transcript} from '../../tools/lab/caller.js';
+import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import type {Daemon, StandIn} from '../../tools/lab/lab.js';
 import {controlRelay, sendControl, waitUntil} from '../../tools/lab/lab.js';
@@ -52,7 +52,7 @@
 }
 
 /** The complete text that an engine generates for a request. */
-export function expectedTextOf(req: Ask): string {
+export function expectedTextOf(req: CompletionRequest): string {
   const {prompt, maxTokens, stop = []} = req;
   const {tokens} = expectedAnswer({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
@@ -91,7 +91,7 @@
 
   /** Reads a whole generation and injects the case's fault at its stage. */
   async runWithFault(options: {
-    req: Ask;
+    req: CompletionRequest;
     faultCase: FaultCase;
     /** Tokens received before the fault; by default set by the stage. */
     faultPosition?: number;
@@ -130,7 +130,7 @@
 
   /** Reads a generation to its end, at the next entry after each break. */
   async readGeneration(options: {
-    req: Ask;
+    req: CompletionRequest;
     firstIndex?: number;
     disconnectAt?: number;
     onStart?: () => void;
@@ -156,10 +156,10 @@
       let snapshot: Transcript | undefined;
       await readStream({
         url: entry.relay.url,
-        ask: req,
+        req: ask: req,
         transcript: current,
         signal: abort.signal,
-        onPiece: (t) => {
+        onChunk: (t) => {
           clearTimeout(timer);
           timer = setTimeout(abortRead, CALLER_IDLE_TIMEOUT_MS);
           if (!hasDisconnected && positionOf(t) === disconnectAt) {
@@ -177,7 +177,7 @@
         await onDisconnect?.();
         continue;
       }
-      if (transcript.ends > 0 || transcript.errors.length > 0) break;
+      if (transcript.doneEvents > 0 || transcript.errors.length > 0) break;
     }
     return transcript;
   }
@@ -192,7 +192,7 @@
   async addEntry(): Promise<void> {
     const daemon = await this.site.addEntry();
     const to = daemon.callersUrl.replace('http://', '');
-    const relay = await this.site.lab.startStandIn({
+    const relay = await this.site.harness.startStandIn({
       name: 'relay',
       flags: {to},
     });
@@ -228,8 +228,8 @@
         proc.kill();
         return () => this.replaceTarget(target);
       case Fault.PAUSE:
-        proc.freeze();
-        return () => Promise.resolve(proc.thaw());
+        proc.pause();
+        return () => Promise.resolve(proc.resume());
       case Fault.DISCONNECT: {
         const relay = isEngine ? target.targetRelay! : target.agentRelay!;
         await controlRelay(relay, 'cut');
@@ -248,8 +248,8 @@
         proc.kill();
         return () => this.replaceEntry(entry);
       case Fault.PAUSE:
-        proc.freeze();
-        return () => Promise.resolve(proc.thaw());
+        proc.pause();
+        return () => Promise.resolve(proc.resume());
       case Fault.DISCONNECT:
         await controlRelay(entry.relay, 'cut');
         return () => controlRelay(entry.relay, 'mend');
@@ -301,7 +301,7 @@
   return Number(transcript.lastEventId.split(':').at(-1));
 }
 
-function positionOfStage(stage: FaultStage, req: Ask): number {
+function positionOfStage(stage: FaultStage, req: CompletionRequest): number {
   switch (stage) {
     case FaultStage.START:
       return Number.POSITIVE_INFINITY;
@@ -329,7 +329,7 @@
 }
 
 /** A request that ends at `maxTokens`, possibly within a character. */
-export function createRequest(name: string): Ask {
+export function createRequest(name: string): CompletionRequest {
   const maxTokens = 24;
   const prompt = `${name}: zażółć [length=${maxTokens + 9}]`;
   return {prompt, maxTokens};
--- a/test/support/generation-loss.ts
+++ b/test/support/generation-loss.ts
@@ -36,7 +36,7 @@
         const transcript = await faultSite.runWithFault({req, faultCase});
         expect(transcript.errors).toEqual([]);
         expect(transcript.text).toBe(expectedTextOf(req));
-        expect(transcript.ends).toBe(1);
+        expect(transcript.doneEvents).toBe(1);
         expect(transcript.finishReason).toBe('length');
         checkRestarts(transcript, faultCase);
       },
--- a/test/tools/known-red.test.ts
+++ b/test/tools/known-red.test.ts
@@ -1,9 +1,9 @@
 import {describe, expect, it} from 'vitest';
 
 import type {KnownRed} from '../../tools/ci/known-red.js';
-import {namesTest, parseKnownRed} from '../../tools/ci/known-red.js';
+import {matchesTest, parseKnownRed} from '../../tools/ci/known-red.js';
 import type {RunResult} from '../../tools/ci/verdict.js';
-import {formatVerdict, judge, TestState} from '../../tools/ci/verdict.js';
+import {formatVerdict, evaluateRun, TestState} from '../../tools/ci/verdict.js';
 import {parseReport} from '../../tools/ci/vitest-report.js';
 
 function entryOf(test: string): KnownRed {
@@ -16,17 +16,22 @@
     {test: 'a > passes', state: TestState.PASSED},
     ...failed.map((test) => ({test, state: TestState.FAILED})),
   ];
-  return {tests, failedFiles: [], isClean: failed.length === 0, ...rest};
+  return {
+    tests,
+    failedFiles: [],
+    runnerSucceeded: failed.length === 0,
+    ...rest,
+  };
 }
 
 const LISTS = [
-  {name: 'nothing', text: '', entries: 0, bad: 0},
+  {name: 'an empty list', text: '', entries: 0, bad: 0},
   {name: 'comments', text: '# mend first\n\n', entries: 0, bad: 0},
   {name: 'an entry', text: 'a > b | npm test | 503 | 4', entries: 1, bad: 0},
-  {name: 'a field too few', text: 'a > b | npm test | 503', entries: 0, bad: 1},
+  {name: 'a missing field', text: 'a > b | npm test | 503', entries: 0, bad: 1},
   {name: 'an empty field', text: 'a > b | | 503 | 4', entries: 0, bad: 1},
   {
-    name: 'a pattern of all',
+    name: 'a pattern that matches all tests',
     text: '* | npm test | 503 | 4',
     entries: 0,
     bad: 1,
@@ -48,44 +53,44 @@
   {pattern: 'a.b', test: 'axb', named: false},
 ];
 
-describe('namesTest', () => {
+describe('matchesTest', () => {
   it.each(NAMES)('$pattern, $test: $named', ({pattern, test, named}) => {
-    expect(namesTest({entry: entryOf(pattern), test})).toBe(named);
+    expect(matchesTest({entry: entryOf(pattern), test})).toBe(named);
   });
 });
 
 const RUNS = [
-  {name: 'all pass', run: runOf({}), known: [], faults: 0, failed: 0},
+  {name: 'all tests pass', run: runOf({}), known: [], faults: 0, failed: 0},
   {
-    name: 'one fails',
+    name: 'an unlisted test fails',
     run: runOf({failed: ['b']}),
     known: [],
     faults: 1,
     failed: 1,
   },
   {
-    name: 'a listed one fails',
+    name: 'a listed test fails',
     run: runOf({failed: ['b']}),
     known: ['b'],
     faults: 0,
     failed: 1,
   },
   {
-    name: 'a listed and another one fail',
+    name: 'a listed and an unlisted test fail',
     run: runOf({failed: ['b', 'c']}),
     known: ['b'],
     faults: 1,
     failed: 2,
   },
   {
-    name: 'a listed one passes',
+    name: 'a listed test passes',
     run: runOf({}),
     known: ['a > *'],
     faults: 0,
     failed: 0,
   },
   {
-    name: 'a listed one is none',
+    name: 'an entry matches no test',
     run: runOf({}),
     known: ['z'],
     faults: 1,
@@ -93,13 +98,13 @@
   },
   {
     name: 'a file fails outside of its tests',
-    run: runOf({failedFiles: ['x.test.ts'], isClean: false}),
+    run: runOf({failedFiles: ['x.test.ts'], runnerSucceeded: false}),
     known: ['a > *'],
     faults: 1,
     failed: 1,
   },
   {
-    name: 'one is skipped',
+    name: 'a test is skipped',
     run: runOf({
       tests: [
         {test: 'a > passes', state: TestState.PASSED},
@@ -111,14 +116,14 @@
     failed: 0,
   },
   {
-    name: 'the runner complains of something else',
-    run: runOf({isClean: false}),
+    name: 'the runner fails for another reason',
+    run: runOf({runnerSucceeded: false}),
     known: [],
     faults: 1,
     failed: 0,
   },
   {
-    name: 'nothing ran',
+    name: 'no test ran',
     run: runOf({tests: []}),
     known: [],
     faults: 1,
@@ -126,16 +131,16 @@
   },
 ];
 
-describe('judge', () => {
+describe('evaluateRun', () => {
   it.each(RUNS)('when $name', ({run, known, faults, failed}) => {
-    const verdict = judge({run, known: known.map(entryOf)});
-    expect(verdict.faults).toHaveLength(faults);
+    const verdict = evaluateRun({run, known: known.map(entryOf)});
+    expect(verdict.problems).toHaveLength(faults);
     expect(verdict.failed).toBe(failed);
   });
 
-  it('prints what it passes over, and the counts alone on the last line', () => {
+  it('prints tolerated failures, and only the counts on the last line', () => {
     const run = runOf({failed: ['b']});
-    const text = formatVerdict(judge({run, known: [entryOf('b')]}));
+    const text = formatVerdict(evaluateRun({run, known: [entryOf('b')]}));
     const lines = text.trimEnd().split('\n');
     expect(lines[0]).toBe('known red: b (npm test; seen: 503; issue 4)');
     expect(lines.at(-1)).toBe('Tests: 1 passed, 1 failed');
@@ -143,7 +148,7 @@
 });
 
 describe('parseReport', () => {
-  it('reads tests, and files that failed outside of them', () => {
+  it('converts tests, and files that failed outside of their tests', () => {
     const pass = {ancestorTitles: ['', 'a'], title: 'b', status: 'passed'};
     const skipped = {ancestorTitles: [], title: 'c', status: 'skipped'};
     const report = {
@@ -152,7 +157,7 @@
         {name: 'y', status: 'failed', assertionResults: [skipped]},
       ],
     };
-    const run = parseReport({report, isClean: false})._unsafeUnwrap();
+    const run = parseReport({report, runnerSucceeded: false})._unsafeUnwrap();
     expect(run.tests).toEqual([
       {test: 'a > b', state: TestState.PASSED},
       {test: 'c', state: TestState.NOT_RUN},
@@ -160,7 +165,7 @@
     expect(run.failedFiles).toEqual(['y']);
   });
 
-  it('refuses another shape', () => {
-    expect(parseReport({report: {}, isClean: true}).isErr()).toBe(true);
+  it('rejects a malformed report', () => {
+    expect(parseReport({report: {}, runnerSucceeded: true}).isErr()).toBe(true);
   });
 });
--- a/tools/ci/vitest-report.ts
+++ b/tools/ci/vitest-report.ts
@@ -1,4 +1,4 @@
-/** The JSON report of the test runner. */
+/** Parser of the JSON report of Vitest. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import {array, Codec, optional, string} from 'purify-ts';
@@ -26,16 +26,16 @@
 });
 
 /**
- * Reads the report of a run.
+ * Converts the JSON report of a run.
  *
  * @example
- * parseReport({report: JSON.parse(text), isClean: status === 0});
+ * parseReport({report: JSON.parse(text), runnerSucceeded: status === 0});
  */
 export function parseReport(options: {
   report: unknown;
-  isClean: boolean;
+  runnerSucceeded: boolean;
 }): Result<RunResult, string> {
-  const {report, isClean} = options;
+  const {report, runnerSucceeded} = options;
   return REPORT.decode(report).caseOf<Result<RunResult, string>>({
     Left: (detail) => err(detail),
     Right: ({testResults}) => {
@@ -48,7 +48,7 @@
         .filter(({hasFailed, tests}) => hasFailed && !tests.some(isFailed))
         .map(({name}) => name);
       const tests = files.flatMap((file) => file.tests);
-      return ok({tests, failedFiles, isClean});
+      return ok({tests, failedFiles, runnerSucceeded});
     },
   });
 }
--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -1,36 +1,37 @@
-/** A caller that reads a stream and goes on where it broke. */
+/** A test client that reads completion streams and resumes broken ones. */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
 /** Bearer key of the quickstart's client account. */
 export const DEMO_KEY = 'demo-key';
 
-/** What a caller has seen of an answer. */
+/** The parts of a response that a caller has received. */
 export interface Transcript {
   text: string;
-  /** Events that carried text. */
-  pieces: number;
-  /** Times that `[DONE]` came. */
-  ends: number;
+  /** Number of events that carried text. */
+  chunks: number;
+  /** Number of `[DONE]` events. */
+  doneEvents: number;
   finishReason: string;
   lastEventId: string;
+  /** Number of `restart` events; each discards the text received so far. */
   restarts: number;
-  /** Error documents in the stream or in place of it. */
+  /** Error documents received in the stream or instead of it. */
   errors: unknown[];
-  /** Arrival of each piece, in milliseconds. */
+  /** Arrival time of each text event, as `performance.now()`. */
   arrivalsMs: number[];
   /** HTTP status of the last response. */
   status: number;
 }
 
-/** What a caller asks. */
-export interface Ask {
+/** Parameters of a completion request. */
+export interface CompletionRequest {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly model?: string;
   readonly stop?: readonly string[];
   readonly key?: string;
-  /** Time allowed for the whole answer, in milliseconds. */
+  /** Deadline for the whole response, in milliseconds. */
   readonly deadlineMs?: number;
 }
 
@@ -41,12 +42,12 @@
   }>;
 }
 
-/** Begins with nothing seen. */
+/** Creates an empty transcript. */
 export function createTranscript(): Transcript {
   return {
     text: '',
-    pieces: 0,
-    ends: 0,
+    chunks: 0,
+    doneEvents: 0,
     finishReason: '',
     lastEventId: '',
     restarts: 0,
@@ -57,20 +58,20 @@
 }
 
 /**
- * Reads a stream into a transcript until it ends or breaks. A transcript
- * that holds an event identity goes on from there.
+ * Reads a stream into a transcript until it ends or breaks. If the transcript
+ * holds an event id, the stream resumes after that event.
  */
 export async function readStream(options: {
   url: string;
-  ask: Ask;
+  req: CompletionRequest;
   transcript: Transcript;
   signal?: AbortSignal;
-  onPiece?: (transcript: Transcript) => void;
+  onChunk?: (transcript: Transcript) => void;
 }): Promise<void> {
-  const {url, ask, transcript, signal, onPiece} = options;
+  const {url, req, transcript, signal, onChunk} = options;
   const {lastEventId} = transcript;
   const resume = lastEventId === '' ? {} : {'last-event-id': lastEventId};
-  const {deadlineMs} = ask;
+  const {deadlineMs} = req;
   const deadline =
     deadlineMs === undefined ? {} : {'x-deadline-ms': String(deadlineMs)};
   const res = await request(`${url}/v1/completions`, {
@@ -80,11 +81,11 @@
     bodyTimeout: 0,
     headers: {
       'content-type': 'application/json',
-      authorization: `Bearer ${ask.key ?? DEMO_KEY}`,
+      authorization: `Bearer ${req.key ?? DEMO_KEY}`,
       ...resume,
       ...deadline,
     },
-    body: JSON.stringify(createBody(ask)),
+    body: JSON.stringify(createBody(req)),
   });
   transcript.status = res.statusCode;
   if (res.statusCode !== 200) {
@@ -93,8 +94,8 @@
   }
   const parser = createParser({
     onEvent: (event) => {
-      takeEvent(transcript, event);
-      onPiece?.(transcript);
+      handleEvent(transcript, event);
+      onChunk?.(transcript);
     },
   });
   const decoder = new TextDecoder();
@@ -104,36 +105,37 @@
 }
 
 /**
- * Reads an answer to its end, at the next entry whenever a stream breaks.
+ * Reads a response to its end, resuming at the next entry after each break.
  */
-export async function readWhole(options: {
+export async function readWithResume(options: {
   urls: readonly string[];
-  ask: Ask;
+  req: CompletionRequest;
   transcript?: Transcript;
-  onPiece?: (transcript: Transcript) => void;
+  onChunk?: (transcript: Transcript) => void;
 }): Promise<Transcript> {
-  const {urls, ask, transcript = createTranscript(), onPiece} = options;
-  const maxTries = 40;
-  for (let i = 0; i < maxTries; i++) {
+  const {urls, req, transcript = createTranscript(), onChunk} = options;
+  const maxAttempts = 40;
+  for (let i = 0; i < maxAttempts; i++) {
     const url = urls[i % urls.length]!;
-    await readStream({url, ask, transcript, onPiece}).catch(() => undefined);
-    if (transcript.ends > 0 || transcript.errors.length > 0) return transcript;
+    await readStream({url, req, transcript, onChunk}).catch(() => undefined);
+    if (transcript.doneEvents > 0 || transcript.errors.length > 0)
+      return transcript;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
   return transcript;
 }
 
-function createBody(ask: Ask): unknown {
+function createBody(req: CompletionRequest): unknown {
   return {
-    model: ask.model ?? 'quote-writer',
-    prompt: ask.prompt,
-    max_tokens: ask.maxTokens,
-    stop: ask.stop,
+    model: req.model ?? 'quote-writer',
+    prompt: req.prompt,
+    max_tokens: req.maxTokens,
+    stop: req.stop,
     stream: true,
   };
 }
 
-function takeEvent(
+function handleEvent(
   transcript: Transcript,
   event: {event?: string; id?: string; data: string},
 ): void {
@@ -147,7 +149,7 @@
     return;
   }
   if (event.data === '[DONE]') {
-    transcript.ends++;
+    transcript.doneEvents++;
     return;
   }
   if (event.id !== undefined) transcript.lastEventId = event.id;
@@ -159,6 +161,6 @@
     transcript.finishReason = choice.finish_reason;
     return;
   }
-  transcript.pieces++;
+  transcript.chunks++;
   transcript.arrivalsMs.push(performance.now());
 }
--- a/tools/lab/site.ts
+++ b/tools/lab/site.ts
@@ -1,4 +1,4 @@
-/** A whole small site: platform, targets with agents, and entries. */
+/** A small test site: platform, targets with agents, and entries. */
 import {readdirSync, readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 
@@ -8,7 +8,7 @@
 import type {ConfigDocument} from '../../src/core/config/index.js';
 import {checkDeployment, CONFIG_OBJECT} from '../../src/core/config/index.js';
 import type {Daemon, NamedValues, StandIn} from './lab.js';
-import {Lab, sendControl, waitUntil} from './lab.js';
+import {ProcessHarness, sendControl, waitUntil} from './lab.js';
 import {EXAMPLES} from './paths.js';
 
 /** The data centres of the quickstart deployment. */
@@ -19,13 +19,13 @@
   readonly vm: string;
   readonly standIn: StandIn;
   readonly agent: Daemon;
-  /** Between the agent and its target; where the site has relays. */
+  /** Relay between the agent and its target, if the site has relays. */
   readonly targetRelay?: StandIn;
-  /** Between entries and the agent; where the site has relays. */
+  /** Relay between entries and the agent, if the site has relays. */
   readonly agentRelay?: StandIn;
 }
 
-/** How large a site is and how its stand-ins behave. */
+/** Size of a site and flags of its stand-ins. */
 export interface SiteOptions {
   readonly entries?: number;
   readonly engines?: number;
@@ -34,30 +34,30 @@
   readonly engineFlags?: NamedValues;
   readonly serviceFlags?: NamedValues;
   readonly platformFlags?: NamedValues;
-  /** Puts relays in front of targets and agents, so that they can be cut. */
+  /** Puts relays in front of targets and agents, to inject network faults. */
   readonly relays?: boolean;
-  /** Changes the base of the quickstart's configuration before it applies. */
+  /** Edits the base of the quickstart's configuration before it is applied. */
   readonly editBase?: (base: Record<string, unknown>) => void;
 }
 
-/** A running site; whoever creates one must close it. */
+/** A running site; must be closed after use. */
 export class Site {
-  readonly lab = new Lab();
+  readonly harness = new ProcessHarness();
   readonly engines: Target[] = [];
   readonly orders: Target[] = [];
   readonly stock: Target[] = [];
   readonly entries: Daemon[] = [];
   platform!: StandIn;
-  /** Counts bookings, also those of services that have died since. */
+  /** Counts bookings, including those of services that have exited since. */
   ledger!: StandIn;
 
   private constructor(private readonly options: SiteOptions) {}
 
-  /** Starts everything and waits until each entry sees each target. */
+  /** Starts all processes and waits until each entry can use each target. */
   static async create(options: SiteOptions = {}): Promise<Site> {
     const site = new Site(options);
     try {
-      await site.open();
+      await site.start();
       return site;
     } catch (cause) {
       await site.close();
@@ -66,7 +66,7 @@
   }
 
   close(): Promise<void> {
-    return this.lab.close();
+    return this.harness.close();
   }
 
   /** Starts one more engine with its agent. */
@@ -80,7 +80,7 @@
     index: number,
     flags: NamedValues = {},
   ): Promise<Target> {
-    const standIn = await this.lab.startStandIn({
+    const standIn = await this.harness.startStandIn({
       name: 'engine',
       flags: {...this.options.engineFlags, ...flags},
     });
@@ -105,7 +105,7 @@
     service: 'orders' | 'stock',
     index: number,
   ): Promise<Target> {
-    const standIn = await this.lab.startStandIn({
+    const standIn = await this.harness.startStandIn({
       name: 'service',
       flags: {
         'ledger-url': this.ledger.url,
@@ -131,7 +131,7 @@
   private async startEntry(index: number): Promise<Daemon> {
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!;
     const vm = `entry-${index + 1}`;
-    const entry = await this.lab.startDaemon({
+    const entry = await this.harness.startDaemon({
       role: 'entry',
       settings: {
         vm,
@@ -150,13 +150,13 @@
     return entry;
   }
 
-  /** Starts another agent beside a target, on the same VM name. */
+  /** Starts a new agent for a target, under the same VM name. */
   async restartAgent(target: Target, kind: string, service: string) {
     const index = 0;
     return this.addTarget({...target, kind, service, index});
   }
 
-  /** Puts a VM on the platform's list. */
+  /** Adds or updates a VM in the platform's VM list. */
   async register(vm: {
     name: string;
     role: string;
@@ -172,14 +172,14 @@
     });
   }
 
-  /** Takes a VM off the platform's list. */
+  /** Removes a VM from the platform's VM list. */
   async unregister(name: string): Promise<void> {
     const url = `${this.platform.url}/vms/${name}`;
     await sendControl({url, method: 'DELETE'});
   }
 
-  /** Lets the platform's list say that a target leaves. */
-  async listAsLeaving(target: Target, service: string): Promise<void> {
+  /** Marks a target as leaving (draining) in the platform's VM list. */
+  async markAsLeaving(target: Target, service: string): Promise<void> {
     await this.register({
       name: target.vm,
       role: 'target',
@@ -197,25 +197,25 @@
     for (const entry of this.entries) {
       if (!entry.proc.isRunning) continue;
       await waitUntil({
-        what: `${entry.vm} sees ${expected} targets`,
+        what: `${entry.vm} can use ${expected} targets`,
         check: async () => (await countUsable(entry)) >= expected,
       });
     }
   }
 
-  private async open(): Promise<void> {
+  private async start(): Promise<void> {
     const {entries = 2, engines = 2, orders = 0, stock = 0} = this.options;
-    this.platform = await this.lab.startStandIn({
+    this.platform = await this.harness.startStandIn({
       name: 'platform',
       flags: {'vm-lag-ms': 0, ...this.options.platformFlags},
     });
-    this.ledger = await this.lab.startStandIn({name: 'ledger'});
+    this.ledger = await this.harness.startStandIn({name: 'ledger'});
     await this.applyConfig();
     await Promise.all([
-      fill(this.engines, engines, (i) => this.startEngine(i)),
-      fill(this.orders, orders, (i) => this.startService('orders', i)),
-      fill(this.stock, stock, (i) => this.startService('stock', i)),
-      fill(this.entries, entries, (i) => this.startEntry(i)),
+      startMembers(this.engines, engines, (i) => this.startEngine(i)),
+      startMembers(this.orders, orders, (i) => this.startService('orders', i)),
+      startMembers(this.stock, stock, (i) => this.startService('stock', i)),
+      startMembers(this.entries, entries, (i) => this.startEntry(i)),
     ]);
     await this.waitUntilUsable();
   }
@@ -239,7 +239,7 @@
     const {vm, standIn, kind, service, index} = options;
     const dataCentre = DATA_CENTRES[index % DATA_CENTRES.length]!;
     const targetRelay = await this.addRelay(standIn.port);
-    const agent = await this.lab.startDaemon({
+    const agent = await this.harness.startDaemon({
       role: 'agent',
       settings: {
         vm,
@@ -261,12 +261,12 @@
   private async addRelay(port: number): Promise<StandIn | undefined> {
     if (this.options.relays !== true) return undefined;
     const flags = {to: `127.0.0.1:${port}`};
-    return this.lab.startStandIn({name: 'relay', flags});
+    return this.harness.startStandIn({name: 'relay', flags});
   }
 }
 
-/** Starts `count` members at once and lists them in order. */
-async function fill<T>(
+/** Starts `count` members concurrently and appends them in order. */
+async function startMembers<T>(
   list: T[],
   count: number,
   start: (index: number) => Promise<T>,
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers that keep their connections until the entry's process is gone. */
+/** Callers that keep using one connection until it is closed or fails. */
 import {Agent} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -6,9 +6,13 @@
 import {SeededRandom} from '../../src/core/clock/index.js';
 import {SitePath} from '../../stand-ins/site/config.js';
 import {KEY_HEADER} from '../../stand-ins/site/target.js';
-import type {Reply} from '../lab/site-caller.js';
-import {callSite} from '../lab/site-caller.js';
-import {CALL_DEADLINE_MS, OVERDUE_MS, STREAM_DEADLINE_MS} from './consts.js';
+import type {SiteResponse} from '../lab/site-caller.js';
+import {sendSiteRequest} from '../lab/site-caller.js';
+import {
+  CALL_DEADLINE_MS,
+  ABORT_MARGIN_MS,
+  STREAM_DEADLINE_MS,
+} from './consts.js';
 import type {Attempt} from './history.js';
 import {RequestKind} from './history.js';
 import type {SoakSite} from './site.js';
@@ -22,8 +26,8 @@
   [RequestKind.MOVING]: SitePath.MOVING,
 };
 
-/** Shares of the kinds of requests: each entry of the list is as likely. */
-const MIX = [
+/** Mix of request kinds; each list element is equally likely. */
+const REQUEST_MIX = [
   RequestKind.SAFE,
   RequestKind.UNSAFE,
   RequestKind.UNSAFE,
@@ -31,36 +35,36 @@
   RequestKind.MOVING,
 ];
 
-/** Share of the streams that callers give up. */
-const HANG_UP_SHARE = 0.1;
-const MAX_HANG_UP_MS = 1_500;
+/** Share of the streams that callers abort, and the latest time to do so. */
+const ABORT_SHARE = 0.1;
+const MAX_ABORT_MS = 1_500;
 
-/** Share of the requests with a key that comes and goes. */
+/** Share of the requests with a key that configuration changes revoke. */
 const CHANGING_KEY_SHARE = 0.4;
 
-/** Pause between two requests of a caller, in milliseconds. */
+/** Longest pause between two requests of a caller, in milliseconds. */
 const MAX_PAUSE_MS = 120;
 
-/** Pause of a caller that finds no entry, in milliseconds. */
+/** Pause of a caller while no entry is ready, in milliseconds. */
 const NO_ENTRY_PAUSE_MS = 100;
 
-const BALANCER_STEP_MS = 200;
+const PROBE_INTERVAL_MS = 200;
 
-/** Questions without a yes that take an entry out. */
-const MISSES_TO_LEAVE = 2;
+/** Consecutive failed readiness probes that remove an entry. */
+const UNREADY_THRESHOLD = 2;
 
-/** Knows which entries take new connections. */
-export class Balancer {
-  private readonly misses = new Map<SoakEntry, number>();
+/** Probes the entries and lists those that accept new connections. */
+export class LoadBalancer {
+  private readonly failures = new Map<SoakEntry, number>();
   private isStopped = false;
 
   constructor(private readonly entries: readonly SoakEntry[]) {}
 
-  /** Asks all entries again and again until it is stopped. */
+  /** Probes all entries periodically until it is stopped. */
   async run(): Promise<void> {
     while (!this.isStopped) {
-      await Promise.all(this.entries.map((entry) => this.ask(entry)));
-      await sleep(BALANCER_STEP_MS);
+      await Promise.all(this.entries.map((entry) => this.probe(entry)));
+      await sleep(PROBE_INTERVAL_MS);
     }
   }
 
@@ -68,20 +72,20 @@
     this.isStopped = true;
   }
 
-  /** Entries that take new connections. */
-  open(): SoakEntry[] {
+  /** Entries that accept new connections. */
+  readyEntries(): SoakEntry[] {
     return this.entries.filter((entry) => {
-      return (this.misses.get(entry) ?? 0) < MISSES_TO_LEAVE;
+      return (this.failures.get(entry) ?? 0) < UNREADY_THRESHOLD;
     });
   }
 
-  private async ask(entry: SoakEntry): Promise<void> {
-    const misses = (this.misses.get(entry) ?? 0) + 1;
-    this.misses.set(entry, (await entry.isReady()) ? 0 : misses);
+  private async probe(entry: SoakEntry): Promise<void> {
+    const failures = (this.failures.get(entry) ?? 0) + 1;
+    this.failures.set(entry, (await entry.isReady()) ? 0 : failures);
   }
 }
 
-/** Sends one request after the other until it is stopped. */
+/** Sends requests sequentially until it is stopped. */
 export class SoakCaller {
   private readonly random: RandomSource;
   private agent = new Agent({keepAlive: true, maxSockets: 1});
@@ -93,20 +97,20 @@
     private readonly name: string,
     seed: number,
     private readonly site: SoakSite,
-    private readonly balancer: Balancer,
+    private readonly balancer: LoadBalancer,
   ) {
     this.random = new SeededRandom(seed);
   }
 
   async run(): Promise<void> {
     while (!this.isStopped) {
-      this.entry ??= this.pick(this.balancer.open());
+      this.entry ??= this.pick(this.balancer.readyEntries());
       if (this.entry === undefined) {
         await sleep(NO_ENTRY_PAUSE_MS);
         continue;
       }
-      const isKept = await this.request(this.entry);
-      if (!isKept) this.disconnect();
+      const isReusable = await this.request(this.entry);
+      if (!isReusable) this.disconnect();
       await sleep(this.random.below(MAX_PAUSE_MS));
     }
     this.agent.destroy();
@@ -116,15 +120,15 @@
     this.isStopped = true;
   }
 
-  /** Sends a request; tells whether its connection may be used again. */
+  /** Sends a request; returns whether its connection may be reused. */
   private async request(entry: SoakEntry): Promise<boolean> {
-    const kind = this.pick(MIX)!;
+    const kind = this.pick(REQUEST_MIX)!;
     const isStream = kind === RequestKind.STREAM;
     const deadlineMs = isStream ? STREAM_DEADLINE_MS : CALL_DEADLINE_MS;
     const keyVersion = this.drawKeyVersion();
-    const hangUpMs = isStream ? this.drawHangUp() : undefined;
+    const abortMs = isStream ? this.drawAbortMs() : undefined;
     const sentMs = Date.now();
-    const about = {
+    const request = {
       id: `${this.name}-${++this.sent}`,
       kind,
       entry: entry.name,
@@ -132,27 +136,27 @@
       keyVersion,
       sentMs,
     };
-    const signal = AbortSignal.timeout(hangUpMs ?? deadlineMs + OVERDUE_MS);
-    const reply = await callSite({
+    const signal = AbortSignal.timeout(abortMs ?? deadlineMs + ABORT_MARGIN_MS);
+    const res = await sendSiteRequest({
       ...entry.callers,
       agent: this.agent,
       path: PATHS[kind],
       key: keyOf(keyVersion),
-      attemptId: about.id,
+      attemptId: request.id,
       deadlineMs,
       headers: {[KEY_HEADER]: String(keyVersion)},
       signal,
     }).catch(() => undefined);
     const endMs = Date.now();
-    const hasHungUp = hangUpMs !== undefined && signal.aborted;
+    const hasAborted = abortMs !== undefined && signal.aborted;
     const attempt: Attempt = {
-      ...about,
+      ...request,
       endMs,
-      ...outcomeOf(reply, about.id),
-      hungUpMs: hasHungUp ? sentMs + hangUpMs : undefined,
+      ...outcomeOf(res, request.id),
+      hungUpMs: hasAborted ? sentMs + abortMs : undefined,
     };
     this.site.history.attempts.push(attempt);
-    return attempt.isWhole && reply?.headers.connection !== 'close';
+    return attempt.isWhole && res?.headers.connection !== 'close';
   }
 
   private disconnect(): void {
@@ -161,20 +165,20 @@
     this.entry = undefined;
   }
 
-  private drawHangUp(): number | undefined {
-    if (this.random.float() >= HANG_UP_SHARE) return undefined;
-    return 1 + this.random.below(MAX_HANG_UP_MS);
+  private drawAbortMs(): number | undefined {
+    if (this.random.float() >= ABORT_SHARE) return undefined;
+    return 1 + this.random.below(MAX_ABORT_MS);
   }
 
-  /** Mostly a key that is there; at times one that was taken away. */
+  /** Draws mostly a valid key, sometimes a revoked one. */
   private drawKeyVersion(): number {
     if (this.random.float() >= CHANGING_KEY_SHARE) return 0;
     const accepted = this.site.history.configs.filter(
       ({ackMs}) => ackMs < Infinity,
     );
     const newest = accepted.at(-1)?.version ?? 0;
-    const back = this.pick([0, 0, 0, 1, 2])!;
-    return Math.max(0, newest - back);
+    const age = this.pick([0, 0, 0, 1, 2])!;
+    return Math.max(0, newest - age);
   }
 
   private pick<T>(choices: readonly T[]): T | undefined {
@@ -182,10 +186,10 @@
   }
 }
 
-function outcomeOf(reply: Reply | undefined, id: string) {
-  if (reply === undefined) return {text: '', isWhole: false, isProven: false};
-  const {status, text, isWhole, headers} = reply;
-  const hasOwnId = headers['attempt-id'] === id;
-  const isProven = hasOwnId && headers['server-stamp'] !== undefined;
+function outcomeOf(res: SiteResponse | undefined, id: string) {
+  if (res === undefined) return {text: '', isWhole: false, isProven: false};
+  const {status, text, isComplete: isWhole, headers} = res;
+  const idMatches = headers['attempt-id'] === id;
+  const isProven = idMatches && headers['server-stamp'] !== undefined;
   return {status, text, isWhole, isProven};
 }
--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -1,80 +1,80 @@
-/** Promises about configurations, keys, targets and processes. */
+/** Guarantees about configurations, keys, targets and processes. */
 import {
-  APPLY_MS,
-  CANCEL_MS,
-  LEAVE_MS,
-  OVERLAP_MS,
+  CONFIG_APPLY_MS,
+  CANCEL_TIMEOUT_MS,
+  DRAIN_NOTICE_MS,
+  MAX_OVERLAP_MS,
   RETRY_RATIO,
   RETRY_SLACK,
   RETRY_WINDOW_MS,
-  REVOKE_MS,
+  KEY_REVOCATION_MS,
 } from '../consts.js';
 import type {Arrival, Attempt, History} from '../history.js';
-import {RequestKind, STORE} from '../history.js';
-import type {PromiseCheck} from './types.js';
-import {entryPart, targetPart} from './types.js';
+import {RequestKind, STORE_COMPONENT} from '../history.js';
+import type {GuaranteeCheck} from './types.js';
+import {entryComponent, targetComponent} from './types.js';
 
-/** Statuses by which a configuration is said to allow no such request. */
-const UNKNOWN_STATUSES = [401, 403, 404];
+/** Statuses for requests that the active configuration does not allow. */
+const DENIED_STATUSES = [401, 403, 404];
 
-/** A version takes away the key that came this many versions before. */
-export const KEY_LIFE_VERSIONS = 2;
+/** A version revokes the key that was added this many versions before. */
+export const KEY_LIFETIME_VERSIONS = 2;
 
-/** Time in which an answer may cross a newer configuration. */
-const DOWNGRADE_SLACK_MS = 500;
+/** Time for which responses may still follow an older configuration. */
+const CONFIG_CHANGE_TOLERANCE_MS = 500;
 
-/** Share of the cancelled streams whose runs may go on. */
-const LEFT_RUNNING_SHARE = 0.25;
+/** Largest tolerated share of aborted streams whose runs continue. */
+const MAX_UNCANCELLED_SHARE = 0.25;
 
-/** Fewest cancelled streams by which that share is judged. */
+/** Minimum number of aborted streams for checking that share. */
 const MIN_CANCELLED = 4;
 
-/** Arrivals at model servers and plain services have budgets of their own. */
+/** Service of the model servers; their retry budget is separate. */
 const WRITERS = 'writers';
 
-/** A key that was taken away opens nothing, whatever else has failed. */
-export const REVOKED_KEYS: PromiseCheck = {
-  promise: 'a key that was taken away is refused in time',
+/** A revoked key is not accepted, whatever other faults there are. */
+export const REVOKED_KEYS: GuaranteeCheck = {
+  guarantee: 'a revoked key is refused in time',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, keyVersion, hasRun}) => {
-      const taken = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
+      const revocation = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
       const sentMs = attempts.get(attemptId)?.sentMs ?? 0;
-      if (!hasRun || keyVersion === 0 || taken === undefined) return [];
-      const lateMs = sentMs - taken.ackMs - REVOKE_MS;
+      if (!hasRun || keyVersion === 0 || revocation === undefined) return [];
+      const lateMs = sentMs - revocation.ackMs - KEY_REVOCATION_MS;
       if (lateMs <= 0) return [];
       return [{id: attemptId, detail: `ran ${lateMs} ms too late`}];
     });
   },
 };
 
-/** An accepted configuration is in force in seconds. */
-export const IN_FORCE: PromiseCheck = {
-  promise: 'an accepted configuration is in force in seconds',
+/** An accepted configuration is applied within seconds. */
+export const CONFIG_APPLIED: GuaranteeCheck = {
+  guarantee: 'an accepted configuration is applied within seconds',
   find: (history) =>
     history.attempts
-      .filter(({status = 0}) => UNKNOWN_STATUSES.includes(status))
+      .filter(({status = 0}) => DENIED_STATUSES.includes(status))
       .filter((attempt) => {
         const {keyVersion, entry, sentMs, endMs} = attempt;
         if (keyVersion === 0) return true;
-        const came = versionOf(history, keyVersion);
-        const goes = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
-        const isThere =
-          came !== undefined &&
-          sentMs > came.ackMs + APPLY_MS &&
-          endMs < (goes?.sentMs ?? Number.POSITIVE_INFINITY);
-        const parts = [STORE, entryPart(entry)];
-        return isThere && history.isCalm(parts, came.ackMs, endMs);
+        const added = versionOf(history, keyVersion);
+        const removed = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const isValid =
+          added !== undefined &&
+          sentMs > added.ackMs + CONFIG_APPLY_MS &&
+          endMs < (removed?.sentMs ?? Number.POSITIVE_INFINITY);
+        const components = [STORE_COMPONENT, entryComponent(entry)];
+        return isValid && history.isFaultFree(components, added.ackMs, endMs);
       })
       .map(({id, status, keyVersion}) => ({
         id,
-        detail: `answered ${status} with key ${keyVersion}`,
+        detail: `status ${status} for key ${keyVersion}`,
       })),
 };
 
-/** A process that has used a configuration uses no older one later. */
-export const NO_REVERT: PromiseCheck = {
-  promise: 'a configuration never reverts',
+/** A process never uses an older configuration than before. */
+export const NO_CONFIG_ROLLBACK: GuaranteeCheck = {
+  guarantee: 'a configuration never reverts',
   find: (history) => {
     const ran = new Set(
       history.arrivals
@@ -84,85 +84,96 @@
     return history.attempts
       .filter(({keyVersion}) => keyVersion > 0)
       .filter((attempt) => {
-        const newest = newestSeen(history, attempt, ran);
+        const newestUsed = newestUsedVersion(history, attempt, ran);
         const {id, keyVersion, status = 0} = attempt;
-        const usesOld = ran.has(id) && keyVersion <= newest - KEY_LIFE_VERSIONS;
-        const next = versionOf(history, keyVersion + KEY_LIFE_VERSIONS);
-        const isTaken = next !== undefined && next.sentMs < attempt.endMs;
-        const forgets =
-          UNKNOWN_STATUSES.includes(status) && keyVersion <= newest && !isTaken;
-        return usesOld || forgets;
+        const usesOld =
+          ran.has(id) && keyVersion <= newestUsed - KEY_LIFETIME_VERSIONS;
+        const removal = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const isRevoked =
+          removal !== undefined && removal.sentMs < attempt.endMs;
+        const rejectsUsed =
+          DENIED_STATUSES.includes(status) &&
+          keyVersion <= newestUsed &&
+          !isRevoked;
+        return usesOld || rejectsUsed;
       })
       .map(({id, entry, keyVersion}) => ({
         id,
-        detail: `${entry} went back behind version ${keyVersion}`,
+        detail: `${entry} reverted its configuration at key version ${keyVersion}`,
       }));
   },
 };
 
-/** A route that was moved is served by its new service. */
-export const MOVED_ROUTES: PromiseCheck = {
-  promise: 'a moved route is served where it was moved to',
+/** A moved route is served by its new service. */
+export const MOVED_ROUTES: GuaranteeCheck = {
+  guarantee: 'a moved route is served by its new service',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, service, atMs}) => {
       const attempt = attempts.get(attemptId);
       if (attempt?.kind !== RequestKind.MOVING) return [];
-      const parts = [STORE, entryPart(attempt.entry)];
-      if (!history.isCalm(parts, attempt.sentMs - APPLY_MS, atMs)) return [];
-      const allowed = servicesInForce(history, attempt.sentMs, atMs);
+      const components = [STORE_COMPONENT, entryComponent(attempt.entry)];
+      if (
+        !history.isFaultFree(components, attempt.sentMs - CONFIG_APPLY_MS, atMs)
+      )
+        return [];
+      const allowed = allowedServices(history, attempt.sentMs, atMs);
       if (allowed.has(service)) return [];
       return [{id: attemptId, detail: `arrived at ${service}`}];
     });
   },
 };
 
-/** A target that leaves gets no new work. */
-export const LEAVING_TARGETS: PromiseCheck = {
-  promise: 'a leaving target gets no new work after seconds',
+/** A draining target gets no new work. */
+export const DRAINING_TARGETS: GuaranteeCheck = {
+  guarantee: 'a draining target gets no new work after a few seconds',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.leavings.flatMap(({target, ackMs}) =>
       history.arrivals
         .filter((arrival) => arrival.target === target)
-        .filter(({atMs}) => atMs > ackMs + LEAVE_MS)
+        .filter(({atMs}) => atMs > ackMs + DRAIN_NOTICE_MS)
         .filter(({attemptId, atMs}) => {
           const {entry = ''} = attempts.get(attemptId) ?? {};
-          return history.isCalm([STORE, entryPart(entry)], ackMs, atMs);
+          return history.isFaultFree(
+            [STORE_COMPONENT, entryComponent(entry)],
+            ackMs,
+            atMs,
+          );
         })
         .map(({attemptId, atMs}) => ({
           id: attemptId,
-          detail: `reached ${target} ${atMs - ackMs} ms after it left`,
+          detail: `reached ${target} ${atMs - ackMs} ms after it began draining`,
         })),
     );
   },
 };
 
-/** Runs end soon after their callers went. */
-export const CANCELLED_RUNS: PromiseCheck = {
-  promise: 'work ends when its caller goes',
+/** Runs end soon after their callers disconnected. */
+export const CANCELLED_RUNS: GuaranteeCheck = {
+  guarantee: 'a run ends when its caller disconnects',
   find: (history) => {
     const arrivals = history.arrivalsById();
     const cancelled = history.attempts.flatMap(({id, entry, hungUpMs}) => {
       const run = arrivals.get(id)?.at(-1);
       if (hungUpMs === undefined || run === undefined) return [];
-      const parts = [entryPart(entry), targetPart(run.target)];
-      const limitMs = hungUpMs + CANCEL_MS;
-      if (!history.isCalm(parts, run.atMs, limitMs)) return [];
-      return [{id, isLeft: (run.endedMs ?? Infinity) > limitMs}];
+      const components = [entryComponent(entry), targetComponent(run.target)];
+      const limitMs = hungUpMs + CANCEL_TIMEOUT_MS;
+      if (!history.isFaultFree(components, run.atMs, limitMs)) return [];
+      return [{id, isStillRunning: (run.endedMs ?? Infinity) > limitMs}];
     });
-    const left = cancelled.filter(({isLeft}) => isLeft);
-    const isFine =
+    const stillRunning = cancelled.filter(({isStillRunning}) => isStillRunning);
+    const isWithinLimit =
       cancelled.length < MIN_CANCELLED ||
-      left.length <= cancelled.length * LEFT_RUNNING_SHARE;
-    if (isFine) return [];
-    return left.map(({id}) => ({id, detail: 'its run went on'}));
+      stillRunning.length <= cancelled.length * MAX_UNCANCELLED_SHARE;
+    if (isWithinLimit) return [];
+    return stillRunning.map(({id}) => ({id, detail: 'its run continued'}));
   },
 };
 
-/** A stream goes on elsewhere only once its former run has ended. */
-export const ONE_RUN_AT_A_TIME: PromiseCheck = {
-  promise: 'two runs of one stream do not overlap',
+/** A stream resumes at another target only after its previous run has ended. */
+export const NO_OVERLAPPING_RUNS: GuaranteeCheck = {
+  guarantee: 'two runs of one stream do not overlap',
   find: (history) => {
     const attempts = attemptsById(history);
     return [...history.arrivalsById()].flatMap(([id, arrivals]) => {
@@ -170,12 +181,16 @@
       if (attempt?.kind !== RequestKind.STREAM) return [];
       const runs = arrivals.filter(({hasRun}) => hasRun);
       return runs.slice(1).flatMap((next, index) => {
-        const before = runs[index]!;
-        const overlapMs = endOf(before, next) - next.atMs;
-        const targets = [before.target, next.target].map(targetPart);
-        const parts = [entryPart(attempt.entry), ...targets];
-        const isCalm = history.isCalm(parts, before.atMs, next.atMs);
-        if (!isCalm || overlapMs <= OVERLAP_MS) return [];
+        const previous = runs[index]!;
+        const overlapMs = firstEndMs(previous, next) - next.atMs;
+        const targets = [previous.target, next.target].map(targetComponent);
+        const components = [entryComponent(attempt.entry), ...targets];
+        const isFaultFree = history.isFaultFree(
+          components,
+          previous.atMs,
+          next.atMs,
+        );
+        if (!isFaultFree || overlapMs <= MAX_OVERLAP_MS) return [];
         return [{id, detail: `two runs for ${overlapMs} ms`}];
       });
     });
@@ -183,49 +198,54 @@
 };
 
 /** Retries stay a bounded share of the requests. */
-export const RETRY_BUDGET: PromiseCheck = {
-  promise: 'retries stay within their budget',
+export const RETRY_BUDGET: GuaranteeCheck = {
+  guarantee: 'retries stay within their budget',
   find: (history) => {
     const kinds = [
       {service: WRITERS, isOfService: isWriters},
       {service: 'plain services', isOfService: isPlain},
     ];
     return kinds.flatMap(({service, isOfService}) => {
-      const repeats = repeatsOf(history.arrivals.filter(isOfService));
+      const retries = retryTimes(history.arrivals.filter(isOfService));
       const sent = history.attempts
         .filter((attempt) => isOfService(serviceOf(attempt)))
         .map(({sentMs}) => sentMs);
-      const broken = repeats.find((endMs) => {
-        const extra = countBetween(repeats, endMs - RETRY_WINDOW_MS, endMs);
-        const most = mostRequests(sent, endMs);
-        return extra > most * RETRY_RATIO + RETRY_SLACK;
+      const exceededMs = retries.find((endMs) => {
+        const retryCount = countBetween(
+          retries,
+          endMs - RETRY_WINDOW_MS,
+          endMs,
+        );
+        const peakRequests = peakRequestCount(sent, endMs);
+        return retryCount > peakRequests * RETRY_RATIO + RETRY_SLACK;
       });
-      if (broken === undefined) return [];
-      return [{id: service, detail: `too many retries until ${broken}`}];
+      if (exceededMs === undefined) return [];
+      return [{id: service, detail: `too many retries until ${exceededMs}`}];
     });
   },
 };
 
-/** Processes end only when they are told to, and in time. */
-export const OWN_ENDS: PromiseCheck = {
-  promise: 'no process ends by itself; planned stops end as planned',
+/** Processes exit only when killed or stopped; a stop ends with status 0. */
+export const NO_UNEXPECTED_EXITS: GuaranteeCheck = {
+  guarantee:
+    'no process exits unexpectedly; graceful shutdowns exit with status 0',
   find: (history) =>
     history.entryEnds
       .filter(({wasKilled}) => !wasKilled)
-      // Node itself ends on a signal that comes before it runs any code.
+      // Node.js itself exits on a signal that arrives before any code runs.
       .filter(({stopMs, hasListened}) => hasListened || stopMs === undefined)
       .filter(({code, stopMs}) => stopMs === undefined || code !== 0)
-      .map(({entry, code}) => ({id: entry, detail: `ended with ${code}`})),
+      .map(({entry, code}) => ({id: entry, detail: `exited with ${code}`})),
 };
 
-/** Logs are JSON lines, and nothing else is written. */
-export const CLEAN_LOGS: PromiseCheck = {
-  promise: 'processes write JSON lines only',
+/** Processes write nothing but JSON log lines. */
+export const JSON_LOGS: GuaranteeCheck = {
+  guarantee: 'processes write JSON lines only',
   find: ({strayLines}) => strayLines.map((line) => ({id: 'log', detail: line})),
 };
 
-/** When the first of two runs ended. */
-function endOf(a: Arrival, b: Arrival): number {
+/** End of the run that ended first. */
+function firstEndMs(a: Arrival, b: Arrival): number {
   return Math.min(a.endedMs ?? Infinity, b.endedMs ?? Infinity);
 }
 
@@ -237,8 +257,8 @@
   return history.configs.find((config) => config.version === version);
 }
 
-/** The newest version that the process is known to have used before. */
-function newestSeen(
+/** The newest version that the process had used before the attempt. */
+function newestUsedVersion(
   history: History,
   attempt: Attempt,
   ran: ReadonlySet<string>,
@@ -247,13 +267,13 @@
     .filter(({entry}) => entry === attempt.entry)
     .filter(({lifetime}) => lifetime === attempt.lifetime)
     .filter(({id, endMs}) => {
-      return ran.has(id) && endMs + DOWNGRADE_SLACK_MS < attempt.sentMs;
+      return ran.has(id) && endMs + CONFIG_CHANGE_TOLERANCE_MS < attempt.sentMs;
     })
     .map(({keyVersion}) => keyVersion);
   return Math.max(0, ...versions);
 }
 
-function servicesInForce(
+function allowedServices(
   history: History,
   fromMs: number,
   toMs: number,
@@ -261,7 +281,7 @@
   const {configs} = history;
   const allowed = configs.filter(({sentMs}, index) => {
     const endMs = configs[index + 1]?.ackMs ?? Number.POSITIVE_INFINITY;
-    return sentMs <= toMs && endMs + APPLY_MS >= fromMs;
+    return sentMs <= toMs && endMs + CONFIG_APPLY_MS >= fromMs;
   });
   return new Set(allowed.map(({movingTo}) => movingTo));
 }
@@ -278,20 +298,20 @@
   return {service: kind === RequestKind.STREAM ? WRITERS : 'desk'};
 }
 
-/** Times of the arrivals beyond the first of each request. */
-function repeatsOf(arrivals: readonly Arrival[]): number[] {
+/** Arrival times of all but the first arrival of each request. */
+function retryTimes(arrivals: readonly Arrival[]): number[] {
   const seen = new Set<string>();
   return arrivals
     .filter(({attemptId}) => {
-      const isRepeat = seen.has(attemptId);
+      const isRetry = seen.has(attemptId);
       seen.add(attemptId);
-      return isRepeat;
+      return isRetry;
     })
     .map(({atMs}) => atMs);
 }
 
-/** The most requests of the window, the one before, or half before. */
-function mostRequests(sentMs: readonly number[], endMs: number): number {
+/** Largest request count of the windows that end 0, 0.5 and 1 window earlier. */
+function peakRequestCount(sentMs: readonly number[], endMs: number): number {
   const ends = [0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS];
   const counts = ends.map((shiftMs) => {
     const lastMs = endMs - shiftMs;
--- a/tools/soak/checks/answers.ts
+++ b/tools/soak/checks/responses.ts
@@ -1,27 +1,27 @@
-/** Promises about what callers get. */
+/** Guarantees about the responses that callers receive. */
 import {createParser} from 'eventsource-parser';
 
 import {
   CALL_DEADLINE_MS,
-  LATE_MS,
+  DEADLINE_TOLERANCE_MS,
   RECOVERED_SHARE,
   STREAM_DEADLINE_MS,
   STREAM_EVENTS,
 } from '../consts.js';
 import type {Attempt} from '../history.js';
 import {RequestKind} from '../history.js';
-import type {PromiseCheck} from './types.js';
-import {entryPart, isServed, partsOf} from './types.js';
+import type {GuaranteeCheck} from './types.js';
+import {entryComponent, isServed, componentsOf} from './types.js';
 
-/** Statuses that say that a request has not run and will not run. */
+/** Statuses which state that a request has not run and will not run. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
-/** Fewest requests by which the recovery is judged. */
-const MIN_LAST_REQUESTS = 10;
+/** Minimum number of requests for the recovery check. */
+const MIN_RECOVERY_REQUESTS = 10;
 
-/** A success is the caller's own answer, with its proof, to the last byte. */
-export const OWN_ANSWERS: PromiseCheck = {
-  promise: 'each caller gets its own whole answer',
+/** A successful response is complete, belongs to its request and is proven. */
+export const COMPLETE_RESPONSES: GuaranteeCheck = {
+  guarantee: 'each caller receives its own complete response',
   find: (history) =>
     history.attempts
       .filter(({kind}) => kind !== RequestKind.STREAM)
@@ -30,21 +30,22 @@
       .map(({id, text}) => ({id, detail: `got ${JSON.stringify(text)}`})),
 };
 
-/** Streams have each piece once and in order, and end after the last. */
-export const WHOLE_STREAMS: PromiseCheck = {
-  promise: 'no piece of a stream is missing, repeated or from another run',
+/** Streams have each event exactly once and in order, and end after the last. */
+export const COMPLETE_STREAMS: GuaranteeCheck = {
+  guarantee:
+    'no event of a stream is missing, duplicated or from another request',
   find: (history) =>
     history.attempts
       .filter(({kind, status}) => kind === RequestKind.STREAM && status === 200)
       .flatMap((attempt) => {
-        const detail = streamFault(attempt);
+        const detail = findStreamError(attempt);
         return detail === undefined ? [] : [{id: attempt.id, detail}];
       }),
 };
 
-/** What cannot be repeated runs once at most. */
-export const AT_MOST_ONCE: PromiseCheck = {
-  promise: 'a request that must not be repeated runs at most once',
+/** Non-idempotent requests run at most once. */
+export const AT_MOST_ONCE: GuaranteeCheck = {
+  guarantee: 'a non-idempotent request runs at most once',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
@@ -58,31 +59,31 @@
   },
 };
 
-/** A refusal that says so means that nothing ran. */
-export const TRUE_REFUSALS: PromiseCheck = {
-  promise: 'a request that was refused as not run has not run',
+/** A request refused with one of `NOT_RUN_STATUSES` has not run. */
+export const REFUSED_NOT_RUN: GuaranteeCheck = {
+  guarantee: 'a request refused as not run has not run',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
       .filter(({kind}) => kind === RequestKind.UNSAFE)
       .filter(({status = 0}) => NOT_RUN_STATUSES.includes(status))
       .filter(({id}) => arrivals.get(id)?.some(({hasRun}) => hasRun) === true)
-      .map(({id, status}) => ({id, detail: `answered ${status}, but ran`}));
+      .map(({id, status}) => ({id, detail: `refused with ${status}, but ran`}));
   },
 };
 
-/** Whatever happens to targets and store, an answer comes in time. */
-export const IN_TIME: PromiseCheck = {
-  promise: 'each request has a final answer by its deadline',
+/** Responses meet their deadline despite faults of targets and the store. */
+export const DEADLINES_MET: GuaranteeCheck = {
+  guarantee: 'each request has a final response by its deadline',
   find: (history) =>
     history.attempts
       .filter(({kind, sentMs, endMs}) => {
         const limitMs =
           kind === RequestKind.STREAM ? STREAM_DEADLINE_MS : CALL_DEADLINE_MS;
-        return endMs - sentMs > limitMs + LATE_MS + history.lagMs;
+        return endMs - sentMs > limitMs + DEADLINE_TOLERANCE_MS + history.lagMs;
       })
       .filter(({entry, sentMs, endMs}) =>
-        history.isCalm([entryPart(entry)], sentMs, endMs),
+        history.isFaultFree([entryComponent(entry)], sentMs, endMs),
       )
       .map(({id, sentMs, endMs}) => ({
         id,
@@ -90,25 +91,32 @@
       })),
 };
 
-/** Connections end without an answer only where something broke them. */
-export const ANSWERED: PromiseCheck = {
-  promise: 'a calm entry answers each request',
+/** Connections end without a response only because of a fault. */
+export const ALL_ANSWERED: GuaranteeCheck = {
+  guarantee: 'an entry without faults responds to each request',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.attempts
       .filter(({status, hungUpMs}) => status === undefined && !hungUpMs)
       .filter((attempt) => {
-        const parts = partsOf(attempt, arrivals.get(attempt.id) ?? []);
-        const isCalm = history.isCalm(parts, attempt.sentMs, attempt.endMs);
-        return isCalm && !endedAround(attempt, history.entryEnds);
+        const components = componentsOf(
+          attempt,
+          arrivals.get(attempt.id) ?? [],
+        );
+        const isFaultFree = history.isFaultFree(
+          components,
+          attempt.sentMs,
+          attempt.endMs,
+        );
+        return isFaultFree && !processEnded(attempt, history.entryEnds);
       })
-      .map(({id, entry}) => ({id, detail: `no answer from ${entry}`}));
+      .map(({id, entry}) => ({id, detail: `no response from ${entry}`}));
   },
 };
 
-/** A planned stop lets open requests end. */
-export const STOPS_CUT_NOTHING: PromiseCheck = {
-  promise: 'a planned stop cuts nothing off',
+/** A graceful shutdown lets open requests finish. */
+export const GRACEFUL_SHUTDOWN: GuaranteeCheck = {
+  guarantee: 'a graceful shutdown interrupts no request',
   find: (history) => {
     const arrivals = history.arrivalsById();
     return history.entryEnds.flatMap((end) => {
@@ -121,19 +129,22 @@
         .filter(({isWhole, hungUpMs}) => !isWhole && hungUpMs === undefined)
         .filter((attempt) => {
           const seen = arrivals.get(attempt.id) ?? [];
-          const wasTaken = seen.length > 0 || attempt.sentMs < stopMs;
-          const parts = partsOf(attempt, seen);
+          const wasAccepted = seen.length > 0 || attempt.sentMs < stopMs;
+          const components = componentsOf(attempt, seen);
           const {sentMs, endMs} = attempt;
-          return wasTaken && history.isCalm(parts, sentMs, endMs);
+          return wasAccepted && history.isFaultFree(components, sentMs, endMs);
         })
-        .map(({id, entry}) => ({id, detail: `cut off as ${entry} stopped`}));
+        .map(({id, entry}) => ({
+          id,
+          detail: `interrupted as ${entry} stopped`,
+        }));
     });
   },
 };
 
-/** Once the faults are over, requests succeed again. */
-export const RECOVERED: PromiseCheck = {
-  promise: 'service is back after the faults',
+/** Requests succeed again after all faults. */
+export const RECOVERY: GuaranteeCheck = {
+  guarantee: 'the service recovers after the faults',
   find: (history) => {
     const last = history.attempts.filter(
       ({sentMs, hungUpMs, keyVersion}) =>
@@ -141,12 +152,12 @@
     );
     const served = last.filter(isServed).length;
     const isEnough = served >= last.length * RECOVERED_SHARE;
-    if (isEnough && last.length >= MIN_LAST_REQUESTS) return [];
+    if (isEnough && last.length >= MIN_RECOVERY_REQUESTS) return [];
     return [{id: 'site', detail: `${served} of ${last.length} were served`}];
   },
 };
 
-function streamFault(attempt: Attempt): string | undefined {
+function findStreamError(attempt: Attempt): string | undefined {
   const pieces: Array<{id?: string; data: string}> = [];
   const parser = createParser({
     onEvent: ({id, data}) => pieces.push({id, data}),
@@ -159,10 +170,10 @@
     }
   }
   const isEarly = attempt.isWhole && pieces.length !== STREAM_EVENTS;
-  return isEarly ? `ended as whole after ${pieces.length}` : undefined;
+  return isEarly ? `ended as complete after ${pieces.length}` : undefined;
 }
 
-function endedAround(
+function processEnded(
   attempt: Attempt,
   ends: ReadonlyArray<{entry: string; lifetime: number}>,
 ): boolean {
--- a/tools/soak/run.ts
+++ b/tools/soak/run.ts
@@ -1,45 +1,45 @@
-/** One run of the soak: a site, callers and faults, then the checks. */
+/** One soak run: starts a site, callers and faults, then runs the checks. */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {Balancer, SoakCaller} from './callers.js';
+import {LoadBalancer, SoakCaller} from './callers.js';
 import type {Violation} from './checks/index.js';
 import {findViolations} from './checks/index.js';
-import {CALLERS_PER_ENTRY, CONTACT_MS} from './consts.js';
-import {playEpisode} from './faults.js';
+import {CALLERS_PER_ENTRY, FAULT_AFTERMATH_MS} from './consts.js';
+import {injectFault} from './faults.js';
 import {History} from './history.js';
-import type {Episode} from './plan.js';
-import {drawPlan} from './plan.js';
+import type {PlannedFault} from './plan.js';
+import {createPlan} from './plan.js';
 import type {SiteSize} from './site.js';
 import {SoakSite} from './site.js';
-import {watchLag} from './watch-lag.js';
+import {monitorTimerLag} from './timer-lag.js';
 
-/** What one run is made from. */
+/** Parameters of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly durationMs: number;
   readonly size: SiteSize;
-  /** Folder for settings, logs and the history. */
+  /** Folder for settings, logs, the plan and the history. */
   readonly folder: string;
 }
 
-/** What one run showed. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly violations: readonly Violation[];
   readonly requests: number;
   readonly served: number;
   readonly faults: number;
-  /** Longest time for which the soak's own process was late. */
+  /** Longest delay of a timer in the soak's own process. */
   readonly lagMs: number;
 }
 
-/** Seeds of callers must not repeat those of other runs. */
+/** Distance of the caller seeds of two runs, so that no seed is reused. */
 const SEEDS_PER_RUN = 10_000;
 
 /**
- * Plays one seed from start to end.
+ * Runs the soak with one seed.
  *
  * @example
  * const {violations} = await runSoak({seed: 7, durationMs, size, folder});
@@ -47,15 +47,15 @@
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const {seed, durationMs, size, folder} = options;
   mkdirSync(folder, {recursive: true});
-  const plan = drawPlan({seed, durationMs});
+  const plan = createPlan({seed, durationMs});
   const history = new History();
   const site = new SoakSite(history, {folder, size});
   try {
     await site.start();
-    await play({site, plan, durationMs, seed});
+    await runPlan({site, plan, durationMs, seed});
   } finally {
     await site.close();
-    keep(folder, {plan, history});
+    writeArtifacts(folder, {plan, history});
   }
   const {attempts, lagMs} = history;
   return {
@@ -68,47 +68,50 @@
   };
 }
 
-async function play(options: {
+async function runPlan(options: {
   site: SoakSite;
-  plan: readonly Episode[];
+  plan: readonly PlannedFault[];
   durationMs: number;
   seed: number;
 }): Promise<void> {
   const {site, plan, durationMs, seed} = options;
   const {history} = site;
-  const stopWatch = watchLag((lagMs) => {
+  const stopMonitor = monitorTimerLag((lagMs) => {
     history.lagMs = Math.max(history.lagMs, lagMs);
   });
-  const balancer = new Balancer(site.entries);
+  const balancer = new LoadBalancer(site.entries);
   const count = site.entries.length * CALLERS_PER_ENTRY;
   const callers = Array.from({length: count}, (_, index) => {
     const callerSeed = seed * SEEDS_PER_RUN + index;
     return new SoakCaller(`c${index}`, callerSeed, site, balancer);
   });
-  const asking = balancer.run();
-  const calling = callers.map((caller) => caller.run());
+  const probing = balancer.run();
+  const callerRuns = callers.map((caller) => caller.run());
   const startMs = Date.now();
-  const episodes = plan.map(async (episode) => {
-    await sleep(episode.atMs);
-    await playEpisode(site, episode);
+  const injections = plan.map(async (fault) => {
+    await sleep(fault.atMs);
+    await injectFault(site, fault);
   });
-  await Promise.all(episodes);
-  history.calmFromMs = Date.now() + CONTACT_MS;
-  const endMs = Math.max(startMs + durationMs, history.calmFromMs + CONTACT_MS);
+  await Promise.all(injections);
+  history.calmFromMs = Date.now() + FAULT_AFTERMATH_MS;
+  const endMs = Math.max(
+    startMs + durationMs,
+    history.calmFromMs + FAULT_AFTERMATH_MS,
+  );
   await sleep(endMs - Date.now());
   for (const caller of callers) caller.stop();
-  await Promise.all(calling);
+  await Promise.all(callerRuns);
   balancer.stop();
-  await asking;
-  stopWatch();
+  await probing;
+  stopMonitor();
 }
 
-/** Leaves what is needed to trace a broken promise. */
-function keep(
+/** Writes the plan and the history, to diagnose violations. */
+function writeArtifacts(
   folder: string,
-  evidence: {plan: readonly Episode[]; history: History},
+  artifacts: {plan: readonly PlannedFault[]; history: History},
 ): void {
-  for (const [name, content] of Object.entries(evidence)) {
+  for (const [name, content] of Object.entries(artifacts)) {
     const text = JSON.stringify(content, null, 1);
     writeFileSync(join(folder, `${name}.json`), text);
   }
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -1,43 +1,43 @@
-/** The site of one run: a store, entries and targets, and who steers them. */
+/** The site of one run: its store, entries and targets. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {StoreObjectKind} from '../../platform/names.js';
 import type {Direction} from '../../stand-ins/relay/relay.js';
 import {KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
 import {Fault} from '../../stand-ins/site/target-fault.js';
-import {KEY_LIFE_VERSIONS} from './checks/control.js';
+import {KEY_LIFETIME_VERSIONS} from './checks/control.js';
 import {STREAM_DEADLINE_MS, ZONES} from './consts.js';
 import type {History} from './history.js';
 import {SoakEntry} from './soak-entry.js';
 import {SoakTarget} from './soak-target.js';
-import {SteeredStandIn} from './stand-in.js';
+import {StandInProcess} from './stand-in-process.js';
 
-/** Loopback networks, of which each soak process takes one. */
+/** Loopback addresses; each soak process uses its own subnet. */
 const FIRST_NETWORK = 20;
 const NETWORKS = 200;
 const SUBNETS = 250;
 const FIRST_HOST = 10;
 
 const READY_TIMEOUT_MS = 20_000;
-const READY_STEP_MS = 100;
+const READY_POLL_MS = 100;
 
-/** How many of each there are. */
+/** Number of entries and targets. */
 export interface SiteSize {
   readonly entries: number;
   /** Targets of each service in each zone. */
   readonly targets: number;
 }
 
-/** The key that came with a version; 0 names the key that is always there. */
+/** Key added by a configuration version; the permanent key for version 0. */
 export function keyOf(version: number): string {
   return version === 0 ? KEY : `key-${version}`;
 }
 
-/** Holds all processes of a run; whoever starts a site must close it. */
+/** Owns all processes of a run; must be closed after use. */
 export class SoakSite {
   readonly entries: SoakEntry[] = [];
   targets: SoakTarget[] = [];
-  store!: SteeredStandIn;
+  store!: StandInProcess;
   private targetNumber = 0;
   private version = 0;
   private isClosed = false;
@@ -47,18 +47,18 @@
     private readonly options: {folder: string; size: SiteSize},
   ) {}
 
-  /** Starts everything and waits until all entries are ready. */
+  /** Starts all processes and waits until all entries are ready. */
   async start(): Promise<void> {
     const {size, folder} = this.options;
-    this.store = await SteeredStandIn.start({script: 'store-main.js'});
+    this.store = await StandInProcess.start({script: 'store-main.js'});
     await this.changeConfig();
     const services = Object.values(SiteService);
-    const places = ZONES.flatMap((zone) =>
+    const placements = ZONES.flatMap((zone) =>
       services.flatMap((service) =>
         Array.from({length: size.targets}, () => ({zone, service})),
       ),
     );
-    await Promise.all(places.map((place) => this.addTarget(place)));
+    await Promise.all(placements.map((place) => this.addTarget(place)));
     const network = `127.${FIRST_NETWORK + (process.pid % NETWORKS)}`;
     const subnet = Math.floor(process.pid / NETWORKS) % SUBNETS;
     const starts = Array.from({length: size.entries}, (_, index) =>
@@ -76,9 +76,12 @@
   }
 
   /** Starts one more target. */
-  async addTarget(place: {zone: string; service: SiteService}): Promise<void> {
+  async addTarget(placement: {
+    zone: string;
+    service: SiteService;
+  }): Promise<void> {
     if (this.isClosed) return;
-    const {zone, service} = place;
+    const {zone, service} = placement;
     const target = await SoakTarget.start({
       zone,
       service,
@@ -87,25 +90,25 @@
       history: this.history,
     });
     this.targets.push(target);
-    // A start may cross the end of the run.
+    // The site may have been closed while the target started.
     if (this.isClosed) target.standIn.proc.kill();
   }
 
   /** Kills a target and starts another in its place. */
   async replaceTarget(target: SoakTarget, downMs: number): Promise<void> {
     this.targets = this.targets.filter((other) => other !== target);
-    const gone = target.kill();
+    const killed = target.kill();
     await sleep(downMs);
     await this.addTarget(target);
-    await gone;
+    await killed;
   }
 
-  /** Writes the next version, which moves a route and changes keys. */
+  /** Writes the next configuration, which moves a route and changes keys. */
   async changeConfig(): Promise<void> {
     const version = ++this.version;
     const {DESK, SPARE} = SiteService;
     const movingTo = version % 2 === 0 ? SPARE : DESK;
-    const oldest = Math.max(1, version - KEY_LIFE_VERSIONS + 1);
+    const oldest = Math.max(1, version - KEY_LIFETIME_VERSIONS + 1);
     const keys = [0, oldest, version].map(keyOf);
     const spec = siteConfig({
       version,
@@ -116,7 +119,7 @@
     const sentMs = Date.now();
     const change = {version, movingTo, sentMs, ackMs: Infinity};
     this.history.configs.push(change);
-    await this.store.ask('put', {
+    await this.store.execute('put', {
       kind: StoreObjectKind.CONFIG,
       name: 'main',
       spec,
@@ -124,19 +127,19 @@
     change.ackMs = Date.now();
   }
 
-  /** Has a target answer wrongly for a time. */
-  async withFault(
+  /** Makes a target respond incorrectly for a time. */
+  async applyTargetFault(
     target: SoakTarget,
     fault: Fault,
     durationMs: number,
   ): Promise<void> {
-    await target.standIn.ask('setFault', fault);
+    await target.standIn.execute('setFault', fault);
     await sleep(durationMs);
-    await target.standIn.ask('setFault', Fault.NONE);
+    await target.standIn.execute('setFault', Fault.NONE);
   }
 
   /** Cuts the connections to targets for a time. */
-  async withCut(
+  async disconnectTargets(
     targets: readonly SoakTarget[],
     durationMs: number,
     directions?: readonly Direction[],
@@ -146,7 +149,7 @@
     for (const {relay} of targets) relay.mend();
   }
 
-  /** Ends all processes and waits until they are gone. */
+  /** Kills all processes and waits until they have exited. */
   async close(): Promise<void> {
     this.isClosed = true;
     const entries = this.entries.map((entry) => entry.kill());
@@ -165,7 +168,7 @@
     for (const entry of this.entries) {
       while (!(await entry.isReady())) {
         if (Date.now() > endMs) throw new Error(`${entry.name} is not ready`);
-        await sleep(READY_STEP_MS);
+        await sleep(READY_POLL_MS);
       }
     }
   }
--- a/tools/soak/soak-target.ts
+++ b/tools/soak/soak-target.ts
@@ -1,4 +1,4 @@
-/** A target of the soak: its process, and the relay in front of it. */
+/** A target of the soak: its process and the relay in front of it. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {StoreObjectKind} from '../../platform/names.js';
@@ -7,40 +7,40 @@
 import type {TargetReport} from '../../stand-ins/site/target-main.js';
 import {registrationOf} from '../../stand-ins/site/target.js';
 import {
-  LAPSE_MS,
+  REGISTRATION_EXPIRY_MS,
   STREAM_EVENTS,
   STREAM_FIRST_MS,
   STREAM_GAP_MS,
   WORK_MS,
 } from './consts.js';
 import type {Arrival, History} from './history.js';
-import {SteeredStandIn} from './stand-in.js';
+import {StandInProcess} from './stand-in-process.js';
 
 const HOST = '127.0.0.1';
 
-/** What a target is started with. */
+/** Parameters of a target. */
 export interface SoakTargetOptions {
   readonly id: string;
   readonly service: SiteService;
   readonly zone: string;
-  readonly store: SteeredStandIn;
+  readonly store: StandInProcess;
   readonly history: History;
 }
 
-/** One lifetime of a target. */
+/** A target process with its registration in the store. */
 export class SoakTarget {
   private readonly running = new Map<string, Arrival>();
 
   private constructor(
     private readonly options: SoakTargetOptions,
-    readonly standIn: SteeredStandIn,
+    readonly standIn: StandInProcess,
     readonly relay: Relay,
   ) {}
 
   /** Starts the target and registers it. */
   static async start(options: SoakTargetOptions): Promise<SoakTarget> {
     const isWriter = options.service === SiteService.WRITERS;
-    const standIn = await SteeredStandIn.start({
+    const standIn = await StandInProcess.start({
       script: 'target-main.js',
       args: [
         ['--id', options.id],
@@ -49,7 +49,7 @@
         ['--gap-ms', String(STREAM_GAP_MS)],
         ['--work-ms', String(WORK_MS)],
       ].flat(),
-      onReport: (report) => target.note(report as TargetReport),
+      onReport: (report) => target.recordReport(report as TargetReport),
     });
     const relay = new Relay({
       address: HOST,
@@ -75,32 +75,32 @@
     return this.options.zone;
   }
 
-  /** Writes the target's state to the store. */
+  /** Writes the target's registration, with its state, to the store. */
   async register(state: string): Promise<void> {
     const {id, service, zone, store} = this.options;
     const address = `${HOST}:${this.relay.port}`;
     const spec = registrationOf({service, zone, address, state});
-    await store.ask('put', {kind: StoreObjectKind.TARGETS, name: id, spec});
+    await store.execute('put', {kind: StoreObjectKind.TARGETS, name: id, spec});
   }
 
-  /** Takes the target's registration away. */
+  /** Removes the target's registration from the store. */
   async unregister(): Promise<void> {
     const {id, store} = this.options;
-    await store.ask('remove', {kind: StoreObjectKind.TARGETS, name: id});
+    await store.execute('remove', {kind: StoreObjectKind.TARGETS, name: id});
   }
 
-  /** Kills the process; its registration lapses later. */
+  /** Kills the process and removes its registration after the expiry time. */
   async kill(): Promise<void> {
     this.standIn.proc.kill();
     const endedMs = Date.now();
     for (const arrival of this.running.values()) arrival.endedMs = endedMs;
     this.running.clear();
-    await sleep(LAPSE_MS);
+    await sleep(REGISTRATION_EXPIRY_MS);
     await this.unregister();
     await this.relay.close();
   }
 
-  private note(report: TargetReport): void {
+  private recordReport(report: TargetReport): void {
     const {attemptId, atMs} = report;
     if (report.type === 'ended') {
       const arrival = this.running.get(attemptId);
