--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -37,7 +37,7 @@
   const transcript = createTranscript();
   const req = {prompt: `stop test [length=${tokens}]`, maxTokens: tokens};
   const url = site.entries[0]!.callersUrl;
-  await readStream({url, req: ask: req, transcript, onChunk: onPiece: onChunk});
+  await readStream({url, req, transcript, onChunk});
   const output = expectedAnswer({...req, stop: []});
   const text = output.tokens.map((token) => token.text).join('');
   expect(transcript).toMatchObject({
--- a/test/processes/generation-poison.test.ts
+++ b/test/processes/generation-poison.test.ts
@@ -41,9 +41,12 @@
       maxTokens: MAX_TOKENS,
     }));
     const reading = reqs.map((req, i) =>
-      readWithResume({urls: [urls[i % urls.length]!], req: ask: req}),
+      readWithResume({urls: [urls[i % urls.length]!], req}),
     );
-    const poisoned = await readWithResume({urls: [urls[0]!], req: POISON_REQUEST});
+    const poisoned = await readWithResume({
+      urls: [urls[0]!],
+      req: POISON_REQUEST,
+    });
     const unrelated = await Promise.all(reading);
 
     expect(poisoned.errors).toMatchObject([{reason: 'poison', ran: 'yes'}]);
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -82,7 +82,7 @@
     );
     const started = new Set<string>();
     const reading = reqs.map((req) =>
-      readWithResume({urls, req: ask: req, onChunk: () => started.add(req.prompt)}),
+      readWithResume({urls, req, onChunk: () => started.add(req.prompt)}),
     );
     // Two slots are reserved for resumes; all others are busy.
     const check = (): Promise<boolean> => Promise.resolve(started.size >= 22);
@@ -112,7 +112,7 @@
         createRequest(`wave ${wave} ${i}`, 150),
       );
       const reading = reqs.map((req) =>
-        readWithResume({urls, req: ask: req, onChunk: () => started.add(req.prompt)}),
+        readWithResume({urls, req, onChunk: () => started.add(req.prompt)}),
       );
       const check = (): Promise<boolean> =>
         Promise.resolve(started.size === 22);
@@ -140,15 +140,13 @@
     const flood = Array.from({length: 400}, (_, i) => {
       const req = createRequest(`greedy ${i}`, 50);
       const transcript = createTranscript();
-      return readStream({url, req: ask: req, transcript, signal}).catch(
-        () => undefined,
-      );
+      return readStream({url, req, transcript, signal}).catch(() => undefined);
     });
     await new Promise((resolve) => setTimeout(resolve, 1_000));
     for (let i = 0; i < 6; i++) {
       const req = {...createRequest(`modest ${i}`, 50, 8_000), key: OTHER_KEY};
       const transcript = createTranscript();
-      await readStream({url, req: ask: req, transcript});
+      await readStream({url, req, transcript});
       expect(transcript.errors).toEqual([]);
       expect(isComplete(transcript, req)).toBe(true);
     }
@@ -168,7 +166,7 @@
       for (let i = 0; i < 30; i++) {
         const req = createRequest(`haste ${caller} ${i}`, 20, 2_000);
         const transcript = createTranscript();
-        await readStream({url, req: ask: req, transcript}).catch(() => undefined);
+        await readStream({url, req, transcript}).catch(() => undefined);
         transcripts.push(transcript);
       }
     };
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -156,7 +156,7 @@
       let snapshot: Transcript | undefined;
       await readStream({
         url: entry.relay.url,
-        req: ask: req,
+        req,
         transcript: current,
         signal: abort.signal,
         onChunk: (t) => {
