--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -64,13 +64,17 @@
     async (request) => {
       const driver = new HttpEngineDriver({baseUrl: await openEngine()});
       const spec = specOf(request);
-      const whole = expectedAnswer(request);
-      const cuts = [...whole.tokens.keys(), whole.tokens.length];
-      const resumed = cuts.map((cut) =>
-        generate({driver, spec, resumeFrom: whole.tokens.slice(0, cut)}),
+      const expected = expectedAnswer(request);
+      const positions = [...expected.tokens.keys(), expected.tokens.length];
+      const resumed = positions.map((position) =>
+        generate({
+          driver,
+          spec,
+          resumeFrom: expected.tokens.slice(0, position),
+        }),
       );
       for (const outcome of await Promise.all(resumed)) {
-        expect(outcome).toEqual(whole);
+        expect(outcome).toEqual(expected);
       }
     },
   );
--- a/test/adapters/http-object-store.test.ts
+++ b/test/adapters/http-object-store.test.ts
@@ -51,8 +51,8 @@
       expectedVersion: object.version,
     });
     expect(removed.isOk()).toBe(true);
-    const gone = await store.read(KEY);
-    expect(gone._unsafeUnwrap().isNothing()).toBe(true);
+    const afterRemoval = await store.read(KEY);
+    expect(afterRemoval._unsafeUnwrap().isNothing()).toBe(true);
   });
 });
 
@@ -185,8 +185,8 @@
       store.remove({...KEY, expectedVersion: 2}),
     );
     expect(removed).toBe(unknown);
-    const gone = (await store.read(KEY))._unsafeUnwrap();
-    expect(gone.isNothing()).toBe(true);
+    const afterRemoval = (await store.read(KEY))._unsafeUnwrap();
+    expect(afterRemoval.isNothing()).toBe(true);
   });
 });
 
