--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -6,7 +6,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Kind} from '../../../platform/names.js';
-import {KEY, SitePath} from '../../../stand-ins/site/config.js';
+import {API_KEY, SitePath} from '../../../stand-ins/site/config.js';
 import {registrationOf} from '../../../stand-ins/site/target.js';
 import {callSite} from '../../../tools/lab/site-caller.js';
 import {STREAM_EVENTS} from '../../../tools/soak/consts.js';
@@ -147,7 +147,7 @@
       ...entry!.callers,
       agent,
       path,
-      key: KEY,
+      key: API_KEY,
       attemptId: `try-${++this.attempts}`,
       deadlineMs: DEADLINE_MS,
     });
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -1,7 +1,7 @@
 /** Loses a target under running answers, again and again. */
 import {request} from 'undici';
 
-import {expectedAnswer} from '../../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../../stand-ins/engine/text.js';
 import type {Ask, Transcript} from '../../../tools/lab/caller.js';
 import {createTranscript, readWhole} from '../../../tools/lab/caller.js';
 import {controlRelay, sendControl, waitUntil} from '../../../tools/lab/lab.js';
@@ -257,7 +257,7 @@
 }
 
 function isWhole(ask: Ask, transcript: Transcript): boolean {
-  const {tokens} = expectedAnswer({...ask, stop: []});
+  const {tokens} = expectedOutput({...ask, stop: []});
   const text = tokens.map((token) => token.text).join('');
   const {ends, restarts} = transcript;
   return transcript.text === text && ends === 1 && restarts === 0;
--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -4,7 +4,7 @@
 import {FinishReason} from '../../src/core/edges/index.js';
 import {LaggedValue} from '../lib/lagged-value.js';
 import {PrefixCache} from './prefix-cache.js';
-import {AnswerWriter} from './text.js';
+import {OutputGenerator} from './text.js';
 import type {
   EngineCounts,
   EngineOptions,
@@ -25,7 +25,7 @@
 interface Job {
   readonly generation: Generation;
   readonly sink: GenerationSink;
-  readonly writer: AnswerWriter;
+  readonly writer: OutputGenerator;
   readonly count: RequestCount;
   /** When prefill is done, on the monotonic clock. */
   readyAtMs: number;
@@ -68,7 +68,7 @@
 
   /** Adds a generation and returns the function that cancels it. */
   add(generation: Generation, sink: GenerationSink): () => void {
-    const writer = new AnswerWriter(generation, generation.resumeIds);
+    const writer = new OutputGenerator(generation, generation.resumeIds);
     const {requestId, resumeIds} = generation;
     const count = {requestId, resumedFrom: resumeIds.length, produced: 0};
     const job: Job = {generation, sink, writer, count, readyAtMs: 0};
--- a/stand-ins/engine/orders.ts
+++ b/stand-ins/engine/commands.ts
@@ -5,7 +5,7 @@
 import {HttpError} from '../lib/http-server.js';
 
 /** Keeps the accepted orders and the highest fencing number. */
-export class OrderLog {
+export class CommandLog {
   readonly accepted: EngineCommand[] = [];
   private highest = 0;
 
--- a/stand-ins/engine/main.ts
+++ b/stand-ins/engine/main.ts
@@ -1,5 +1,5 @@
 /** Runs a model engine as a program. */
-import {announce, readFlags} from '../lib/program.js';
+import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_ENGINE_OPTIONS, startEngine} from './server.js';
 import {EarlyEnd} from './types.js';
 
@@ -40,4 +40,4 @@
   crashOn: flags.text('crash-on', base.crashOn),
   earlyEnd: readEarlyEnd(),
 });
-announce({port: server.port});
+announceReady({port: server.port});
--- a/stand-ins/engine/prefix-cache.ts
+++ b/stand-ins/engine/prefix-cache.ts
@@ -35,7 +35,7 @@
   private readonly prefixes = new Set<string>();
 
   /** Fingerprints of recent prompt prefixes, newest last. */
-  get reported(): string[] {
+  get reportedPrefixes(): string[] {
     return [...this.prefixes];
   }
 
--- a/stand-ins/engine/server.ts
+++ b/stand-ins/engine/server.ts
@@ -19,7 +19,7 @@
   startServer,
 } from '../lib/http-server.js';
 import {Batch} from './batch.js';
-import {OrderLog} from './orders.js';
+import {CommandLog} from './commands.js';
 import type {EngineOptions, Generation} from './types.js';
 import {EarlyEnd, EngineFault} from './types.js';
 
@@ -67,12 +67,12 @@
 class EngineServer {
   private readonly instance = randomUUID();
   private readonly batch: Batch;
-  private readonly orders: OrderLog;
+  private readonly orders: CommandLog;
   private fault = EngineFault.NONE;
 
   constructor(private readonly options: EngineOptions) {
     this.batch = new Batch(options);
-    this.orders = new OrderLog(options.ignoresFencing);
+    this.orders = new CommandLog(options.ignoresFencing);
   }
 
   async handle(call: HttpCall): Promise<void> {
@@ -121,7 +121,7 @@
       running,
       waiting,
       capacity: this.options.capacity,
-      cachedPrefixes: this.batch.cache.reported,
+      cachedPrefixes: this.batch.cache.reportedPrefixes,
     };
     sendJson({res, status: 200, body});
   }
--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -13,7 +13,7 @@
 const HASH = await xxhash();
 
 /** Length in tokens of an answer whose prompt names none. */
-export const DEFAULT_NATURAL_LENGTH = 200;
+export const DEFAULT_LENGTH_TOKENS = 200;
 
 const LENGTH_MARK = /\[length=(\d+)\]/;
 
@@ -22,20 +22,20 @@
 const MIX_B = 0xc2b2ae35;
 
 /** What decides an answer. */
-export interface AnswerSpec {
+export interface OutputSpec {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly stop: readonly string[];
 }
 
 /** A whole answer. */
-export interface Answer {
+export interface Output {
   readonly tokens: readonly Token[];
   readonly finishReason: FinishReason;
 }
 
 /** Writes one answer, token by token, from any position on. */
-export class AnswerWriter {
+export class OutputGenerator {
   private readonly decoder = new StringDecoder('utf8');
   private readonly ids: number[] = [];
   private readonly seed: number;
@@ -45,7 +45,7 @@
   private stopped = false;
 
   constructor(
-    private readonly spec: AnswerSpec,
+    private readonly spec: OutputSpec,
     resumeIds: readonly number[] = [],
   ) {
     this.seed = HASH.h32(spec.prompt);
@@ -90,8 +90,8 @@
  * @example
  * expectedAnswer({prompt: 'Draft a quote', maxTokens: 50, stop: []}).tokens;
  */
-export function expectedAnswer(spec: AnswerSpec): Answer {
-  const writer = new AnswerWriter(spec);
+export function expectedOutput(spec: OutputSpec): Output {
+  const writer = new OutputGenerator(spec);
   const tokens: Token[] = [];
   for (;;) {
     const finishReason = writer.finishReason;
@@ -102,7 +102,7 @@
 
 function naturalLengthOf(prompt: string): number {
   const mark = LENGTH_MARK.exec(prompt);
-  return mark === null ? DEFAULT_NATURAL_LENGTH : Number(mark[1]);
+  return mark === null ? DEFAULT_LENGTH_TOKENS : Number(mark[1]);
 }
 
 function tokenIdAt(seed: number, position: number): number {
--- a/stand-ins/engine/types.ts
+++ b/stand-ins/engine/types.ts
@@ -1,6 +1,6 @@
 /** Shapes of the model engine. */
 import type {FinishReason, Token} from '../../src/core/edges/index.js';
-import type {AnswerSpec} from './text.js';
+import type {OutputSpec} from './text.js';
 
 /** How an engine that resumed an answer ends it too early. */
 export enum EarlyEnd {
@@ -10,7 +10,7 @@
   /** Claims that `max_tokens` was reached. */
   LENGTH = 'length',
   /** Sends `[DONE]` without a finish reason. */
-  NO_REASON = 'no_reason',
+  NO_FINISH_REASON = 'no_reason',
 }
 
 /** Faults that tests order. */
@@ -40,7 +40,7 @@
 }
 
 /** One generation as asked for. */
-export interface Generation extends AnswerSpec {
+export interface Generation extends OutputSpec {
   readonly requestId: string;
   readonly priority: number;
   readonly resumeIds: readonly number[];
--- a/stand-ins/ledger/execution-log.ts
+++ b/stand-ins/ledger/execution-counter.ts
@@ -7,7 +7,7 @@
 }
 
 /** The executions that were counted. */
-export class ExecutionLog {
+export class ExecutionCounter {
   private readonly counts = new Map<string, number>();
 
   /** Executions by key. */
--- a/stand-ins/ledger/main.ts
+++ b/stand-ins/ledger/main.ts
@@ -1,5 +1,5 @@
 /** Runs a ledger as a program. */
-import {announce, readFlags} from '../lib/program.js';
+import {announceReady, readFlags} from '../lib/program.js';
 import {startLedger} from './server.js';
 
 const flags = readFlags({values: ['address', 'port'], switches: []});
@@ -7,4 +7,4 @@
   address: flags.text('address', '127.0.0.1'),
   port: flags.number('port', 0),
 });
-announce({port: server.port});
+announceReady({port: server.port});
--- a/stand-ins/ledger/server.ts
+++ b/stand-ins/ledger/server.ts
@@ -7,7 +7,7 @@
   sendJson,
   startServer,
 } from '../lib/http-server.js';
-import {ExecutionLog} from './execution-log.js';
+import {ExecutionCounter} from './execution-counter.js';
 
 /**
  * Starts a ledger.
@@ -19,12 +19,12 @@
   options: {address?: string; port?: number} = {},
 ): Promise<RunningServer> {
   const {address = '127.0.0.1', port = 0} = options;
-  const log = new ExecutionLog();
+  const log = new ExecutionCounter();
   const handle = (call: HttpCall): Promise<void> => answer(call, log);
   return startServer({address, port, handle});
 }
 
-async function answer(call: HttpCall, log: ExecutionLog): Promise<void> {
+async function answer(call: HttpCall, log: ExecutionCounter): Promise<void> {
   const {method, segments, req, res} = call;
   switch (`${method} /${segments.join('/')}`) {
     case 'POST /executions': {
--- a/stand-ins/lib/program.ts
+++ b/stand-ins/lib/program.ts
@@ -41,7 +41,10 @@
  * @example
  * announce({port: 8080});
  */
-export function announce(fields: {port: number; controlPort?: number}): void {
+export function announceReady(fields: {
+  port: number;
+  controlPort?: number;
+}): void {
   process.on('SIGTERM', () => process.exit(0));
   process.stdout.write(`${JSON.stringify({ready: true, ...fields})}\n`);
 }
--- a/stand-ins/platform/fault-switch.ts
+++ b/stand-ins/platform/fault-injector.ts
@@ -6,7 +6,7 @@
 const DEFAULT_SLOW_MS = 2_000;
 
 /** Holds the fault that a test ordered. */
-export class FaultSwitch {
+export class FaultInjector {
   private fault = PlatformFault.OK;
   private writesLeft = Infinity;
   private slowMs = 0;
@@ -34,9 +34,9 @@
   }
 
   /** The fault that meets the next write; counts down. */
-  takeForWrite(): PlatformFault {
+  consumeForWrite(): PlatformFault {
     const isForWrites =
-      this.fault === PlatformFault.LOSE_WRITE_ANSWER ||
+      this.fault === PlatformFault.LOSE_WRITE_RESPONSE ||
       this.fault === PlatformFault.FAIL_BEFORE_EFFECT;
     if (!isForWrites || this.writesLeft <= 0) return PlatformFault.OK;
     this.writesLeft -= 1;
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -1,5 +1,5 @@
 /** Runs a platform as a program. */
-import {announce, readFlags} from '../lib/program.js';
+import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_PLATFORM_OPTIONS, startPlatform} from './server.js';
 
 const flags = readFlags({
@@ -23,4 +23,4 @@
   logLength: flags.number('log-length', base.logLength),
   keepAliveMs: flags.number('keep-alive-ms', base.keepAliveMs),
 });
-announce({port: server.port});
+announceReady({port: server.port});
--- a/stand-ins/platform/server.ts
+++ b/stand-ins/platform/server.ts
@@ -9,7 +9,7 @@
   sendJson,
   startServer,
 } from '../lib/http-server.js';
-import {FaultSwitch} from './fault-switch.js';
+import {FaultInjector} from './fault-injector.js';
 import {MAX_VALUE_BYTES, ObjectTable} from './object-table.js';
 import type {CallCount, PlatformOptions} from './types.js';
 import {PlatformFault, Verb} from './types.js';
@@ -56,7 +56,7 @@
 class PlatformServer {
   private readonly objects: ObjectTable;
   private readonly vms: VmTable;
-  private readonly faults = new FaultSwitch();
+  private readonly faults = new FaultInjector();
   private readonly counts: CallCount[] = [];
   private readonly watches = new Set<ServerResponse>();
 
@@ -102,13 +102,13 @@
     const limitBytes = MAX_VALUE_BYTES + ENVELOPE_BYTES;
     const body = await readJson({req, limitBytes});
     await this.admit(kind, verb);
-    const fault = this.faults.takeForWrite();
+    const fault = this.faults.consumeForWrite();
     if (fault === PlatformFault.FAIL_BEFORE_EFFECT) {
       throw new HttpError(503, 'failing before effect');
     }
     const expected = expectedVersion(req.headers['if-match']);
     const result = this.apply({verb, kind, name, expected, body});
-    if (fault === PlatformFault.LOSE_WRITE_ANSWER) {
+    if (fault === PlatformFault.LOSE_WRITE_RESPONSE) {
       res.destroy();
       return;
     }
--- a/stand-ins/platform/types.ts
+++ b/stand-ins/platform/types.ts
@@ -19,7 +19,7 @@
   OK = 'ok',
   DOWN = 'down',
   SLOW = 'slow',
-  LOSE_WRITE_ANSWER = 'lose_write_answer',
+  LOSE_WRITE_RESPONSE = 'lose_write_answer',
   FAIL_BEFORE_EFFECT = 'fail_before_effect',
 }
 
--- a/stand-ins/relay/control.ts
+++ b/stand-ins/relay/control.ts
@@ -36,7 +36,7 @@
     case 'reset':
       return relay.reset();
     case 'mend':
-      return relay.mend();
+      return relay.restore();
     case 'delay':
       return relay.delay(numberField(body, 'ms', 0));
     default:
--- a/stand-ins/relay/main.ts
+++ b/stand-ins/relay/main.ts
@@ -1,5 +1,5 @@
 /** Runs a relay as a program. */
-import {announce, readFlags} from '../lib/program.js';
+import {announceReady, readFlags} from '../lib/program.js';
 import {startControl} from './control.js';
 import {Relay} from './relay.js';
 
@@ -22,4 +22,4 @@
   address,
   port: flags.number('control-port', 0),
 });
-announce({port: relay.port, controlPort: control.port});
+announceReady({port: relay.port, controlPort: control.port});
--- a/stand-ins/relay/relay.ts
+++ b/stand-ins/relay/relay.ts
@@ -68,7 +68,7 @@
   }
 
   /** Ends cuts and delays; what was held back goes first. */
-  mend(): void {
+  restore(): void {
     for (const direction of BOTH_WAYS) {
       Object.assign(this.links[direction], {isCut: false, delayMs: 0});
       this.pipes(direction).forEach((pipe) => pipe.resume());
--- a/stand-ins/service/gate.ts
+++ b/stand-ins/service/concurrency-limiter.ts
@@ -1,7 +1,7 @@
 /** Lets calls run up to a capacity, and none while it is shut. */
 
 /** The calls of one service. */
-export class Gate {
+export class ConcurrencyLimiter {
   private waiting: Array<() => void> = [];
   private isShut = false;
   private runningCount = 0;
@@ -23,7 +23,7 @@
     }
   }
 
-  setShut(isShut: boolean): void {
+  setPaused(isShut: boolean): void {
     this.isShut = isShut;
     this.release();
   }
--- a/stand-ins/service/main.ts
+++ b/stand-ins/service/main.ts
@@ -1,5 +1,5 @@
 /** Runs a plain service as a program. */
-import {announce, readFlags} from '../lib/program.js';
+import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_SERVICE_OPTIONS, startService} from './server.js';
 
 const flags = readFlags({
@@ -15,4 +15,4 @@
   capacity: flags.number('capacity', base.capacity),
   ledgerUrl: flags.text('ledger-url', base.ledgerUrl),
 });
-announce({port: server.port});
+announceReady({port: server.port});
--- a/stand-ins/service/server.ts
+++ b/stand-ins/service/server.ts
@@ -2,7 +2,7 @@
 import {randomUUID} from 'node:crypto';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-import {ExecutionLog} from '../ledger/execution-log.js';
+import {ExecutionCounter} from '../ledger/execution-counter.js';
 import {enumField, numberField} from '../lib/fields.js';
 import type {HttpCall, RunningServer} from '../lib/http-server.js';
 import {
@@ -11,7 +11,7 @@
   sendJson,
   startServer,
 } from '../lib/http-server.js';
-import {Gate} from './gate.js';
+import {ConcurrencyLimiter} from './concurrency-limiter.js';
 import type {ServiceOptions} from './types.js';
 import {ServiceFault} from './types.js';
 
@@ -48,14 +48,14 @@
 }
 
 class PlainService {
-  private readonly log = new ExecutionLog();
-  private readonly gate: Gate;
+  private readonly log = new ExecutionCounter();
+  private readonly gate: ConcurrencyLimiter;
   private fault = ServiceFault.NONE;
   private slowFactor = 1;
   private lookups = 0;
 
   constructor(private readonly options: ServiceOptions) {
-    this.gate = new Gate(options.capacity);
+    this.gate = new ConcurrencyLimiter(options.capacity);
   }
 
   async handle(call: HttpCall): Promise<void> {
@@ -135,7 +135,7 @@
     this.fault = fault;
     const factor = numberField(body, 'factor', DEFAULT_SLOW_FACTOR);
     this.slowFactor = fault === ServiceFault.SLOW ? factor : 1;
-    this.gate.setShut(fault === ServiceFault.STALL);
+    this.gate.setPaused(fault === ServiceFault.STALL);
     sendJson({res, status: 200, body: {kind: fault}});
   }
 
--- a/stand-ins/site/boot-file.ts
+++ b/stand-ins/site/boot-file.ts
@@ -15,12 +15,15 @@
 }
 
 /** Where an entry that was started with `bootFile` serves callers. */
-export function callersOf(address: string): {host: string; port: number} {
+export function callersEndpointOf(address: string): {
+  host: string;
+  port: number;
+} {
   return {host: address, port: CALLERS_PORT};
 }
 
 /** Where such an entry tells whether it is ready, as HOST:PORT. */
-export function readinessOf(address: string): string {
+export function readinessAddressOf(address: string): string {
   return `${address}:${READINESS_PORT}`;
 }
 
@@ -32,12 +35,15 @@
  */
 export function bootFile(options: BootFileOptions) {
   const {name, address, zone, store, bounds} = options;
-  const {host, port} = callersOf(address);
+  const {host, port} = callersEndpointOf(address);
   return {
     node_name: name,
     ip: address,
     zone,
-    listen: {frontend: `${host}:${port}`, readiness: readinessOf(address)},
+    listen: {
+      frontend: `${host}:${port}`,
+      readiness: readinessAddressOf(address),
+    },
     bounds,
     platform: {address: store},
   };
--- a/stand-ins/site/config.ts
+++ b/stand-ins/site/config.ts
@@ -4,7 +4,7 @@
 export const HOST = 'shop.example';
 
 /** The key that callers use where nothing else is said. */
-export const KEY = 'key-of-a';
+export const API_KEY = 'key-of-a';
 
 const ROUTE_TIMEOUT_MS = 3_000;
 
@@ -42,7 +42,7 @@
  * store.put({kind: 'config', name: 'main', spec: siteConfig({version: 1})});
  */
 export function siteConfig(options: SiteConfigOptions) {
-  const {version, keys = [KEY], movingTo = SiteService.DESK} = options;
+  const {version, keys = [API_KEY], movingTo = SiteService.DESK} = options;
   const {streamTimeoutMs = ROUTE_TIMEOUT_MS} = options;
   const common = {timeout_ms: ROUTE_TIMEOUT_MS, stream_resume: false};
   const {DESK, SPARE, WRITERS} = SiteService;
--- a/stand-ins/site/steering.ts
+++ b/stand-ins/site/parent-commands.ts
@@ -1,19 +1,19 @@
 /** Messages by which a stand-in process is steered by its parent. */
 
 /** A step that a parent asks for; the process answers with its number. */
-export interface SteeringRequest {
+export interface ParentCommand {
   readonly number: number;
   readonly step: string;
   readonly args: unknown;
 }
 
 /** Sent once the step was done. */
-export interface SteeringReply {
+export interface CommandReply {
   readonly number: number;
 }
 
 /** Steps of a stand-in by their names. */
-export interface SteeringSteps {
+export interface CommandHandlers {
   readonly [step: string]: (args: never) => void;
 }
 
@@ -23,12 +23,12 @@
  * @example
  * followParent({setMode: (mode: StoreMode) => store.setMode(mode)});
  */
-export function followParent(steps: SteeringSteps): void {
-  process.on('message', ({number, step, args}: SteeringRequest) => {
+export function handleParentCommands(steps: CommandHandlers): void {
+  process.on('message', ({number, step, args}: ParentCommand) => {
     const run = steps[step];
     if (run === undefined) throw new Error(`no such step: ${step}`);
     run(args as never);
-    process.send?.({number} satisfies SteeringReply);
+    process.send?.({number} satisfies CommandReply);
   });
   // A stand-in must not outlive the process that steers it.
   process.on('disconnect', () => process.exit(0));
--- a/stand-ins/site/store-main.ts
+++ b/stand-ins/site/store-main.ts
@@ -1,12 +1,12 @@
 /** Runs the platform's store as a program that its parent steers. */
-import {announce} from '../lib/program.js';
-import {followParent} from './steering.js';
+import {announceReady} from '../lib/program.js';
+import {handleParentCommands} from './parent-commands.js';
 import type {StoreMode} from './store.js';
 import {StandInStore} from './store.js';
 
 const store = new StandInStore();
 await store.start();
-followParent({
+handleParentCommands({
   put: (object: {kind: string; name: string; spec: unknown}) =>
     store.put(object),
   remove: (object: {kind: string; name: string}) => store.remove(object),
@@ -14,6 +14,6 @@
     store.mode = mode;
   },
   dropHistory: () => store.dropHistory(),
-  cutWaiters: () => store.cutWaiters(),
+  cutWaiters: () => store.endLongPolls(),
 });
-announce({port: Number(new URL(store.url).port)});
+announceReady({port: Number(new URL(store.url).port)});
--- a/stand-ins/site/store.ts
+++ b/stand-ins/site/store.ts
@@ -18,7 +18,7 @@
 }
 
 /** An address of the store, with troubles of its own. */
-export interface StoreDoor {
+export interface StoreEndpoint {
   readonly url: string;
   mode: StoreMode;
   /** Time by which each answer is late, in milliseconds. */
@@ -45,7 +45,7 @@
   readonly kind: string;
   readonly name: string;
   readonly query: URLSearchParams;
-  readonly door: StoreDoor;
+  readonly door: StoreEndpoint;
 }
 
 const FIRST_REVISION = 100;
@@ -76,11 +76,11 @@
   private readonly servers: RunningServer[] = [];
 
   async start(): Promise<void> {
-    await this.openDoor();
+    await this.openEndpoint();
   }
 
   /** Opens another address, at which some callers can be turned away. */
-  async openDoor(): Promise<StoreDoor> {
+  async openEndpoint(): Promise<StoreEndpoint> {
     const server = await startServer({
       address: '127.0.0.1',
       port: 0,
@@ -118,7 +118,7 @@
   }
 
   /** Ends all waiting calls as a fault of the store would. */
-  cutWaiters(): void {
+  endLongPolls(): void {
     for (const waiter of [...this.waiters]) waiter.answer();
   }
 
@@ -163,7 +163,7 @@
     else this.wait(call);
   }
 
-  private modeAt(door: StoreDoor): StoreMode {
+  private modeAt(door: StoreEndpoint): StoreMode {
     return this.mode === StoreMode.UP ? door.mode : this.mode;
   }
 
--- a/stand-ins/site/target-fault.ts
+++ b/stand-ins/site/target-fault.ts
@@ -4,26 +4,26 @@
 import {Header} from '../../platform/names.js';
 
 /** What a target does with its next requests. */
-export enum Fault {
+export enum TargetFault {
   NONE = 'none',
   /** Answers 500 after it ran. */
   ERROR = 'error',
   /** Says that it has no room. */
   REJECT = 'reject',
   /** Runs, then breaks the connection. */
-  CUT = 'cut',
+  CLOSE_CONNECTION = 'cut',
   /** Breaks off half an answer that has no length, with a reset. */
-  UNFRAMED_RESET = 'unframed_reset',
+  NO_CONTENT_LENGTH_RESET = 'unframed_reset',
   /** Answers without a length, whole. */
-  UNFRAMED = 'unframed',
+  NO_CONTENT_LENGTH = 'unframed',
   /** Claims a longer body than it sends. */
-  SHORT = 'short',
+  TRUNCATED_BODY = 'short',
   /** Answers with the id of another request. */
-  FOREIGN = 'foreign',
+  WRONG_ATTEMPT_ID = 'foreign',
   /** Answers without proof that the answer is its own. */
-  UNPROVEN = 'unproven',
+  NO_SERVER_STAMP = 'unproven',
   /** Answers twice on one connection. */
-  TWICE = 'twice',
+  DUPLICATE_RESPONSE = 'twice',
   /** Runs and never answers. */
   HANG = 'hang',
   /** Sends a head without end. */
@@ -33,23 +33,23 @@
   /** The same as a failure of its own. */
   ENDLESS_FAILURE = 'endless_failure',
   /** Sends bytes that are no answer, without end. */
-  ENDLESS_NOISE = 'endless_noise',
+  ENDLESS_INVALID = 'endless_noise',
   /** Breaks the connections of what runs, and stays up. */
-  DROP_RUNS = 'drop_runs',
+  DROP_STREAMS = 'drop_runs',
 }
 
-const ENDLESS: ReadonlySet<Fault> = new Set([
-  Fault.ENDLESS_HEAD,
-  Fault.ENDLESS_BODY,
-  Fault.ENDLESS_FAILURE,
-  Fault.ENDLESS_NOISE,
+const ENDLESS: ReadonlySet<TargetFault> = new Set([
+  TargetFault.ENDLESS_HEAD,
+  TargetFault.ENDLESS_BODY,
+  TargetFault.ENDLESS_FAILURE,
+  TargetFault.ENDLESS_INVALID,
 ]);
 
 /** Bytes that an endless answer sends at a time. */
 const PIECE_BYTES = 65_536;
 
 /** Whether a fault sends bytes until the caller closes. */
-export function isEndless(fault: Fault): boolean {
+export function isEndless(fault: TargetFault): boolean {
   return ENDLESS.has(fault);
 }
 
@@ -59,10 +59,10 @@
  * @example
  * answerWith({req, res, fault: Fault.SHORT, id: 'i-1'});
  */
-export function answerWith(options: {
+export function sendResponse(options: {
   req: IncomingMessage;
   res: ServerResponse;
-  fault: Fault;
+  fault: TargetFault;
   /** Id of the target. */
   id: string;
 }): void {
@@ -75,41 +75,41 @@
     `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Stamp: s\r\n` +
     `Content-Length: ${text.length}\r\n\r\n${text}`;
   switch (fault) {
-    case Fault.ERROR:
+    case TargetFault.ERROR:
       res.writeHead(500, {
         [Header.ATTEMPT_ID]: attemptId,
         'Server-Stamp': 's',
       });
       res.end('failed');
       break;
-    case Fault.CUT:
+    case TargetFault.CLOSE_CONNECTION:
       socket.destroy();
       break;
-    case Fault.UNFRAMED_RESET:
+    case TargetFault.NO_CONTENT_LENGTH_RESET:
       socket.write(`HTTP/1.1 200 OK\r\n${head}\r\n${text.slice(0, 5)}`, () =>
         setTimeout(() => socket.resetAndDestroy(), 10),
       );
       break;
-    case Fault.UNFRAMED:
+    case TargetFault.NO_CONTENT_LENGTH:
       socket.end(`HTTP/1.1 200 OK\r\n${head}\r\n${text}`);
       break;
-    case Fault.SHORT:
+    case TargetFault.TRUNCATED_BODY:
       socket.end(
         `HTTP/1.1 200 OK\r\n${head}Content-Length: 900\r\n\r\n${text}`,
       );
       break;
-    case Fault.FOREIGN:
+    case TargetFault.WRONG_ATTEMPT_ID:
       socket.write(sized('another'));
       break;
-    case Fault.UNPROVEN:
+    case TargetFault.NO_SERVER_STAMP:
       res.writeHead(200, {[Header.ATTEMPT_ID]: attemptId});
       res.end(text);
       break;
-    case Fault.TWICE:
+    case TargetFault.DUPLICATE_RESPONSE:
       socket.write(sized(attemptId));
       setTimeout(() => socket.write(sized(attemptId)), 20);
       break;
-    case Fault.HANG:
+    case TargetFault.HANG:
       break;
     default:
       res.writeHead(200, {
@@ -126,9 +126,9 @@
  * @example
  * sendEndless({req, fault: Fault.ENDLESS_HEAD, onBytes: count});
  */
-export function sendEndless(options: {
+export function sendEndlessResponse(options: {
   req: IncomingMessage;
-  fault: Fault;
+  fault: TargetFault;
   /** Told of the bytes of each write. */
   onBytes: (bytes: number) => void;
 }): void {
@@ -136,10 +136,10 @@
   const {socket, headers} = req;
   const attemptId = String(headers[Header.ATTEMPT_ID] ?? '');
   const proof = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s\r\n`;
-  const starts: Partial<Record<Fault, string>> = {
-    [Fault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${proof}X: `,
-    [Fault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${proof}\r\n`,
-    [Fault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${proof}\r\n`,
+  const starts: Partial<Record<TargetFault, string>> = {
+    [TargetFault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${proof}X: `,
+    [TargetFault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${proof}\r\n`,
+    [TargetFault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${proof}\r\n`,
   };
   socket.write(starts[fault] ?? '');
   const piece = Buffer.alloc(PIECE_BYTES, 'x');
--- a/stand-ins/site/target-main.ts
+++ b/stand-ins/site/target-main.ts
@@ -1,8 +1,8 @@
 /** Runs a target as a program that its parent steers and hears from. */
-import {announce, readFlags} from '../lib/program.js';
-import {followParent} from './steering.js';
-import type {Fault} from './target-fault.js';
-import {RemoteCopies, StandInTarget} from './target.js';
+import {announceReady, readFlags} from '../lib/program.js';
+import {handleParentCommands} from './parent-commands.js';
+import type {TargetFault} from './target-fault.js';
+import {RemoteCopyNetwork, StandInTarget} from './target.js';
 
 /** What a target tells its parent; times are Unix milliseconds. */
 export type TargetReport =
@@ -29,7 +29,7 @@
 
 const target = new StandInTarget({
   id: flags.text('id', 'i-1'),
-  copyNetwork: new RemoteCopies(),
+  copyNetwork: new RemoteCopyNetwork(),
   pace: {
     events: flags.number('events', 0),
     firstMs: flags.number('first-ms', 0),
@@ -44,12 +44,12 @@
   },
 });
 await target.start();
-followParent({
-  setFault: (fault: Fault) => {
+handleParentCommands({
+  setFault: (fault: TargetFault) => {
     target.fault = fault;
   },
   setDark: (isDark: boolean) => {
-    target.isDark = isDark;
+    target.isUnresponsive = isDark;
   },
 });
-announce({port: Number(target.listensAt.split(':')[1])});
+announceReady({port: Number(target.listenAddress.split(':')[1])});
--- a/stand-ins/site/target.ts
+++ b/stand-ins/site/target.ts
@@ -6,7 +6,12 @@
 import {request} from 'undici';
 
 import {Header, Path} from '../../platform/names.js';
-import {answerWith, Fault, isEndless, sendEndless} from './target-fault.js';
+import {
+  sendResponse,
+  TargetFault,
+  isEndless,
+  sendEndlessResponse,
+} from './target-fault.js';
 
 /** Longest wait for a target that takes a copy, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
@@ -17,7 +22,7 @@
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
   /** Prompts that were read anew, as no copy was there. */
-  readonly isReadAnew: boolean;
+  readonly hasFullPrefill: boolean;
   /** On the clock of the process, in milliseconds. */
   readonly atMs: number;
 }
@@ -35,7 +40,7 @@
 /** Which requests end the target that runs them. */
 export interface CrashTrigger {
   /** Part of their bodies. */
-  readonly mark: string;
+  readonly marker: string;
   /** Events of a stream that are written before; a call writes nothing. */
   readonly afterEvents: number;
 }
@@ -59,24 +64,25 @@
 /** How a target hands copies of its runs to other targets. */
 export interface CopyNetwork {
   /** Tells whether the target at an address now holds the copy. */
-  hold(address: string, copyId: string): Promise<boolean>;
+  storeCopy(address: string, copyId: string): Promise<boolean>;
 }
 
 /** Targets of one process; copies of runs travel between them. */
-export class TargetWorld implements CopyNetwork {
-  readonly byAddress = new Map<string, StandInTarget>();
+export class LocalCopyNetwork implements CopyNetwork {
+  readonly targetsByAddress = new Map<string, StandInTarget>();
 
-  hold(address: string, copyId: string): Promise<boolean> {
-    const holder = this.byAddress.get(address);
-    if (holder === undefined || holder.isDark) return Promise.resolve(false);
+  storeCopy(address: string, copyId: string): Promise<boolean> {
+    const holder = this.targetsByAddress.get(address);
+    if (holder === undefined || holder.isUnresponsive)
+      return Promise.resolve(false);
     holder.copies.add(copyId);
     return Promise.resolve(true);
   }
 }
 
 /** Hands copies to targets of other processes. */
-export class RemoteCopies implements CopyNetwork {
-  async hold(address: string, copyId: string): Promise<boolean> {
+export class RemoteCopyNetwork implements CopyNetwork {
+  async storeCopy(address: string, copyId: string): Promise<boolean> {
     const url = `http://${address}${TAKE_COPY}/${copyId}`;
     const options = {method: 'PUT', headersTimeout: COPY_TIMEOUT_MS} as const;
     try {
@@ -143,11 +149,11 @@
   readonly runs: RunRecord[] = [];
   /** Runs whose callers went before their end. */
   cancelled = 0;
-  fault = Fault.NONE;
+  fault = TargetFault.NONE;
   /** Start of its life, as it tells of it. */
   bornMs = DEFAULT_BORN_MS;
   /** Takes connections and bytes, and answers nothing. */
-  isDark = false;
+  isUnresponsive = false;
   /** Requests that end this target. */
   crashOn?: CrashTrigger;
   /** Times at which a request ended this target, over all its lives. */
@@ -157,7 +163,7 @@
   /** Bytes that were sent of answers without end. */
   endlessBytes = 0;
   /** Ids of copies that were freed. */
-  readonly freed: string[] = [];
+  readonly releasedCopies: string[] = [];
   /** Ids of runs of which a copy is kept here. */
   readonly copies = new Set<string>();
   readonly id: string;
@@ -209,7 +215,7 @@
   }
 
   /** Where the target listens, as HOST:PORT. */
-  get listensAt(): string {
+  get listenAddress(): string {
     return this.address;
   }
 
@@ -227,7 +233,7 @@
 
   private async serve(req: IncomingMessage, res: ServerResponse) {
     const body = await readText(req);
-    if (this.isDark) return;
+    if (this.isUnresponsive) return;
     if (req.url === (Path.REPORT as string)) {
       const {bornMs: born} = this;
       res.end(JSON.stringify({active: 0, queued: 0, kv_used: 0, born}));
@@ -247,7 +253,7 @@
       return;
     }
     if (req.url?.startsWith(Path.COPIES) === true) {
-      this.freed.push(req.url.slice(Path.COPIES.length + 1));
+      this.releasedCopies.push(req.url.slice(Path.COPIES.length + 1));
       res.end();
       return;
     }
@@ -258,14 +264,14 @@
     }
     if (isEndless(this.fault)) {
       this.note({req, res, body, isReadAnew: true});
-      sendEndless({
+      sendEndlessResponse({
         req,
         fault: this.fault,
         onBytes: (n) => (this.endlessBytes += n),
       });
       return;
     }
-    if (this.fault === Fault.REJECT) {
+    if (this.fault === TargetFault.REJECT) {
       this.reject(req, res);
       return;
     }
@@ -274,7 +280,7 @@
   }
 
   private isEndedBy(body: string): boolean {
-    return this.crashOn !== undefined && body.includes(this.crashOn.mark);
+    return this.crashOn !== undefined && body.includes(this.crashOn.marker);
   }
 
   private crashUnder(req: IncomingMessage, body: string): void {
@@ -288,7 +294,7 @@
   private async copyRun(res: ServerResponse, body: string): Promise<void> {
     const {id, target} = JSON.parse(body) as {id: string; target: string};
     const handle = `copy-of-${id}`;
-    const isHeld = await this.copyNetwork.hold(target, handle);
+    const isHeld = await this.copyNetwork.storeCopy(target, handle);
     if (isHeld) res.end(JSON.stringify({handle, created: 1}));
     else res.writeHead(503).end('{}');
   }
@@ -308,7 +314,13 @@
     const {attemptId, key} = arrivalOf(req);
     const {headers} = req;
     const atMs = performance.now();
-    this.runs.push({attemptId, headers, body, isReadAnew, atMs});
+    this.runs.push({
+      attemptId,
+      headers,
+      body,
+      hasFullPrefill: isReadAnew,
+      atMs,
+    });
     this.observer.onArrived({attemptId, key, hasRun: true});
     res.on('close', () => this.observer.onEnded(attemptId));
   }
@@ -317,7 +329,7 @@
     this.note({req, res, body, isReadAnew: true});
     setTimeout(() => {
       if (this.isEndedBy(body)) this.crashUnder(req, body);
-      else answerWith({req, res, fault: this.fault, id: this.id});
+      else sendResponse({req, res, fault: this.fault, id: this.id});
     }, this.workMs);
   }
 
@@ -331,7 +343,7 @@
       return;
     }
     this.note({req, res, body, isReadAnew: !usesCopy});
-    if (this.fault === Fault.DROP_RUNS) {
+    if (this.fault === TargetFault.DROP_STREAMS) {
       req.socket.destroy();
       return;
     }
@@ -344,7 +356,7 @@
     });
     let written = 0;
     const step = () => {
-      if (this.isDark) return;
+      if (this.isUnresponsive) return;
       if (this.isEndedBy(body) && written >= this.crashOn!.afterEvents) {
         this.crashUnder(req, body);
         return;
@@ -359,7 +371,7 @@
       }
       res.write(`id: ${next}\ndata: piece ${next} of ${attemptId}\n\n`);
       if (typeof copyTo === 'string') {
-        void this.copyNetwork.hold(copyTo, attemptId);
+        void this.copyNetwork.storeCopy(copyTo, attemptId);
       }
       if (next++ >= this.pace.events) res.end();
       else timer = setTimeout(step, this.pace.gapMs);
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -9,7 +9,7 @@
   FinishReason,
 } from '../../src/core/edges/index.js';
 import {startEngine} from '../../stand-ins/engine/server.js';
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {
   EngineCounts,
   EngineOptions,
@@ -56,13 +56,13 @@
   it.each(ANSWERS)('passes on answers $name', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const outcome = await generate({driver, spec: specOf(request)});
-    expect(outcome).toEqual(expectedAnswer(request));
+    expect(outcome).toEqual(expectedOutput(request));
   });
 
   it.each(ANSWERS)('resumes answers $name at every cut', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const spec = specOf(request);
-    const whole = expectedAnswer(request);
+    const whole = expectedOutput(request);
     const cuts = [...whole.tokens.keys(), whole.tokens.length];
     const resumed = cuts.map((cut) =>
       generate({driver, spec, resumeFrom: whole.tokens.slice(0, cut)}),
@@ -91,7 +91,7 @@
     const outcomes = await Promise.all(
       requests.map((request) => generate({driver, spec: specOf(request)})),
     );
-    expect(outcomes).toEqual(requests.map(expectedAnswer));
+    expect(outcomes).toEqual(requests.map(expectedOutput));
   });
 
   it('cancels the engine’s work and is silent afterwards', async () => {
--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -4,13 +4,18 @@
 
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
-import {HOST, KEY, SitePath, SiteService} from '../../stand-ins/site/config.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {
+  HOST,
+  API_KEY,
+  SitePath,
+  SiteService,
+} from '../../stand-ins/site/config.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import type {StandInTarget} from '../../stand-ins/site/target.js';
 import {DirectSite} from '../support/direct-site.js';
 
 interface Case {
-  readonly fault: Fault;
+  readonly fault: TargetFault;
   readonly path: SitePath;
   readonly status: number;
   /** Number of times that the call ran, at all targets together. */
@@ -22,24 +27,34 @@
 
 /** The target in the entry's data centre is faulty; another one is not. */
 const TARGET_FAULT_CASES: readonly Case[] = [
-  {fault: Fault.NONE, path: SAFE, status: 200, runs: 1},
-  {fault: Fault.NONE, path: UNSAFE, status: 200, runs: 1},
-  {fault: Fault.ERROR, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.ERROR, path: UNSAFE, status: 500, runs: 1},
-  {fault: Fault.REJECT, path: SAFE, status: 200, runs: 1},
-  {fault: Fault.REJECT, path: UNSAFE, status: 503, runs: 0},
-  {fault: Fault.CUT, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.CUT, path: UNSAFE, status: 502, runs: 1},
-  {fault: Fault.SHORT, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.SHORT, path: UNSAFE, status: 502, runs: 1},
-  {fault: Fault.UNFRAMED_RESET, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.UNFRAMED_RESET, path: UNSAFE, status: 502, runs: 1},
-  {fault: Fault.FOREIGN, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.FOREIGN, path: UNSAFE, status: 502, runs: 1},
-  {fault: Fault.UNPROVEN, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.UNPROVEN, path: UNSAFE, status: 502, runs: 1},
-  {fault: Fault.HANG, path: SAFE, status: 200, runs: 2},
-  {fault: Fault.HANG, path: UNSAFE, status: 504, runs: 1},
+  {fault: TargetFault.NONE, path: SAFE, status: 200, runs: 1},
+  {fault: TargetFault.NONE, path: UNSAFE, status: 200, runs: 1},
+  {fault: TargetFault.ERROR, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.ERROR, path: UNSAFE, status: 500, runs: 1},
+  {fault: TargetFault.REJECT, path: SAFE, status: 200, runs: 1},
+  {fault: TargetFault.REJECT, path: UNSAFE, status: 503, runs: 0},
+  {fault: TargetFault.CLOSE_CONNECTION, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.CLOSE_CONNECTION, path: UNSAFE, status: 502, runs: 1},
+  {fault: TargetFault.TRUNCATED_BODY, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.TRUNCATED_BODY, path: UNSAFE, status: 502, runs: 1},
+  {
+    fault: TargetFault.NO_CONTENT_LENGTH_RESET,
+    path: SAFE,
+    status: 200,
+    runs: 2,
+  },
+  {
+    fault: TargetFault.NO_CONTENT_LENGTH_RESET,
+    path: UNSAFE,
+    status: 502,
+    runs: 1,
+  },
+  {fault: TargetFault.WRONG_ATTEMPT_ID, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.WRONG_ATTEMPT_ID, path: UNSAFE, status: 502, runs: 1},
+  {fault: TargetFault.NO_SERVER_STAMP, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.NO_SERVER_STAMP, path: UNSAFE, status: 502, runs: 1},
+  {fault: TargetFault.HANG, path: SAFE, status: 200, runs: 2},
+  {fault: TargetFault.HANG, path: UNSAFE, status: 504, runs: 1},
 ];
 
 /** Connects, reports the connection, then sends its request and disconnects. */
@@ -94,7 +109,7 @@
   );
 
   it('forwards a response without Content-Length as it came', async () => {
-    near.fault = Fault.UNFRAMED;
+    near.fault = TargetFault.NO_CONTENT_LENGTH;
     const reply = await site.call({path: UNSAFE});
     expect(reply.status).toBe(200);
     expect(reply.headers['content-length']).toBeUndefined();
@@ -104,7 +119,7 @@
 
   it('never returns a late second response to the next call', async () => {
     far.crash();
-    near.fault = Fault.TWICE;
+    near.fault = TargetFault.DUPLICATE_RESPONSE;
     for (let i = 1; i <= 8; i++) {
       const reply = await site.call({path: UNSAFE});
       if (reply.status === 200) expect(reply.text).toBe(`answer to try-${i}`);
@@ -133,7 +148,7 @@
         `${method} ${UNSAFE} HTTP/1.1`,
         `Host: ${HOST}`,
         'Attempt-Id: gone',
-        `Authorization: Token ${KEY}`,
+        `Authorization: Token ${API_KEY}`,
         'Content-Length: 0',
       ];
       const text = `${head.join('\r\n')}\r\n\r\n`;
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -5,7 +5,7 @@
 
 import {Kind} from '../../platform/names.js';
 import {
-  KEY,
+  API_KEY,
   siteConfig,
   SitePath,
   SiteService,
@@ -32,7 +32,7 @@
 
   afterEach(() => site.stop());
 
-  const status = async (key = KEY, path: string = SitePath.SAFE) =>
+  const status = async (key = API_KEY, path: string = SitePath.SAFE) =>
     (await site.call({path, key})).status;
 
   const putConfig = (version: number, keys?: string[]) =>
@@ -45,9 +45,9 @@
   const activeVersion = () => site.entry.routes.get()?.version;
 
   it.each([
-    {name: 'a known key', key: KEY, path: SitePath.SAFE, expected: 200},
+    {name: 'a known key', key: API_KEY, path: SitePath.SAFE, expected: 200},
     {name: 'no such key', key: 'other', path: SitePath.SAFE, expected: 401},
-    {name: 'no such route', key: KEY, path: '/none/1', expected: 404},
+    {name: 'no such route', key: API_KEY, path: '/none/1', expected: 404},
   ])('responds $expected for $name', async ({key, path, expected}) => {
     expect(await status(key, path)).toBe(expected);
   });
@@ -68,7 +68,7 @@
     const reply = await site.call({path: SitePath.SAFE});
     expect(reply.status).toBe(503);
     expect(reply.headers['retry-after']).toBeDefined();
-    expect(await status(KEY, '/none/1')).toBe(503);
+    expect(await status(API_KEY, '/none/1')).toBe(503);
     site.store.mode = StoreMode.UP;
     await waitFor(() => site.entry.isReady());
     expect(await status()).toBe(200);
@@ -85,7 +85,7 @@
     'keeps serving known targets while the store is %s',
     async (mode) => {
       site.store.mode = mode;
-      site.store.cutWaiters();
+      site.store.endLongPolls();
       expect(await status()).toBe(200);
     },
   );
@@ -121,7 +121,7 @@
   it('keeps targets for a while whose registrations expire in an outage', async () => {
     const [first] = site.targets;
     site.store.mode = StoreMode.RESET;
-    site.store.cutWaiters();
+    site.store.endLongPolls();
     await sleep(OUTAGE_DETECTION_MS);
     site.store.remove({kind: Kind.TARGETS, name: first!.id});
     site.store.mode = StoreMode.UP;
--- a/test/direct/endless-responses.test.ts
+++ b/test/direct/endless-responses.test.ts
@@ -4,7 +4,7 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
 import {SitePath, SiteService} from '../../stand-ins/site/config.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {DirectSite} from '../support/direct-site.js';
 
 const {SAFE, UNSAFE, STREAM} = SitePath;
@@ -19,10 +19,10 @@
 const PACE = {events: EVENTS, firstMs: 5, gapMs: 2};
 
 const FAULTS = [
-  Fault.ENDLESS_HEAD,
-  Fault.ENDLESS_BODY,
-  Fault.ENDLESS_FAILURE,
-  Fault.ENDLESS_NOISE,
+  TargetFault.ENDLESS_HEAD,
+  TargetFault.ENDLESS_BODY,
+  TargetFault.ENDLESS_FAILURE,
+  TargetFault.ENDLESS_INVALID,
 ];
 
 /** The target in the entry's data centre is faulty; another one is not. */
--- a/test/direct/poison-unrelated.test.ts
+++ b/test/direct/poison-unrelated.test.ts
@@ -5,7 +5,7 @@
 
 import {SitePath, SiteService} from '../../stand-ins/site/config.js';
 import type {StandInTarget} from '../../stand-ins/site/target.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {waitFor} from '../support/direct-site.js';
 import type {DirectSite} from '../support/direct-site.js';
 import {
@@ -137,12 +137,13 @@
     'is served again after running targets broke its connections',
     {timeout: TIMEOUT_MS},
     async () => {
-      for (const target of site.targets) target.fault = Fault.DROP_RUNS;
+      for (const target of site.targets)
+        target.fault = TargetFault.DROP_STREAMS;
       const endMs = performance.now() + FAULT_MS;
       while (performance.now() < endMs) {
         for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off');
       }
-      for (const target of site.targets) target.fault = Fault.NONE;
+      for (const target of site.targets) target.fault = TargetFault.NONE;
       // Targets that broke connections are paused for a while.
       await sleep(1_000);
       for (let i = 0; i < ENTRIES; i++) await expectServed(i, 'broken off');
@@ -158,12 +159,12 @@
       const targets = await site.addTargets(
         zones.map((zone) => ({service, zone})),
       );
-      for (const target of targets) target.fault = Fault.CUT;
+      for (const target of targets) target.fault = TargetFault.CLOSE_CONNECTION;
       const endMs = performance.now() + FAULT_MS;
       while (performance.now() < endMs) {
         for (let i = 0; i < ENTRIES; i++) await call(i, 'broken off', SAFE);
       }
-      for (const target of targets) target.fault = Fault.NONE;
+      for (const target of targets) target.fault = TargetFault.NONE;
       await sleep(1_000);
       for (let i = 0; i < ENTRIES; i++) {
         expect((await call(i, 'broken off', SAFE)).status).toBe(200);
--- a/test/direct/streams.test.ts
+++ b/test/direct/streams.test.ts
@@ -7,7 +7,7 @@
 import {POISON_LOSSES} from '../../src/core/poison/index.js';
 import {SitePath, SiteService} from '../../stand-ins/site/config.js';
 import type {StandInTarget} from '../../stand-ins/site/target.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {DirectSite, waitFor} from '../support/direct-site.js';
 
 /** Long enough for a change of the targets to be read during the stream. */
@@ -54,13 +54,13 @@
 
   function lose(target: StandInTarget, loss: Loss): void {
     if (loss === Loss.CRASH) target.crash();
-    else target.isDark = true;
+    else target.isUnresponsive = true;
   }
 
   /** Each target that runs a request with this body crashes. */
   function crashTargetsOn(mark: string): void {
     for (const target of site.targets) {
-      target.crashOn = {mark, afterEvents: 0};
+      target.crashOn = {marker: mark, afterEvents: 0};
     }
   }
 
@@ -105,7 +105,7 @@
       expect(reply.text).toBe(expected('try-1'));
       const recomputed = site.targets
         .flatMap((target) => target.runs)
-        .filter((run) => run.isReadAnew).length;
+        .filter((run) => run.hasFullPrefill).length;
       const hasCopy = row.extent !== Extent.RUNNER_AND_COPY;
       expect(recomputed).toBe(hasCopy ? 1 : 2);
     },
@@ -151,7 +151,7 @@
     expect(isLost).toBe(true);
     expect(reply.text).toBe(expected('try-1'));
     const runs = site.targets.flatMap((target) => target.runs);
-    expect(runs.filter((run) => run.isReadAnew)).toHaveLength(1);
+    expect(runs.filter((run) => run.hasFullPrefill)).toHaveLength(1);
   });
 
   it('has its copy freed if the copy was not needed', async () => {
@@ -165,7 +165,7 @@
         site.store.remove({kind: Kind.TARGETS, name: first.id});
       },
     });
-    const freed = () => site.targets.flatMap((target) => target.freed);
+    const freed = () => site.targets.flatMap((target) => target.releasedCopies);
     await waitFor(() => freed().length > 0);
     expect(freed()).toEqual(['copy-of-try-1']);
   });
@@ -239,12 +239,13 @@
 
   it('is not poison if many equal requests were lost with one engine', async () => {
     const [first] = site.targets;
-    for (const target of site.targets.slice(1)) target.fault = Fault.REJECT;
+    for (const target of site.targets.slice(1))
+      target.fault = TargetFault.REJECT;
     const calls = Array.from({length: POISON_LOSSES}, () =>
       site.call({path: SitePath.STREAM, body: 'the same', agent: new Agent()}),
     );
     await waitFor(() => first!.runs.length === POISON_LOSSES);
-    for (const target of site.targets) target.fault = Fault.NONE;
+    for (const target of site.targets) target.fault = TargetFault.NONE;
     first!.crash();
     for (const reply of await Promise.all(calls)) {
       expect(reply.status).toBe(200);
--- a/test/processes/direct-logs.test.ts
+++ b/test/processes/direct-logs.test.ts
@@ -11,7 +11,7 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 
 import {BOOT_VARIABLE, Kind} from '../../platform/names.js';
-import {bootFile, callersOf} from '../../stand-ins/site/boot-file.js';
+import {bootFile, callersEndpointOf} from '../../stand-ins/site/boot-file.js';
 import {SitePath, siteConfig} from '../../stand-ins/site/config.js';
 import {StandInStore} from '../../stand-ins/site/store.js';
 import {waitUntil} from '../../tools/lab/lab.js';
@@ -67,7 +67,7 @@
   async function refuse(number: number): Promise<number> {
     const startMs = performance.now();
     const reply = await callSite({
-      ...callersOf(ADDRESS),
+      ...callersEndpointOf(ADDRESS),
       agent,
       path: SitePath.SAFE,
       key: 'no key of ours',
--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -4,7 +4,7 @@
 import {Client, request} from 'undici';
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {Transcript} from '../../tools/lab/caller.js';
 import {
   createTranscript,
@@ -38,7 +38,7 @@
   const ask = {prompt: `stop test [length=${tokens}]`, maxTokens: tokens};
   const url = site.entries[0]!.callersUrl;
   await readStream({url, ask, transcript, onPiece});
-  const answer = expectedAnswer({...ask, stop: []});
+  const answer = expectedOutput({...ask, stop: []});
   const text = answer.tokens.map((token) => token.text).join('');
   expect(transcript).toMatchObject({text, ends: 1, restarts: 0, errors: []});
   return transcript;
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -1,7 +1,7 @@
 /** Engines end answers too early after a resume; stop strings span attempts. */
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {NamedValues} from '../../tools/lab/lab.js';
 import {
   expectedText,
@@ -21,7 +21,7 @@
 /** Text of three tokens right after the resume point. */
 function stopAfterResume(): string {
   const spec = {prompt: PROMPT, maxTokens: LENGTH, stop: []};
-  const {tokens} = expectedAnswer(spec);
+  const {tokens} = expectedOutput(spec);
   const middle = tokens.slice(LENGTH / 2, LENGTH / 2 + 8);
   return middle.map((token) => token.text).join('');
 }
--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -3,7 +3,7 @@
 import {HttpEngineDriver} from '../../src/adapters/index.js';
 import {DriverErrorKind, FinishReason} from '../../src/core/edges/index.js';
 import {startEngine} from '../../stand-ins/engine/server.js';
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {
   EngineCounts,
   EngineOptions,
@@ -85,7 +85,7 @@
 const EARLY_ENDS = [
   {earlyEnd: EarlyEnd.STOP, finishReason: FinishReason.STOP},
   {earlyEnd: EarlyEnd.LENGTH, finishReason: FinishReason.LENGTH},
-  {earlyEnd: EarlyEnd.NO_REASON, finishReason: undefined},
+  {earlyEnd: EarlyEnd.NO_FINISH_REASON, finishReason: undefined},
 ];
 
 describe('an engine that ends early after a resume', () => {
@@ -94,7 +94,7 @@
     const driver = new HttpEngineDriver({baseUrl: url});
     const spec = specOf({});
     const whole = await generate({driver, spec});
-    expect(whole).toEqual(expectedAnswer(spec));
+    expect(whole).toEqual(expectedOutput(spec));
     const resumeFrom = whole.tokens.slice(0, 10);
     const resumed = await generate({driver, spec, resumeFrom});
     expect(resumed.tokens).toEqual(whole.tokens.slice(0, 15));
--- a/test/support/callers.ts
+++ b/test/support/callers.ts
@@ -3,7 +3,7 @@
 import {request} from 'undici';
 
 import {ObjectKind} from '../../src/core/edges/index.js';
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import {DEMO_KEY} from '../../tools/lab/caller.js';
 import {sendControl} from '../../tools/lab/lab.js';
 import type {Site, Target} from '../../tools/lab/site.js';
@@ -63,7 +63,7 @@
 
 /** The whole text that an engine gives to a prompt. */
 export function expectedText(prompt: string, maxTokens: number): string {
-  const {tokens} = expectedAnswer({prompt, maxTokens, stop: []});
+  const {tokens} = expectedOutput({prompt, maxTokens, stop: []});
   return tokens.map((token) => token.text).join('');
 }
 
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -6,11 +6,11 @@
 import type {Logger} from '../../src/core/logs/index.js';
 import type {DirectProcess} from '../../src/direct/direct-process.js';
 import type {SitePath, SiteService} from '../../stand-ins/site/config.js';
-import {KEY, siteConfig} from '../../stand-ins/site/config.js';
-import type {StoreDoor} from '../../stand-ins/site/store.js';
+import {API_KEY, siteConfig} from '../../stand-ins/site/config.js';
+import type {StoreEndpoint} from '../../stand-ins/site/store.js';
 import {StandInStore} from '../../stand-ins/site/store.js';
 import type {StreamPace} from '../../stand-ins/site/target.js';
-import {StandInTarget, TargetWorld} from '../../stand-ins/site/target.js';
+import {StandInTarget, LocalCopyNetwork} from '../../stand-ins/site/target.js';
 import type {Reply} from '../../tools/lab/site-caller.js';
 import {callSite} from '../../tools/lab/site-caller.js';
 import {DirectEntry} from './direct-entry.js';
@@ -38,9 +38,9 @@
   readonly targets: StandInTarget[] = [];
   readonly entries: DirectEntry[] = [];
   /** A store address for each entry, which can fail independently. */
-  readonly storeEndpoints: StoreDoor[] = [];
+  readonly storeEndpoints: StoreEndpoint[] = [];
   private readonly targetOptions = new Map<StandInTarget, TargetOptions>();
-  private readonly copyNetwork = new TargetWorld();
+  private readonly copyNetwork = new LocalCopyNetwork();
   private attempts = 0;
 
   private constructor(
@@ -60,7 +60,7 @@
     });
     const site = new DirectSite(store, options);
     for (let i = 0; i < (options.entries ?? 1); i++) {
-      site.storeEndpoints.push(await store.openDoor());
+      site.storeEndpoints.push(await store.openEndpoint());
       await site.startEntry(i);
     }
     await waitFor(() => site.entries.every((e) => e.process.isReady()));
@@ -112,7 +112,7 @@
         pace,
       });
       await target.start();
-      this.copyNetwork.byAddress.set(target.listensAt, target);
+      this.copyNetwork.targetsByAddress.set(target.listenAddress, target);
       this.targets.push(target);
       this.targetOptions.set(target, {service, zone, pace});
       added.push(target);
@@ -161,7 +161,7 @@
     /** Makes the caller disconnect. */
     signal?: AbortSignal;
   }): Promise<Reply> {
-    const {key = KEY, entry = 0, ...call} = options;
+    const {key = API_KEY, entry = 0, ...call} = options;
     const {agent, port} = this.entries[entry]!;
     return callSite({
       agent,
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,5 +1,5 @@
 /** A small site on which tests lose engines, agents and entries. */
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {Ask, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import type {Daemon, StandIn} from '../../tools/lab/lab.js';
@@ -54,7 +54,7 @@
 /** The answer as the engine's own text gives it. */
 export function expectedText(ask: Ask): string {
   const {prompt, maxTokens, stop = []} = ask;
-  const {tokens} = expectedAnswer({prompt, maxTokens, stop});
+  const {tokens} = expectedOutput({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
 }
 
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -93,7 +93,7 @@
 ): Promise<void> {
   const {site, bodies = [CRASH_MARK], afterEvents = 0} = options;
   for (const target of site.targets) {
-    target.crashOn = {mark: CRASH_MARK, afterEvents};
+    target.crashOn = {marker: CRASH_MARK, afterEvents};
     target.onCrash = () => {
       setTimeout(() => void site.restartTarget(target), RESTART_DELAY_MS);
     };
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -2,7 +2,7 @@
 import type {Dispatcher} from 'undici';
 import {Agent, request} from 'undici';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import {createTranscript, DEMO_KEY, readStream} from './caller.js';
 import type {Site} from './site.js';
 
@@ -147,7 +147,7 @@
       }
       if (transcript.ends === 0) await pause();
     }
-    const answer = expectedAnswer({prompt, maxTokens: tokens, stop: []});
+    const answer = expectedOutput({prompt, maxTokens: tokens, stop: []});
     const text = answer.tokens.map((token) => token.text).join('');
     const whole = transcript.text === text && transcript.ends === 1;
     if (whole && transcript.restarts === 0) this.tally.generations.done++;
--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -4,7 +4,7 @@
  */
 import {request} from 'undici';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import {DEMO_KEY, readWhole} from '../lab/caller.js';
 import {sendControl} from '../lab/lab.js';
 import type {Target} from '../lab/site.js';
@@ -42,7 +42,7 @@
       void killed.then((target) => target.standIn.proc.kill());
     },
   });
-  const answer = expectedAnswer({
+  const answer = expectedOutput({
     prompt: PROMPT,
     maxTokens: MAX_TOKENS,
     stop: [],
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -4,7 +4,7 @@
 import {Kind} from '../../platform/names.js';
 import {Direction} from '../../stand-ins/relay/relay.js';
 import {StoreMode} from '../../stand-ins/site/store.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {entryPart, targetPart} from './checks/index.js';
 import {LEAVE_MS, ZONES} from './consts.js';
 import {STORE} from './history.js';
@@ -115,7 +115,7 @@
     }),
   [FaultKind.TARGET_LEAVE]: (stage) => leave(stage),
   [FaultKind.TARGET_FAULTY]: ({site, target, episode}) => {
-    const faults = Object.values(Fault);
+    const faults = Object.values(TargetFault);
     const fault = faults[Math.floor(episode.variant * faults.length)]!;
     return disturbTargets({site, episode}, [target], () =>
       site.withFault(target, fault, episode.durationMs),
@@ -138,7 +138,7 @@
     disturbTargets({site, episode}, [target], async () => {
       target.relay.delay(episode.variant * MAX_DELAY_MS);
       await sleep(episode.durationMs);
-      target.relay.mend();
+      target.relay.restore();
     }),
   [FaultKind.ZONE_KILL]: ({site, zone, episode}) =>
     disturbTargets({site, episode}, zone, async () => {
@@ -211,7 +211,7 @@
   return disturb({site, episode, parts}, async () => {
     entry.storeRelay.cut(directions);
     await sleep(episode.durationMs);
-    entry.storeRelay.mend();
+    entry.storeRelay.restore();
   });
 }
 
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -3,8 +3,8 @@
 
 import {Kind} from '../../platform/names.js';
 import type {Direction} from '../../stand-ins/relay/relay.js';
-import {KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {API_KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {KEY_LIFE_VERSIONS} from './checks/control.js';
 import {STREAM_DEADLINE_MS, ZONES} from './consts.js';
 import type {History} from './history.js';
@@ -30,7 +30,7 @@
 
 /** The key that came with a version; 0 names the key that is always there. */
 export function keyOf(version: number): string {
-  return version === 0 ? KEY : `key-${version}`;
+  return version === 0 ? API_KEY : `key-${version}`;
 }
 
 /** Holds all processes of a run; whoever starts a site must close it. */
@@ -123,12 +123,12 @@
   /** Has a target answer wrongly for a time. */
   async withFault(
     target: SoakTarget,
-    fault: Fault,
+    fault: TargetFault,
     durationMs: number,
   ): Promise<void> {
     await target.standIn.ask('setFault', fault);
     await sleep(durationMs);
-    await target.standIn.ask('setFault', Fault.NONE);
+    await target.standIn.ask('setFault', TargetFault.NONE);
   }
 
   /** Cuts the connections to targets for a time. */
@@ -139,7 +139,7 @@
   ): Promise<void> {
     for (const {relay} of targets) relay.cut(directions);
     await sleep(durationMs);
-    for (const {relay} of targets) relay.mend();
+    for (const {relay} of targets) relay.restore();
   }
 
   /** Ends all processes and waits until they are gone. */
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -9,8 +9,8 @@
 import {Relay} from '../../stand-ins/relay/relay.js';
 import {
   bootFile,
-  callersOf,
-  readinessOf,
+  callersEndpointOf,
+  readinessAddressOf,
 } from '../../stand-ins/site/boot-file.js';
 import {Proc} from '../lab/proc.js';
 import {
@@ -81,7 +81,7 @@
   }
 
   get callers(): {host: string; port: number} {
-    return callersOf(this.options.address);
+    return callersEndpointOf(this.options.address);
   }
 
   /** Identity of the present process on this machine. */
@@ -153,7 +153,7 @@
 
   /** Whether the entry says that it takes new connections. */
   async isReady(): Promise<boolean> {
-    const url = `http://${readinessOf(this.options.address)}${Path.READY}`;
+    const url = `http://${readinessAddressOf(this.options.address)}${Path.READY}`;
     const signal = AbortSignal.timeout(READINESS_TIMEOUT_MS);
     try {
       const {statusCode, body} = await request(url, {signal});
--- a/tools/soak/stand-in.ts
+++ b/tools/soak/stand-in.ts
@@ -1,8 +1,8 @@
 /** A stand-in as a process of its own, steered by messages. */
 import type {
-  SteeringReply,
-  SteeringRequest,
-} from '../../stand-ins/site/steering.js';
+  CommandReply,
+  ParentCommand,
+} from '../../stand-ins/site/parent-commands.js';
 import {Proc} from '../lab/proc.js';
 
 /** A stand-in process that carries out steps. */
@@ -29,7 +29,7 @@
   }): Promise<SteeredStandIn> {
     const {script, args = [], onReport} = options;
     const onMessage = (message: unknown) => {
-      const {number} = message as Partial<SteeringReply>;
+      const {number} = message as Partial<CommandReply>;
       if (number === undefined) onReport?.(message);
       else standIn?.settle(number);
     };
@@ -49,7 +49,7 @@
     const done = new Promise<void>((resolve) => {
       this.waiting.set(number, resolve);
     });
-    this.proc.send({number, step, args} satisfies SteeringRequest);
+    this.proc.send({number, step, args} satisfies ParentCommand);
     await Promise.race([done, this.proc.exited]);
   }
 
