--- a/bench/experiments/balance/index.ts
+++ b/bench/experiments/balance/index.ts
@@ -93,7 +93,7 @@
     const p95 = sims.map(({sim}) => sim.waits.percentile(95));
     return Promise.resolve({
       cases: sims.flatMap(({name, sim}) =>
-        [sim.waits.result(), sim.idleWaits.result()].map((row) => ({
+        [sim.waits.result(), sim.avoidableWaits.result()].map((row) => ({
           ...row,
           name: `${name}: ${row.name}`,
         })),
--- a/bench/experiments/balance/sim.ts
+++ b/bench/experiments/balance/sim.ts
@@ -38,7 +38,7 @@
 /** Runs arrivals through choosers and samples the queues at the targets. */
 export class BalanceSim {
   /** Requests that wait at a target while another has a free slot. */
-  readonly idleWaits = new Samples({
+  readonly avoidableWaits = new Samples({
     name: 'waiting beside a free slot',
     unit: 'requests',
   });
@@ -148,6 +148,6 @@
       0,
     );
     const waiting = this.targets.reduce((sum, t) => sum + t.queue.length, 0);
-    this.idleWaits.add(Math.min(free, waiting));
+    this.avoidableWaits.add(Math.min(free, waiting));
   }
 }
--- a/bench/experiments/booking/failures.ts
+++ b/bench/experiments/booking/failures.ts
@@ -77,7 +77,7 @@
     });
     await sleep(FAIL_AFTER_MS);
     await failure.strike(site);
-    const {told} = await running;
+    const {results: told} = await running;
     await failure.mend?.(site);
     await sleep(SETTLE_MS);
     const unknown = told.filter(({ran}) => ran === 'unknown').length;
--- a/bench/experiments/booking/index.ts
+++ b/bench/experiments/booking/index.ts
@@ -6,7 +6,7 @@
 import {countViolations, runFailures} from './failures.js';
 import {runDirect, runLoad} from './load.js';
 import {readPlatformCalls} from './platform-calls.js';
-import {runSingle} from './single.js';
+import {runSingleClaims} from './single-claims.js';
 
 const RATES: readonly number[] = [1, 10, 100, 300];
 const FOR_MS = 1_000;
@@ -92,10 +92,10 @@
   const before = await readPlatformCalls(site);
   const keyPrefix = `rate-${rate}`;
   const name = `booked, ${rate}/s`;
-  const {samples, told} = await runLoad({...load, name, keyPrefix});
+  const {samples, results: told} = await runLoad({...load, name, keyPrefix});
   await sleep(OUTCOMES_RECORDED_MS);
   const after = await readPlatformCalls(site);
-  const single = await runSingle(load);
+  const single = await runSingleClaims(load);
   const writesPerBooking = (after.writes - before.writes) / told.length;
   const readsPerBooking = (after.reads - before.reads) / told.length;
   const refused = told.filter(({ran}) => ran !== 'yes').length;
--- a/bench/experiments/booking/load.ts
+++ b/bench/experiments/booking/load.ts
@@ -11,7 +11,7 @@
 /** What a load came to. */
 export interface LoadResult {
   readonly samples: Samples;
-  readonly told: readonly Told[];
+  readonly results: readonly Told[];
 }
 
 /** Starts `rate` bookings a second for a time, however long each takes. */
@@ -31,7 +31,7 @@
   const told = await Promise.all(started);
   const samples = new Samples({name, unit: 'ms'});
   for (const {ran, tookMs} of told) if (ran === 'yes') samples.add(tookMs);
-  return {samples, told};
+  return {samples, results: told};
 }
 
 /** The same straight to the services, without the system. */
--- a/bench/experiments/booking/single.ts
+++ b/bench/experiments/booking/single-claims.ts
@@ -10,17 +10,17 @@
 const MS_PER_SECOND = 1_000;
 
 /** What claims with an object each cost. */
-export interface SingleResult {
+export interface SingleClaimsResult {
   readonly samples: Samples;
   readonly writesPerClaim: number;
 }
 
 /** Makes claims at a rate, each in its own object. */
-export async function runSingle(options: {
+export async function runSingleClaims(options: {
   site: Site;
   rate: number;
   forMs: number;
-}): Promise<SingleResult> {
+}): Promise<SingleClaimsResult> {
   const {site, rate, forMs} = options;
   const store = new HttpObjectStore({baseUrl: site.platform.url});
   const claims = new SingleClaims({store});
--- a/bench/experiments/overload/index.ts
+++ b/bench/experiments/overload/index.ts
@@ -3,7 +3,7 @@
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import {Site} from '../../../tools/lab/site.js';
 import {poissonArrivals, sleep} from '../../lib/arrivals.js';
-import type {RequestEnd} from '../../lib/load-run.js';
+import type {RequestResult} from '../../lib/load-run.js';
 import {runLoad} from '../../lib/load-run.js';
 import {Samples} from '../../lib/samples.js';
 import type {
@@ -40,7 +40,7 @@
 
 interface Step {
   readonly factor: number;
-  readonly ends: readonly RequestEnd[];
+  readonly ends: readonly RequestResult[];
   /** Answers in time, over what the engines can give. */
   readonly goodput: number;
 }
@@ -102,13 +102,13 @@
   random: RandomSource;
   factor: number;
   forMs: number;
-}): Promise<RequestEnd[]> {
+}): Promise<RequestResult[]> {
   const {way, random, factor, forMs} = options;
   const perSecond = factor * CAPACITY;
   const ends = await runLoad({
     timesMs: poissonArrivals({perSecond, forMs, random}),
     urlOf: (index) => way.urls[index % way.urls.length]!,
-    askOf: (index) => ({
+    createRequest: (index) => ({
       prompt: `request ${factor} ${index} [length=${TOKENS}]`,
       maxTokens: TOKENS,
     }),
@@ -119,9 +119,9 @@
 }
 
 /** Answers in time while the load lasted, over what the engines can give. */
-function goodputOf(ends: readonly RequestEnd[], stepMs: number): number {
+function goodputOf(ends: readonly RequestResult[], stepMs: number): number {
   const counted = ends.filter(
-    ({inTime, endedAtMs}) =>
+    ({metDeadline: inTime, endedAtMs}) =>
       inTime && endedAtMs > RAMP_MS && endedAtMs <= stepMs,
   );
   const perMs = counted.length / (stepMs - RAMP_MS);
@@ -176,8 +176,8 @@
       unit: 'ms',
     });
     for (const end of ends) {
-      if (end.inTime) answered.add(end.tookMs);
-      if (end.refused) refused.add(end.tookMs);
+      if (end.metDeadline) answered.add(end.durationMs);
+      if (end.refused) refused.add(end.durationMs);
     }
     return [answered, refused]
       .filter(({count}) => count > 0)
--- a/bench/experiments/relay/reader-thread.ts
+++ b/bench/experiments/relay/reader-thread.ts
@@ -3,7 +3,7 @@
 import {parentPort, workerData} from 'node:worker_threads';
 
 import {DEMO_KEY} from '../../../tools/lab/caller.js';
-import type {ReaderOrder, ReaderReport} from './reader.js';
+import type {ReaderTask, ReaderReport} from './reader.js';
 
 /** Time over which the streams start, in milliseconds. */
 const RAMP_MS = 1_500;
@@ -14,7 +14,7 @@
 const EVENT_MARK = 'data: {';
 const END_MARK = 'data: [DONE]';
 
-const order = workerData as ReaderOrder;
+const order = workerData as ReaderTask;
 const agent = new Agent({keepAlive: false, maxSockets: Infinity});
 const gapsMs: number[] = [];
 const startedAtMs = performance.now();
--- a/bench/experiments/relay/reader.ts
+++ b/bench/experiments/relay/reader.ts
@@ -2,7 +2,7 @@
 import {Worker} from 'node:worker_threads';
 
 /** What a reader has to read. */
-export interface ReaderOrder {
+export interface ReaderTask {
   readonly urls: readonly string[];
   /** Part of every prompt. */
   readonly name: string;
@@ -18,7 +18,7 @@
 }
 
 /** Starts a thread; its one message is a ReaderReport. */
-export function startReader(order: ReaderOrder): Worker {
+export function startReader(order: ReaderTask): Worker {
   const url = new URL('./reader-thread.js', import.meta.url);
   return new Worker(url, {workerData: order});
 }
--- a/bench/experiments/resume/index.ts
+++ b/bench/experiments/resume/index.ts
@@ -72,7 +72,12 @@
 }
 
 function createCosts({name, cost}: LossResult) {
-  const {prefilled, decoded, decodedInVain, perPrefill} = cost;
+  const {
+    prefilled,
+    decoded,
+    wastedDecodes: decodedInVain,
+    extraPerPrefill: perPrefill,
+  } = cost;
   return [
     {name: `${name}: prefilled per lost token`, value: prefilled},
     {name: `${name}: decoded again per lost token`, value: decoded},
@@ -86,7 +91,7 @@
   const always = atMost(`${name}, max ms`, ALWAYS_MS, maxOf(wait));
   if (weigh === 'resources') {
     const label = `${name}, extra computation in prefills of what was lost`;
-    return [always, atMost(label, EXTRA_PREFILLS, cost.perPrefill)];
+    return [always, atMost(label, EXTRA_PREFILLS, cost.extraPerPrefill)];
   }
   const aim = kind === Loss.DEATH ? DEATH_P99_MS : SILENCE_P99_MS;
   return [always, atMost(`${name}, p99 ms`, aim, wait.percentile(99))];
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -48,9 +48,9 @@
   /** Tokens that other targets decoded and nobody got. */
   readonly decoded: number;
   /** Tokens that the lost target itself decoded and nobody got. */
-  readonly decodedInVain: number;
+  readonly wastedDecodes: number;
   /** All extra tokens of other targets, per token of one prefill. */
-  readonly perPrefill: number;
+  readonly extraPerPrefill: number;
 }
 
 interface EngineCounts {
@@ -65,7 +65,7 @@
 interface Tally {
   prefilled: number;
   decoded: number;
-  decodedInVain: number;
+  wastedDecodes: number;
   lost: number;
   onePrefill: number;
   whole: number;
@@ -146,14 +146,14 @@
   tally.prefilled += growth(sums, (counts) => counts.prefillTokens);
   if (loss === Loss.DEATH) return;
   const own = {before, after: await readAll([victim]), targets: [victim]};
-  tally.decodedInVain += growth(own, (counts) => counts.tokensProduced);
+  tally.wastedDecodes += growth(own, (counts) => counts.tokensProduced);
 }
 
 function createTally(): Tally {
   return {
     prefilled: 0,
     decoded: 0,
-    decodedInVain: 0,
+    wastedDecodes: 0,
     lost: 0,
     onePrefill: 0,
     whole: 0,
@@ -162,12 +162,18 @@
 }
 
 function costOf(tally: Tally): ResumeCost {
-  const {prefilled, decoded, decodedInVain, lost, onePrefill} = tally;
+  const {
+    prefilled,
+    decoded,
+    wastedDecodes: decodedInVain,
+    lost,
+    onePrefill,
+  } = tally;
   return {
     prefilled: prefilled / lost,
     decoded: decoded / lost,
-    decodedInVain: Math.max(0, decodedInVain) / lost,
-    perPrefill: (prefilled + decoded) / onePrefill,
+    wastedDecodes: Math.max(0, decodedInVain) / lost,
+    extraPerPrefill: (prefilled + decoded) / onePrefill,
   };
 }
 
@@ -187,7 +193,7 @@
   const lost = Math.max(0, ...resumes);
   const promptTokens = Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
   tally.decoded -= TOKENS - lost;
-  tally.decodedInVain -= lost;
+  tally.wastedDecodes -= lost;
   tally.lost += lost;
   if (lost > 0) tally.onePrefill += lost + promptTokens;
   else tally.prefilled -= promptTokens;
--- a/bench/experiments/slopes/consts.ts
+++ b/bench/experiments/slopes/consts.ts
@@ -1,8 +1,8 @@
 /** Targets that the entry watches for the slope per target. */
-export const WATCHED = 200;
+export const WATCHED_TARGETS = 200;
 
 /** Heartbeats a second of each of them while their cost is measured. */
-export const BEATS_PER_SECOND = 10;
+export const HEARTBEATS_PER_SECOND = 10;
 
 /** Streams whose memory is measured, and the size of their prompts. */
 export const STREAMS = 300;
--- a/bench/experiments/slopes/fake-targets.ts
+++ b/bench/experiments/slopes/fake-targets.ts
@@ -67,7 +67,7 @@
   }
 
   /** Sends a heartbeat on every connection each `periodMs`. */
-  beat(periodMs: number): void {
+  sendHeartbeats(periodMs: number): void {
     clearInterval(this.timer);
     this.timer = setInterval(() => {
       for (const connection of this.connections) {
--- a/bench/experiments/slopes/index.ts
+++ b/bench/experiments/slopes/index.ts
@@ -16,7 +16,7 @@
 import {readUsage} from '../../lib/process-usage.js';
 import type {BoundResult, CaseResult, Experiment} from '../../lib/types.js';
 import {
-  BEATS_PER_SECOND,
+  HEARTBEATS_PER_SECOND,
   BOOKINGS,
   BUSY_PACE_MS,
   BUSY_STREAMS,
@@ -32,7 +32,7 @@
   SLOW_FACTOR,
   STREAMS,
   US_PER_SECOND,
-  WATCHED,
+  WATCHED_TARGETS,
   WINDOW_MS,
 } from './consts.js';
 import {FakeTargets, SAMPLE_HEARTBEAT} from './fake-targets.js';
@@ -228,34 +228,35 @@
     const {targets} = this;
     await targets.open();
     const before = this.read();
-    for (let i = 0; i < WATCHED; i++) await this.registerFake(i, targets.port);
+    for (let i = 0; i < WATCHED_TARGETS; i++)
+      await this.registerFake(i, targets.port);
     const check = (): Promise<boolean> =>
-      Promise.resolve(targets.connected >= WATCHED);
+      Promise.resolve(targets.connected >= WATCHED_TARGETS);
     await waitUntil({what: 'the entry watches all', check});
-    targets.beat(MS_PER_SECOND);
+    targets.sendHeartbeats(MS_PER_SECOND);
     await sleep(WINDOW_MS);
     const quiet = this.read();
     this.addMemory(
       'entry: memory per watched target',
       {before, after: quiet},
-      WATCHED,
+      WATCHED_TARGETS,
     );
     const slow = await this.measureBeats(targets, MS_PER_SECOND);
     const fast = await this.measureBeats(
       targets,
-      MS_PER_SECOND / BEATS_PER_SECOND,
+      MS_PER_SECOND / HEARTBEATS_PER_SECOND,
     );
     const perBeat = (fast.us - slow.us) / (fast.beats - slow.beats);
     this.add('entry: per heartbeat', 'us', perBeat);
     const perTarget =
-      (slow.us - slow.beats * perBeat - this.idle.entryUs) / WATCHED;
+      (slow.us - slow.beats * perBeat - this.idle.entryUs) / WATCHED_TARGETS;
     this.add('entry: per watched target beside heartbeats', 'us/s', perTarget);
     const bytes = encodeFrame(SAMPLE_HEARTBEAT).length;
     this.add('peer: bytes of a heartbeat', 'bytes', bytes);
     const bare = encodeFrame({...SAMPLE_HEARTBEAT, cachedPrefixes: []}).length;
     this.add('peer: bytes of a heartbeat without prefixes', 'bytes', bare);
     this.bound({use: slow, residentKb: quiet.entry.residentKb, bytes});
-    targets.beat(MS_PER_SECOND);
+    targets.sendHeartbeats(MS_PER_SECOND);
   }
 
   /** Processor time and heartbeats a second at a period. */
@@ -263,7 +264,7 @@
     targets: FakeTargets,
     periodMs: number,
   ): Promise<{us: number; beats: number}> {
-    targets.beat(periodMs);
+    targets.sendHeartbeats(periodMs);
     await sleep(periodMs);
     const sent = targets.sent;
     const before = this.read().entry.cpuUs;
@@ -284,17 +285,17 @@
     const {use, residentKb, bytes} = options;
     const rows: ReadonlyArray<Omit<BoundResult, 'holds'>> = [
       {
-        name: `entry: control with ${WATCHED} watched targets, share of a core`,
+        name: `entry: control with ${WATCHED_TARGETS} watched targets, share of a core`,
         stated: CONTROL_CORE_SHARE,
         measured: use.us / US_PER_SECOND,
       },
       {
-        name: `entry: whole process with ${WATCHED} watched targets, kB`,
+        name: `entry: whole process with ${WATCHED_TARGETS} watched targets, kB`,
         stated: CONTROL_MEMORY_KB,
         measured: residentKb,
       },
       {
-        name: `entry: heartbeats of ${WATCHED} watched targets, bytes/s`,
+        name: `entry: heartbeats of ${WATCHED_TARGETS} watched targets, bytes/s`,
         stated: CONTROL_BYTES_PER_SECOND,
         measured: use.beats * bytes,
       },
--- a/bench/experiments/storm/index.ts
+++ b/bench/experiments/storm/index.ts
@@ -3,8 +3,8 @@
 import {sendControl} from '../../../tools/lab/lab.js';
 import type {Target} from '../../../tools/lab/site.js';
 import {Site} from '../../../tools/lab/site.js';
-import {playArrivals, poissonArrivals, sleep} from '../../lib/arrivals.js';
-import type {RequestEnd} from '../../lib/load-run.js';
+import {runAtTimes, poissonArrivals, sleep} from '../../lib/arrivals.js';
+import type {RequestResult} from '../../lib/load-run.js';
 import {sendOne} from '../../lib/load-run.js';
 import {Samples} from '../../lib/samples.js';
 import type {Experiment, ExperimentResult} from '../../lib/types.js';
@@ -63,9 +63,9 @@
   const random = new SeededRandom(seed);
   const timesMs = poissonArrivals({perSecond, forMs: FOR_MS, random});
   const startMs = performance.now();
-  const ends: RequestEnd[] = [];
+  const ends: RequestResult[] = [];
   const lost = sleep(LOSS_AT_MS).then(() => loseEngine(site.engines[0]!));
-  await playArrivals({
+  await runAtTimes({
     timesMs,
     run: async (index) => {
       for (let i = 0; i <= IMPATIENCE; i++) {
@@ -83,7 +83,7 @@
 function createLoad(url: string) {
   return {
     urlOf: () => url,
-    askOf: (index: number) => ({
+    createRequest: (index: number) => ({
       prompt: `storm ${index} [length=${TOKENS}]`,
       maxTokens: TOKENS,
     }),
@@ -106,7 +106,7 @@
 }
 
 function summarise(
-  ends: readonly RequestEnd[],
+  ends: readonly RequestResult[],
   started: number,
 ): ExperimentResult {
   const admitted = ends.filter(({refused}) => !refused).length;
@@ -117,8 +117,8 @@
   const answered = new Samples({name: 'answered in time', unit: 'ms'});
   const refused = new Samples({name: 'refused', unit: 'ms'});
   for (const end of ends) {
-    if (end.inTime) answered.add(end.tookMs);
-    if (end.refused) refused.add(end.tookMs);
+    if (end.metDeadline) answered.add(end.durationMs);
+    if (end.refused) refused.add(end.durationMs);
   }
   const bins = Array.from({length: FOR_MS / BIN_MS}, (_, i) => i * BIN_MS);
   return {
@@ -163,12 +163,13 @@
 
 /** Answers in time a second between two times. */
 function goodput(
-  ends: readonly RequestEnd[],
+  ends: readonly RequestResult[],
   fromMs: number,
   toMs: number,
 ): number {
   const within = ends.filter(
-    ({inTime, endedAtMs}) => inTime && endedAtMs > fromMs && endedAtMs <= toMs,
+    ({metDeadline: inTime, endedAtMs}) =>
+      inTime && endedAtMs > fromMs && endedAtMs <= toMs,
   );
   return (within.length * 1_000) / (toMs - fromMs);
 }
--- a/bench/lib/arrivals.ts
+++ b/bench/lib/arrivals.ts
@@ -48,7 +48,7 @@
 }
 
 /** Calls `run` at each time of the list, without waiting for its work. */
-export async function playArrivals(options: {
+export async function runAtTimes(options: {
   timesMs: readonly number[];
   run: (index: number) => Promise<void>;
 }): Promise<void> {
--- a/bench/lib/load-run.ts
+++ b/bench/lib/load-run.ts
@@ -1,17 +1,17 @@
 /** Sends generations at given times and notes what becomes of each. */
 import type {Ask} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
-import {playArrivals} from './arrivals.js';
+import {runAtTimes} from './arrivals.js';
 
 /** What became of one request. */
-export interface RequestEnd {
+export interface RequestResult {
   /** Index of the caller that sent it. */
   readonly index: number;
-  readonly tookMs: number;
+  readonly durationMs: number;
   /** From the start of the load. */
   readonly endedAtMs: number;
   /** Whole, and by its deadline. */
-  readonly inTime: boolean;
+  readonly metDeadline: boolean;
   /** Refused with a problem document. */
   readonly refused: boolean;
   /** Time that the refusal names; 0 for none. */
@@ -23,7 +23,7 @@
   readonly timesMs: readonly number[];
   /** Where the request of an index goes. */
   readonly urlOf: (index: number) => string;
-  readonly askOf: (index: number) => Ask;
+  readonly createRequest: (index: number) => Ask;
   /** After this the caller goes away. */
   readonly deadlineMs: number;
 }
@@ -34,10 +34,10 @@
  * @example
  * const ends = await runLoad({timesMs, urlOf, askOf, deadlineMs: 1_000});
  */
-export async function runLoad(options: LoadOptions): Promise<RequestEnd[]> {
-  const ends: RequestEnd[] = [];
+export async function runLoad(options: LoadOptions): Promise<RequestResult[]> {
+  const ends: RequestResult[] = [];
   const startMs = performance.now();
-  await playArrivals({
+  await runAtTimes({
     timesMs: options.timesMs,
     run: async (index) => {
       const end = await sendOne(options, index);
@@ -51,8 +51,8 @@
 export async function sendOne(
   options: Omit<LoadOptions, 'timesMs'>,
   index: number,
-): Promise<Omit<RequestEnd, 'endedAtMs'>> {
-  const {urlOf, askOf, deadlineMs} = options;
+): Promise<Omit<RequestResult, 'endedAtMs'>> {
+  const {urlOf, createRequest: askOf, deadlineMs} = options;
   const transcript = createTranscript();
   const startedMs = performance.now();
   const gone = new AbortController();
@@ -67,8 +67,8 @@
   const problem = transcript.errors[0] as {retryAfterMs?: number} | undefined;
   return {
     index,
-    tookMs,
-    inTime: whole && tookMs <= deadlineMs,
+    durationMs: tookMs,
+    metDeadline: whole && tookMs <= deadlineMs,
     refused: problem !== undefined,
     retryAfterMs: problem?.retryAfterMs ?? 0,
   };
