--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -1,4 +1,4 @@
-/** Continuous batching: one timer moves all running generations. */
+/** Continuous batching: one timer produces the next token of each generation. */
 import {performance} from 'node:perf_hooks';
 
 import {FinishReason} from '../../src/core/edges/index.js';
@@ -16,28 +16,28 @@
 
 const CRASH_AFTER_MARK = /\[crash-after=(\d+)\]/;
 
-/** Tokens before a crash where the prompt names no number. */
+/** Tokens before a crash if the prompt has no `[crash-after=N]`. */
 const DEFAULT_CRASH_AFTER_TOKENS = 3;
 
-/** Tokens after a resume before an early end. */
+/** Tokens produced after a resume before the generation ends early. */
 const EARLY_END_AFTER_TOKENS = 5;
 
 interface Job {
   readonly generation: Generation;
   readonly sink: GenerationSink;
-  readonly writer: OutputGenerator;
+  readonly generator: OutputGenerator;
   readonly count: RequestCount;
-  /** When prefill is done, on the monotonic clock. */
+  /** End of prefill on the monotonic clock, in milliseconds. */
   readyAtMs: number;
 }
 
-/** How many generations run and wait. */
+/** Number of running and of waiting generations. */
 export interface Load {
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Runs generations up to the capacity; the rest wait by priority. */
+/** Runs generations up to the capacity and queues the rest by priority. */
 export class Batch {
   readonly cache = new PrefixCache();
   readonly counts: EngineCounts = {
@@ -54,33 +54,33 @@
   private stepMs: number;
   private stalled = false;
   private timer: NodeJS.Timeout | undefined;
-  private dueMs = 0;
+  private nextStepMs = 0;
 
   constructor(private readonly options: EngineOptions) {
     this.stepMs = options.paceMs;
     this.load = new LaggedValue(options.reportLagMs, {running: 0, waiting: 0});
   }
 
-  /** Load as it was one report lag ago. */
+  /** Load as of `reportLagMs` ago. */
   get laggedLoad(): Load {
     return this.load.get();
   }
 
-  /** Adds a generation and returns the function that cancels it. */
+  /** Adds a generation and returns a function that cancels it. */
   add(generation: Generation, sink: GenerationSink): () => void {
-    const writer = new OutputGenerator(generation, generation.resumeIds);
+    const generator = new OutputGenerator(generation, generation.resumeIds);
     const {requestId, resumeIds} = generation;
     const count = {requestId, resumedFrom: resumeIds.length, produced: 0};
-    const job: Job = {generation, sink, writer, count, readyAtMs: 0};
+    const job: Job = {generation, sink, generator, count, readyAtMs: 0};
     this.counts.requests.push(count);
     this.waiting.push(job);
-    // Array.prototype.sort is stable: first come, first served at a priority.
+    // The sort is stable, so equal priorities run in order of arrival.
     this.waiting.sort((a, b) => b.generation.priority - a.generation.priority);
     this.admit();
     return () => this.cancel(job);
   }
 
-  /** Changes the pace, or stops all work. */
+  /** Applies a fault: `SLOW` multiplies the step time, `STALL` stops all work. */
   setFault(fault: EngineFault, factor: number): void {
     this.stalled = fault === EngineFault.STALL;
     const slow = fault === EngineFault.SLOW ? factor : 1;
@@ -88,7 +88,7 @@
     this.admit();
   }
 
-  /** Stops the timer. */
+  /** Stops all work. */
   close(): void {
     this.stalled = true;
     clearTimeout(this.timer);
@@ -100,13 +100,13 @@
       if (job === undefined) break;
       this.start(job);
     }
-    this.report();
-    this.arm();
+    this.recordLoad();
+    this.scheduleStep();
   }
 
   private start(job: Job): void {
     const {prompt} = job.generation;
-    const context = {prompt, tokenIds: job.writer.tokenIds};
+    const context = {prompt, tokenIds: job.generator.tokenIds};
     const tokens = this.cache.uncachedTokens(context);
     const prefillMs = (tokens * this.options.prefillUsPerToken) / 1_000;
     job.readyAtMs = performance.now() + prefillMs;
@@ -116,40 +116,42 @@
     this.running.add(job);
   }
 
-  private arm(): void {
+  private scheduleStep(): void {
     if (this.timer !== undefined || this.stalled) return;
     if (this.running.size === 0) return;
     const now = performance.now();
-    // Steps keep their rhythm, but missed ones are not made up for.
-    this.dueMs = Math.max(this.dueMs + this.stepMs, now);
-    if (this.dueMs > now + this.stepMs) this.dueMs = now + this.stepMs;
-    this.timer = setTimeout(() => this.tick(), this.dueMs - now);
+    // Steps run at a fixed rate; missed steps are skipped, not caught up.
+    this.nextStepMs = Math.max(this.nextStepMs + this.stepMs, now);
+    if (this.nextStepMs > now + this.stepMs)
+      this.nextStepMs = now + this.stepMs;
+    this.timer = setTimeout(() => this.runStep(), this.nextStepMs - now);
   }
 
-  private tick(): void {
+  private runStep(): void {
     this.timer = undefined;
     if (this.stalled) return;
     const now = performance.now();
     for (const job of this.running) {
-      if (job.readyAtMs <= now) this.step(job);
+      if (job.readyAtMs <= now) this.advance(job);
     }
     this.admit();
   }
 
-  private step(job: Job): void {
-    if (this.crashes(job)) return this.options.exit();
-    const ended = job.writer.finishReason;
+  private advance(job: Job): void {
+    if (this.shouldCrash(job)) return this.options.exit();
+    const ended = job.generator.finishReason;
     if (ended !== undefined) return this.finish(job, ended);
-    if (this.endsEarly(job)) return this.finish(job, this.earlyReason());
-    const token = job.writer.next();
+    if (this.shouldEndEarly(job))
+      return this.finish(job, this.earlyFinishReason());
+    const token = job.generator.next();
     job.count.produced += 1;
     this.counts.tokensProduced += 1;
     job.sink.onToken(token);
-    const reason = job.writer.finishReason;
+    const reason = job.generator.finishReason;
     if (reason !== undefined) this.finish(job, reason);
   }
 
-  private crashes({generation, count}: Job): boolean {
+  private shouldCrash({generation, count}: Job): boolean {
     const {crashOn} = this.options;
     if (crashOn === '' || !generation.prompt.includes(crashOn)) return false;
     const mark = CRASH_AFTER_MARK.exec(generation.prompt);
@@ -157,12 +159,12 @@
     return count.produced >= after;
   }
 
-  private endsEarly({count}: Job): boolean {
+  private shouldEndEarly({count}: Job): boolean {
     if (this.options.earlyEnd === EarlyEnd.NEVER) return false;
     return count.resumedFrom > 0 && count.produced >= EARLY_END_AFTER_TOKENS;
   }
 
-  private earlyReason(): FinishReason | undefined {
+  private earlyFinishReason(): FinishReason | undefined {
     if (this.options.earlyEnd === EarlyEnd.STOP) return FinishReason.STOP;
     if (this.options.earlyEnd === EarlyEnd.LENGTH) return FinishReason.LENGTH;
     return undefined;
@@ -175,10 +177,10 @@
   }
 
   private cancel(job: Job): void {
-    const waits = this.waiting.includes(job);
-    if (!waits && !this.running.has(job)) return;
+    const isWaiting = this.waiting.includes(job);
+    if (!isWaiting && !this.running.has(job)) return;
     this.waiting = this.waiting.filter((other) => other !== job);
-    if (!waits) this.release(job);
+    if (!isWaiting) this.release(job);
     this.counts.cancelled += 1;
     this.admit();
   }
@@ -186,10 +188,10 @@
   private release(job: Job): void {
     this.running.delete(job);
     const {prompt} = job.generation;
-    this.cache.add({prompt, tokenIds: job.writer.tokenIds});
+    this.cache.add({prompt, tokenIds: job.generator.tokenIds});
   }
 
-  private report(): void {
+  private recordLoad(): void {
     const {running, waiting} = this;
     this.load.set({running: running.size, waiting: waiting.length});
   }
--- a/stand-ins/engine/commands.ts
+++ b/stand-ins/engine/commands.ts
@@ -1,29 +1,33 @@
-/** Orders to an engine, guarded by fencing numbers. */
+/** Commands to an engine, protected by fencing numbers. */
 import type {EngineCommand} from '../../src/core/edges/index.js';
 import {EngineCommandKind} from '../../src/core/edges/index.js';
 import {enumField, numberField, textField} from '../lib/fields.js';
 import {HttpError} from '../lib/http-server.js';
 
-/** Keeps the accepted orders and the highest fencing number. */
+/** Stores the accepted commands and the highest fencing number. */
 export class CommandLog {
   readonly accepted: EngineCommand[] = [];
-  private highest = 0;
+  private highestFencing = 0;
 
   constructor(private readonly ignoresFencing: boolean) {}
 
-  /** Accepts an order, or throws 409 when its number is too low. */
+  /**
+   * Accepts a command.
+   *
+   * @throws HttpError 409 if the fencing number is lower than an earlier one.
+   */
   accept(body: unknown): EngineCommand {
-    const order = {
+    const command = {
       kind: enumField(body, 'kind', EngineCommandKind),
       argument: textField(body, 'argument', ''),
       fencing: numberField(body, 'fencing', 0),
     };
-    const isOld = order.fencing < this.highest;
-    if (isOld && !this.ignoresFencing) {
-      throw new HttpError(409, `fencing number below ${this.highest}`);
+    const isStale = command.fencing < this.highestFencing;
+    if (isStale && !this.ignoresFencing) {
+      throw new HttpError(409, `fencing number below ${this.highestFencing}`);
     }
-    this.highest = Math.max(this.highest, order.fencing);
-    this.accepted.push(order);
-    return order;
+    this.highestFencing = Math.max(this.highestFencing, command.fencing);
+    this.accepted.push(command);
+    return command;
   }
 }
--- a/stand-ins/engine/main.ts
+++ b/stand-ins/engine/main.ts
@@ -1,4 +1,4 @@
-/** Runs a model engine as a program. */
+/** Program that runs the stand-in of a model engine. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_ENGINE_OPTIONS, startEngine} from './server.js';
 import {EarlyEnd} from './types.js';
--- a/stand-ins/engine/prefix-cache.ts
+++ b/stand-ins/engine/prefix-cache.ts
@@ -1,21 +1,21 @@
-/** Which prefixes an engine holds; the oldest blocks are evicted first. */
+/** Prefix cache of an engine; the least recently used blocks are evicted. */
 import xxhash from 'xxhash-wasm';
 
 const HASH = await xxhash();
 
-/** Characters of a prompt that count as one token. */
+/** Prompt characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Tokens of one cached block. */
+/** Generated tokens per cached block. */
 const BLOCK_TOKENS = 16;
 
-/** Blocks that fit in the cache. */
+/** Capacity of the cache in blocks. */
 const MAX_BLOCKS = 4_096;
 
-/** Prefix fingerprints that are reported. */
+/** Maximum number of reported prefix fingerprints. */
 const MAX_REPORTED = 64;
 
-/** Characters of a prompt that its reported fingerprint covers. */
+/** Prompt characters covered by the reported fingerprint. */
 export const PREFIX_CHARACTERS = 256;
 
 interface Block {
@@ -23,28 +23,30 @@
   readonly tokens: number;
 }
 
-/** What fills an engine's memory: a prompt and the answer so far. */
+/** Content of the KV cache of a generation: prompt and generated tokens. */
 export interface Context {
   readonly prompt: string;
   readonly tokenIds: readonly number[];
 }
 
-/** The prefix cache of one engine. */
+/** Tracks which blocks and prompt prefixes an engine has cached. */
 export class PrefixCache {
   private readonly blocks = new Set<string>();
   private readonly prefixes = new Set<string>();
 
-  /** Fingerprints of recent prompt prefixes, newest last. */
+  /** Fingerprints of recently used prompt prefixes, newest last. */
   get reportedPrefixes(): string[] {
     return [...this.prefixes];
   }
 
-  /** Tokens that must be computed before the context can be continued. */
+  /** Number of tokens to prefill before the context can be continued. */
   uncachedTokens(context: Context): number {
     const blocks = blocksOf(context);
-    const miss = blocks.findIndex((block) => !this.blocks.has(block.hash));
-    if (miss < 0) return 0;
-    return blocks.slice(miss).reduce((sum, block) => sum + block.tokens, 0);
+    const firstMiss = blocks.findIndex((block) => !this.blocks.has(block.hash));
+    if (firstMiss < 0) return 0;
+    return blocks
+      .slice(firstMiss)
+      .reduce((sum, block) => sum + block.tokens, 0);
   }
 
   add(context: Context): void {
@@ -56,7 +58,7 @@
 }
 
 /**
- * Returns the fingerprint under which a prompt's prefix is reported.
+ * Returns the fingerprint that is reported for the prefix of a prompt.
  *
  * @example
  * health.cachedPrefixes.includes(prefixFingerprint(prompt));
--- a/stand-ins/engine/server.ts
+++ b/stand-ins/engine/server.ts
@@ -1,4 +1,4 @@
-/** The model engine's HTTP side. */
+/** HTTP server of the model engine stand-in. */
 import {randomUUID} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
 
@@ -23,7 +23,7 @@
 import type {EngineOptions, Generation} from './types.js';
 import {EarlyEnd, EngineFault} from './types.js';
 
-/** How an engine behaves where nothing else is said. */
+/** Default options of an engine. */
 export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   address: '127.0.0.1',
   port: 0,
@@ -37,10 +37,10 @@
   exit: () => process.exit(1),
 };
 
-/** Pace multiplier of the slow fault where none is given. */
+/** Default step time multiplier of the `slow` fault. */
 const DEFAULT_SLOW_FACTOR = 10;
 
-/** Tokens of an answer whose request names no number. */
+/** Token limit of a request without `max_tokens`. */
 const DEFAULT_MAX_TOKENS = 16;
 
 /**
@@ -67,12 +67,12 @@
 class EngineServer {
   private readonly instance = randomUUID();
   private readonly batch: Batch;
-  private readonly orders: CommandLog;
+  private readonly commands: CommandLog;
   private fault = EngineFault.NONE;
 
   constructor(private readonly options: EngineOptions) {
     this.batch = new Batch(options);
-    this.orders = new CommandLog(options.ignoresFencing);
+    this.commands = new CommandLog(options.ignoresFencing);
   }
 
   async handle(call: HttpCall): Promise<void> {
@@ -85,9 +85,9 @@
       case 'GET /counts':
         return sendJson({res, status: 200, body: this.batch.counts});
       case 'POST /orders':
-        return this.order(call);
+        return this.acceptCommand(call);
       case 'GET /orders':
-        return sendJson({res, status: 200, body: this.orders.accepted});
+        return sendJson({res, status: 200, body: this.commands.accepted});
       case 'POST /faults':
         return this.setFault(call);
       default:
@@ -126,9 +126,9 @@
     sendJson({res, status: 200, body});
   }
 
-  private async order({req, res}: HttpCall): Promise<void> {
-    const order = this.orders.accept(await readJson({req}));
-    sendJson({res, status: 200, body: order});
+  private async acceptCommand({req, res}: HttpCall): Promise<void> {
+    const command = this.commands.accept(await readJson({req}));
+    sendJson({res, status: 200, body: command});
   }
 
   private async setFault({req, res}: HttpCall): Promise<void> {
--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -1,6 +1,6 @@
 /**
- * The text that the model engine writes. Token `i` depends on the prompt and
- * on `i` alone, so that any answer can be checked whole.
+ * Deterministic output of the model engine. Token `i` depends only on the
+ * prompt and on `i`, so that tests can compute the expected output.
  */
 import {StringDecoder} from 'node:string_decoder';
 
@@ -12,7 +12,7 @@
 
 const HASH = await xxhash();
 
-/** Length in tokens of an answer whose prompt names none. */
+/** Tokens of an output if the prompt has no `[length=N]`. */
 export const DEFAULT_LENGTH_TOKENS = 200;
 
 const LENGTH_MARK = /\[length=(\d+)\]/;
@@ -21,20 +21,20 @@
 const MIX_A = 0x85ebca6b;
 const MIX_B = 0xc2b2ae35;
 
-/** What decides an answer. */
+/** Parameters that determine an output. */
 export interface OutputSpec {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly stop: readonly string[];
 }
 
-/** A whole answer. */
+/** A complete output. */
 export interface Output {
   readonly tokens: readonly Token[];
   readonly finishReason: FinishReason;
 }
 
-/** Writes one answer, token by token, from any position on. */
+/** Generates one output token by token, optionally after given tokens. */
 export class OutputGenerator {
   private readonly decoder = new StringDecoder('utf8');
   private readonly ids: number[] = [];
@@ -51,15 +51,15 @@
     this.seed = HASH.h32(spec.prompt);
     this.naturalLength = naturalLengthOf(spec.prompt);
     this.stop = spec.stop.filter((text) => text !== '');
-    for (const id of resumeIds) this.take(id);
+    for (const id of resumeIds) this.append(id);
   }
 
-  /** Ids of the answer so far, the resumed ones included. */
+  /** Token ids so far, including those that the generation resumed from. */
   get tokenIds(): readonly number[] {
     return this.ids;
   }
 
-  /** Why the answer is over; undefined while it goes on. */
+  /** Reason for the end of the output; undefined before the end. */
   get finishReason(): FinishReason | undefined {
     if (this.stopped) return FinishReason.STOP;
     if (this.ids.length >= this.naturalLength) return FinishReason.STOP;
@@ -67,12 +67,12 @@
     return undefined;
   }
 
-  /** Writes the next token. */
+  /** Generates the next token. */
   next(): Token {
-    return this.take(tokenIdAt(this.seed, this.ids.length));
+    return this.append(tokenIdAt(this.seed, this.ids.length));
   }
 
-  private take(id: number): Token {
+  private append(id: number): Token {
     const text = this.decoder.write(bytesOf(id));
     this.ids.push(id);
     this.tail += text;
@@ -84,7 +84,7 @@
 }
 
 /**
- * Returns the whole answer. The token that completes a stop string is its
+ * Returns the complete output. The token that completes a stop string is the
  * last one.
  *
  * @example
--- a/stand-ins/engine/types.ts
+++ b/stand-ins/engine/types.ts
@@ -1,19 +1,19 @@
-/** Shapes of the model engine. */
+/** Types of the model engine stand-in. */
 import type {FinishReason, Token} from '../../src/core/edges/index.js';
 import type {OutputSpec} from './text.js';
 
-/** How an engine that resumed an answer ends it too early. */
+/** How an engine ends a resumed generation too early. */
 export enum EarlyEnd {
   NEVER = 'never',
-  /** Claims that the natural end was reached. */
+  /** Reports a natural end of the output. */
   STOP = 'stop',
-  /** Claims that `max_tokens` was reached. */
+  /** Reports that `max_tokens` was reached. */
   LENGTH = 'length',
   /** Sends `[DONE]` without a finish reason. */
   NO_FINISH_REASON = 'no_reason',
 }
 
-/** Faults that tests order. */
+/** Faults that can be set with `POST /faults`. */
 export enum EngineFault {
   NONE = 'none',
   DIE = 'die',
@@ -22,24 +22,24 @@
   FAIL_FAST = 'fail_fast',
 }
 
-/** How an engine behaves. */
+/** Options of an engine. */
 export interface EngineOptions {
   readonly address: string;
   readonly port: number;
   readonly paceMs: number;
   readonly prefillUsPerToken: number;
-  /** Generations that run at once. */
+  /** Maximum number of concurrent generations. */
   readonly capacity: number;
   readonly reportLagMs: number;
   readonly ignoresFencing: boolean;
-  /** A prompt that contains this crashes the engine; empty for none. */
+  /** Text in a prompt that crashes the engine; empty to disable. */
   readonly crashOn: string;
   readonly earlyEnd: EarlyEnd;
   /** Ends the process. */
   readonly exit: () => void;
 }
 
-/** One generation as asked for. */
+/** A requested generation. */
 export interface Generation extends OutputSpec {
   readonly requestId: string;
   readonly priority: number;
@@ -49,18 +49,18 @@
 /** Receives a generation's tokens. */
 export interface GenerationSink {
   onToken(token: Token): void;
-  /** Undefined where the engine ends an answer without a reason. */
+  /** `reason` is undefined if the engine sends no finish reason. */
   onFinish(reason: FinishReason | undefined): void;
 }
 
-/** What one request cost. */
+/** Tokens resumed from and produced for one request. */
 export interface RequestCount {
   readonly requestId: string;
   readonly resumedFrom: number;
   produced: number;
 }
 
-/** What the engine has done since its start. */
+/** Counters since the start of the engine. */
 export interface EngineCounts {
   tokensProduced: number;
   prefillTokens: number;
--- a/stand-ins/engine/vocabulary.ts
+++ b/stand-ins/engine/vocabulary.ts
@@ -1,6 +1,6 @@
 /**
- * Tokens of the model engine: each id stands for a piece of UTF-8. Pieces
- * come in pairs, since some characters are split over two of them.
+ * Tokens of the model engine. Each id maps to a UTF-8 byte sequence. Tokens
+ * come in pairs because some characters are split across two tokens.
  */
 
 /** Id of the first token. */
@@ -19,7 +19,7 @@
 
 const SPLIT_CHARACTERS = ['é', 'è', 'ç', 'œ', 'ł', 'ń', 'ż', 'ś', '🪵', '🚚'];
 
-/** Bytes of a split character that its first token holds. */
+/** Bytes of a split character in its first token. */
 const SPLIT_BYTES = 1;
 
 const PAIRS: ReadonlyArray<readonly [Buffer, Buffer]> = [
@@ -27,11 +27,11 @@
   ...SPLIT_CHARACTERS.map(splitPair),
 ];
 
-/** Number of token pairs. */
+/** Number of token pairs in the vocabulary. */
 export const PAIR_COUNT = PAIRS.length;
 
 /**
- * Returns the id of one half of a pair.
+ * Returns the id of the first (0) or second (1) token of a pair.
  *
  * @example
  * tokenIdOf({pair: 0, half: 1});
@@ -41,7 +41,7 @@
 }
 
 /**
- * Returns the bytes of a token; none for an unknown id.
+ * Returns the bytes of a token; empty for an unknown id.
  *
  * @example
  * bytesOf(1000).toString('utf8');
--- a/stand-ins/ledger/main.ts
+++ b/stand-ins/ledger/main.ts
@@ -1,4 +1,4 @@
-/** Runs a ledger as a program. */
+/** Program that runs a ledger. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {startLedger} from './server.js';
 
--- a/stand-ins/ledger/server.ts
+++ b/stand-ins/ledger/server.ts
@@ -1,4 +1,4 @@
-/** A counter of executions that outlives the service that posts them. */
+/** HTTP server that counts executions and survives crashes of the service. */
 import {textField} from '../lib/fields.js';
 import type {HttpCall, RunningServer} from '../lib/http-server.js';
 import {
@@ -19,21 +19,25 @@
   options: {address?: string; port?: number} = {},
 ): Promise<RunningServer> {
   const {address = '127.0.0.1', port = 0} = options;
-  const log = new ExecutionCounter();
-  const handle = (call: HttpCall): Promise<void> => answer(call, log);
+  const executions = new ExecutionCounter();
+  const handle = (call: HttpCall): Promise<void> =>
+    handleCall(call, executions);
   return startServer({address, port, handle});
 }
 
-async function answer(call: HttpCall, log: ExecutionCounter): Promise<void> {
+async function handleCall(
+  call: HttpCall,
+  executions: ExecutionCounter,
+): Promise<void> {
   const {method, segments, req, res} = call;
   switch (`${method} /${segments.join('/')}`) {
     case 'POST /executions': {
       const key = textField(await readJson({req}), 'key', '');
-      const execution = log.add(key);
+      const execution = executions.add(key);
       return sendJson({res, status: 201, body: {key, execution}});
     }
     case 'GET /counts':
-      return sendJson({res, status: 200, body: {perKey: log.perKey}});
+      return sendJson({res, status: 200, body: {perKey: executions.perKey}});
     default:
       throw new HttpError(404, 'no such path');
   }
--- a/stand-ins/lib/fields.ts
+++ b/stand-ins/lib/fields.ts
@@ -1,4 +1,4 @@
-/** Reads fields of a JSON body that tests send to a stand-in. */
+/** Reads fields of the JSON bodies of requests to a stand-in. */
 import {HttpError} from './http-server.js';
 
 function fieldOf(body: unknown, name: string): unknown {
@@ -7,7 +7,7 @@
 }
 
 /**
- * Returns a text field.
+ * Returns a string field, or throws 400.
  *
  * @example
  * textField(body, 'kind', 'none');
@@ -23,7 +23,7 @@
 }
 
 /**
- * Returns a number field.
+ * Returns a number field, or throws 400.
  *
  * @example
  * numberField(body, 'max_tokens', 16);
@@ -39,7 +39,7 @@
 }
 
 /**
- * Returns a list field; empty where it is absent.
+ * Returns a list field, empty if absent, or throws 400.
  *
  * @example
  * listField(body, 'stop', isString);
@@ -71,12 +71,12 @@
   throw new HttpError(400, `unknown ${name}`);
 }
 
-/** Whether an item is a string. */
+/** Returns whether a list item is a string. */
 export function isString(item: unknown): item is string {
   return typeof item === 'string';
 }
 
-/** Whether an item is an integer. */
+/** Returns whether a list item is an integer. */
 export function isInteger(item: unknown): item is number {
   return Number.isInteger(item);
 }
--- a/stand-ins/lib/http-server.ts
+++ b/stand-ins/lib/http-server.ts
@@ -1,12 +1,12 @@
-/** A JSON server on `node:http`, shared by the stand-ins. */
+/** JSON server on `node:http`, shared by the stand-ins. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** Bytes of a request body that are kept where a stand-in sets no limit. */
+/** Default size limit of a request body, in bytes. */
 const DEFAULT_BODY_LIMIT_BYTES = 16 * 1024 * 1024;
 
-/** One request, with its path cut into decoded segments. */
+/** A request with its response and the decoded path segments. */
 export interface HttpCall {
   readonly method: string;
   readonly segments: readonly string[];
@@ -15,7 +15,7 @@
   readonly res: ServerResponse;
 }
 
-/** Answers one request. */
+/** Handles one request. */
 export type HttpHandler = (call: HttpCall) => Promise<void> | void;
 
 /** A listening server. */
@@ -25,7 +25,7 @@
   close(): Promise<void>;
 }
 
-/** Thrown by a handler to answer with a status. */
+/** Error that a handler throws to respond with a status. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -36,7 +36,7 @@
 }
 
 /**
- * Listens and hands each request to a handler.
+ * Starts a server that passes each request to a handler.
  *
  * @example
  * const server = await startServer({address: '127.0.0.1', port: 0, handle});
@@ -47,7 +47,9 @@
   handle: HttpHandler;
 }): Promise<RunningServer> {
   const {address, port, handle} = options;
-  const server = createServer((req, res) => void answer({req, res, handle}));
+  const server = createServer(
+    (req, res) => void handleRequest({req, res, handle}),
+  );
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, address, resolve);
@@ -62,7 +64,7 @@
 }
 
 /**
- * Sends a JSON answer.
+ * Sends a JSON response.
  *
  * @example
  * sendJson({res, status: 200, body: {running: 0}});
@@ -79,7 +81,7 @@
 }
 
 /**
- * Reads a JSON body; throws 413 when too long and 400 when malformed.
+ * Reads a JSON body. Throws 413 if it is too long and 400 if malformed.
  *
  * @example
  * const body = await readJson({req, limitBytes: 1024});
@@ -91,7 +93,7 @@
   const {req, limitBytes = DEFAULT_BODY_LIMIT_BYTES} = options;
   const chunks: Buffer[] = [];
   let length = 0;
-  // The rest of a long body is read and dropped, so that the answer arrives.
+  // A long body is still read to its end, so that the client gets the response.
   for await (const chunk of req as AsyncIterable<Buffer>) {
     length += chunk.length;
     if (length <= limitBytes) chunks.push(chunk);
@@ -108,7 +110,7 @@
   }
 }
 
-async function answer(options: {
+async function handleRequest(options: {
   req: IncomingMessage;
   res: ServerResponse;
   handle: HttpHandler;
--- a/stand-ins/lib/lagged-value.ts
+++ b/stand-ins/lib/lagged-value.ts
@@ -1,4 +1,4 @@
-/** A value that readers see with a lag. */
+/** A value that is read with a fixed delay. */
 import {performance} from 'node:perf_hooks';
 
 interface Sample<T> {
@@ -6,7 +6,7 @@
   readonly value: T;
 }
 
-/** Keeps the samples of the last `lagMs` and shows the one before them. */
+/** Returns the value that was current `lagMs` ago. */
 export class LaggedValue<T> {
   private samples: Sample<T>[];
 
--- a/stand-ins/lib/program.ts
+++ b/stand-ins/lib/program.ts
@@ -1,8 +1,8 @@
-/** What every stand-in program does at its start. */
+/** Command-line flags and the ready line of stand-in programs. */
 import type {ParseArgsConfig} from 'node:util';
 import {parseArgs} from 'node:util';
 
-/** Flags of a program: each has a value, or is a switch. */
+/** Parsed flags of a program: flags with a value and switches. */
 export interface FlagValues {
   text(name: string, fallback: string): string;
   number(name: string, fallback: number): number;
@@ -10,7 +10,7 @@
 }
 
 /**
- * Reads the command line; an unknown flag throws.
+ * Parses the command line. Throws on an unknown flag.
  *
  * @example
  * const flags = readFlags({values: ['port'], switches: ['verbose']});
@@ -19,11 +19,11 @@
   values: readonly string[];
   switches: readonly string[];
 }): FlagValues {
-  const known = [
+  const flagTypes = [
     ...options.values.map((name) => [name, {type: 'string'}] as const),
     ...options.switches.map((name) => [name, {type: 'boolean'}] as const),
   ];
-  const flags = Object.fromEntries(known) as ParseArgsConfig['options'];
+  const flags = Object.fromEntries(flagTypes) as ParseArgsConfig['options'];
   const parsed = parseArgs({options: flags});
   const values = parsed.values as Record<string, string | boolean | undefined>;
   const text = (name: string, fallback: string): string =>
@@ -36,10 +36,10 @@
 }
 
 /**
- * Prints the ready line and exits on SIGTERM.
+ * Prints the ready line and installs a handler that exits on SIGTERM.
  *
  * @example
- * announce({port: 8080});
+ * announceReady({port: 8080});
  */
 export function announceReady(fields: {
   port: number;
--- a/stand-ins/platform/fault-injector.ts
+++ b/stand-ins/platform/fault-injector.ts
@@ -1,11 +1,11 @@
-/** The fault in force, and for how many more writes. */
+/** The active fault of the platform. */
 import {enumField, numberField, textField} from '../lib/fields.js';
 import {PlatformFault} from './types.js';
 
-/** Delay of the slow fault where none is given, in milliseconds. */
+/** Default delay of the `slow` fault, in milliseconds. */
 const DEFAULT_SLOW_MS = 2_000;
 
-/** Holds the fault that a test ordered. */
+/** Stores the active fault and the number of writes that it still affects. */
 export class FaultInjector {
   private fault = PlatformFault.OK;
   private writesLeft = Infinity;
@@ -16,7 +16,7 @@
     return this.fault === PlatformFault.DOWN;
   }
 
-  /** Whether calls on a kind fail; a fault may name one kind alone. */
+  /** Whether calls on a kind fail; a fault may be limited to one kind. */
   isDownFor(kind: string): boolean {
     return this.isDown && (this.kind === '' || this.kind === kind);
   }
@@ -33,12 +33,12 @@
     return this.fault;
   }
 
-  /** The fault that meets the next write; counts down. */
+  /** Returns the fault of the next write and decrements the remaining count. */
   consumeForWrite(): PlatformFault {
-    const isForWrites =
+    const affectsWrites =
       this.fault === PlatformFault.LOSE_WRITE_RESPONSE ||
       this.fault === PlatformFault.FAIL_BEFORE_EFFECT;
-    if (!isForWrites || this.writesLeft <= 0) return PlatformFault.OK;
+    if (!affectsWrites || this.writesLeft <= 0) return PlatformFault.OK;
     this.writesLeft -= 1;
     return this.fault;
   }
--- a/stand-ins/platform/main.ts
+++ b/stand-ins/platform/main.ts
@@ -1,4 +1,4 @@
-/** Runs a platform as a program. */
+/** Program that runs the stand-in of the platform. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_PLATFORM_OPTIONS, startPlatform} from './server.js';
 
--- a/stand-ins/platform/object-table.ts
+++ b/stand-ins/platform/object-table.ts
@@ -1,19 +1,19 @@
-/** Versioned objects with conditional changes and a log for watches. */
+/** Versioned objects with conditional writes and a change log for watches. */
 import {HttpError} from '../lib/http-server.js';
 import type {Change, PlatformObject} from './types.js';
 
-/** Largest value in bytes. */
+/** Maximum size of a value in bytes. */
 export const MAX_VALUE_BYTES = 1024 * 1024;
 
 interface KindState {
   readonly objects: Map<string, PlatformObject>;
   readonly listeners: Set<(change: Change) => void>;
   log: Change[];
-  /** Version of the newest change that the log has dropped. */
+  /** Version of the newest change dropped from the log. */
   droppedVersion: number;
 }
 
-/** The objects of the platform. */
+/** Stores the objects of the platform by kind and name. */
 export class ObjectTable {
   private readonly kinds = new Map<string, KindState>();
   private version = 0;
@@ -57,7 +57,11 @@
     return all.filter((object) => object.name.startsWith(prefix));
   }
 
-  /** Reports past changes after `since` at once, and then each new one. */
+  /**
+   * Calls the listener with each logged change after `since`, then with each
+   * new one. Returns a function that stops the watch. Throws 410 if changes
+   * after `since` are no longer in the log.
+   */
   watch(options: {
     kind: string;
     since: number;
@@ -95,8 +99,8 @@
   }
 
   private stateOf(kind: string): KindState {
-    const known = this.kinds.get(kind);
-    if (known !== undefined) return known;
+    const existing = this.kinds.get(kind);
+    if (existing !== undefined) return existing;
     const state = {
       objects: new Map<string, PlatformObject>(),
       listeners: new Set<(change: Change) => void>(),
@@ -111,5 +115,5 @@
 function checkVersion(state: KindState, name: string, expected: number): void {
   const object = state.objects.get(name);
   if (object === undefined) throw new HttpError(404, 'no such object');
-  if (object.version !== expected) throw new HttpError(409, 'other version');
+  if (object.version !== expected) throw new HttpError(409, 'version conflict');
 }
--- a/stand-ins/platform/server.ts
+++ b/stand-ins/platform/server.ts
@@ -1,4 +1,4 @@
-/** The platform's HTTP side: objects, watches, VMs and control. */
+/** HTTP server of the platform: objects, watches, VM list, faults, counts. */
 import type {ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -15,7 +15,7 @@
 import {PlatformFault, Verb} from './types.js';
 import {VmTable} from './vm-table.js';
 
-/** How the platform behaves where nothing else is said. */
+/** Default options of the platform. */
 export const DEFAULT_PLATFORM_OPTIONS: PlatformOptions = {
   address: '127.0.0.1',
   port: 0,
@@ -25,10 +25,10 @@
   keepAliveMs: 1_000,
 };
 
-/** Bytes of a body around its value. */
+/** Allowance for the part of a request body around its value, in bytes. */
 const ENVELOPE_BYTES = 1_024;
 
-/** The kind under which calls to the VM list are counted. */
+/** Kind in the call counts for reads of the VM list. */
 const VM_KIND = 'vms';
 
 const WRITE_VERBS: Readonly<Record<string, Verb>> = {
@@ -83,7 +83,7 @@
     name: string | undefined,
   ): Promise<void> {
     const verb = name === undefined ? Verb.LIST : Verb.GET;
-    await this.admit(kind, verb);
+    await this.beginCall(kind, verb);
     const body =
       name === undefined
         ? {objects: this.objects.list(kind, query.get('prefix') ?? '')}
@@ -101,7 +101,7 @@
     if (verb === undefined) throw new HttpError(405, 'unknown method');
     const limitBytes = MAX_VALUE_BYTES + ENVELOPE_BYTES;
     const body = await readJson({req, limitBytes});
-    await this.admit(kind, verb);
+    await this.beginCall(kind, verb);
     const fault = this.faults.consumeForWrite();
     if (fault === PlatformFault.FAIL_BEFORE_EFFECT) {
       throw new HttpError(503, 'failing before effect');
@@ -134,7 +134,7 @@
 
   private async watch(call: HttpCall, kind: string): Promise<void> {
     const {res, query} = call;
-    await this.admit(kind, Verb.WATCH);
+    await this.beginCall(kind, Verb.WATCH);
     const lines: string[] = [];
     let emit = (line: string): void => void lines.push(line);
     const stop = this.objects.watch({
@@ -146,14 +146,17 @@
     res.flushHeaders();
     res.write(lines.join(''));
     emit = (line) => void res.write(line);
-    this.keepWatch(res, stop);
+    this.keepWatchAlive(res, stop);
   }
 
-  private keepWatch(res: ServerResponse, stop: () => void): void {
-    const beat = setInterval(() => res.write('\n'), this.options.keepAliveMs);
+  private keepWatchAlive(res: ServerResponse, stop: () => void): void {
+    const keepAlive = setInterval(
+      () => res.write('\n'),
+      this.options.keepAliveMs,
+    );
     this.watches.add(res);
     res.on('close', () => {
-      clearInterval(beat);
+      clearInterval(keepAlive);
       this.watches.delete(res);
       stop();
     });
@@ -162,7 +165,7 @@
   private async handleVms(call: HttpCall, name: string): Promise<void> {
     const {method, req, res} = call;
     if (method === 'GET') {
-      await this.admit(VM_KIND, Verb.LIST);
+      await this.beginCall(VM_KIND, Verb.LIST);
       return sendJson({res, status: 200, body: {vms: this.vms.visible}});
     }
     if (method === 'PUT') {
@@ -185,8 +188,8 @@
     sendJson({res, status: 200, body: {total, calls: this.counts}});
   }
 
-  /** Counts a call, lets its time pass and refuses it while down. */
-  private async admit(kind: string, verb: Verb): Promise<void> {
+  /** Counts a call, waits for its latency, and throws 503 while down. */
+  private async beginCall(kind: string, verb: Verb): Promise<void> {
     this.count(kind, verb);
     if (this.faults.isDownFor(kind)) throw new HttpError(503, 'down');
     const waitMs = this.options.latencyMs + this.faults.delayMs;
@@ -195,9 +198,11 @@
   }
 
   private count(kind: string, verb: Verb): void {
-    const known = this.counts.find((c) => c.kind === kind && c.verb === verb);
-    if (known === undefined) this.counts.push({kind, verb, count: 1});
-    else known.count += 1;
+    const existing = this.counts.find(
+      (c) => c.kind === kind && c.verb === verb,
+    );
+    if (existing === undefined) this.counts.push({kind, verb, count: 1});
+    else existing.count += 1;
   }
 }
 
--- a/stand-ins/platform/types.ts
+++ b/stand-ins/platform/types.ts
@@ -1,20 +1,20 @@
-/** Shapes of the platform. */
+/** Types of the platform stand-in. */
 
-/** How the platform behaves. */
+/** Options of the platform; times in milliseconds. */
 export interface PlatformOptions {
   readonly address: string;
   readonly port: number;
-  /** Age of the VM list that callers see. */
+  /** Delay before a change of the VM list becomes visible. */
   readonly vmLagMs: number;
-  /** Time before each call of the object API is carried out. */
+  /** Delay before each API call is carried out. */
   readonly latencyMs: number;
-  /** Changes of one kind that a watch can go back. */
+  /** Maximum number of logged changes per kind. */
   readonly logLength: number;
-  /** Time between the blank lines of a watch. */
+  /** Interval between keep-alive lines of a watch. */
   readonly keepAliveMs: number;
 }
 
-/** Faults that tests order. */
+/** Faults that can be set with `POST /faults`. */
 export enum PlatformFault {
   OK = 'ok',
   DOWN = 'down',
@@ -23,7 +23,7 @@
   FAIL_BEFORE_EFFECT = 'fail_before_effect',
 }
 
-/** What a call does. */
+/** Operation of an API call. */
 export enum Verb {
   CREATE = 'create',
   UPDATE = 'update',
@@ -33,7 +33,7 @@
   WATCH = 'watch',
 }
 
-/** An object. */
+/** A versioned object. */
 export interface PlatformObject {
   readonly kind: string;
   readonly name: string;
@@ -41,10 +41,10 @@
   readonly value: unknown;
 }
 
-/** One change; a deletion has no value. */
+/** A change of an object; a deletion has no value. */
 export type Change = Omit<PlatformObject, 'value'> & {readonly value?: unknown};
 
-/** How often a verb was called on a kind. */
+/** Number of calls of a verb on a kind. */
 export interface CallCount {
   readonly kind: string;
   readonly verb: Verb;
--- a/stand-ins/platform/vm-table.ts
+++ b/stand-ins/platform/vm-table.ts
@@ -1,10 +1,10 @@
-/** The VM list, of which callers see an old state. */
+/** VM list that returns its state with a delay. */
 import type {VmRecord} from '../../src/core/edges/index.js';
 import {VmRole, VmState} from '../../src/core/edges/index.js';
 import {enumField, numberField, textField} from '../lib/fields.js';
 import {LaggedValue} from '../lib/lagged-value.js';
 
-/** VMs as tests register them. */
+/** Stores the registered VMs. */
 export class VmTable {
   private readonly view: LaggedValue<readonly VmRecord[]>;
   private vms: readonly VmRecord[] = [];
@@ -13,7 +13,7 @@
     this.view = new LaggedValue<readonly VmRecord[]>(lagMs, []);
   }
 
-  /** The list as it was one lag ago. */
+  /** The list as of `lagMs` ago. */
   get visible(): readonly VmRecord[] {
     return this.view.get();
   }
--- a/stand-ins/relay/control.ts
+++ b/stand-ins/relay/control.ts
@@ -1,4 +1,4 @@
-/** The relay's control port. */
+/** HTTP control server of a relay. */
 import {numberField} from '../lib/fields.js';
 import type {HttpCall, RunningServer} from '../lib/http-server.js';
 import {
--- a/stand-ins/relay/main.ts
+++ b/stand-ins/relay/main.ts
@@ -1,4 +1,4 @@
-/** Runs a relay as a program. */
+/** Program that runs a relay. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {startControl} from './control.js';
 import {Relay} from './relay.js';
--- a/stand-ins/relay/pipe.ts
+++ b/stand-ins/relay/pipe.ts
@@ -2,20 +2,20 @@
 import type {Socket} from 'node:net';
 import {performance} from 'node:perf_hooks';
 
-/** What tests do to a relay's connections. */
+/** Faults of one direction of a relay. */
 export interface LinkState {
   isCut: boolean;
   delayMs: number;
 }
 
-interface Step {
+interface PendingAction {
   readonly dueMs: number;
   readonly run: () => void;
 }
 
-/** Passes bytes, ends and closes on in order, each after the delay. */
+/** Forwards data, end and close of a socket in order, each after the delay. */
 export class Pipe {
-  private readonly steps: Step[] = [];
+  private readonly pending: PendingAction[] = [];
   private lastDueMs = 0;
   private timer: NodeJS.Timeout | undefined;
 
@@ -28,18 +28,19 @@
     from.on('end', () => this.add(() => to.end()));
     from.on('error', () => {
       from.destroy();
-      // A clean end would make a broken answer look whole.
+      // After a clean end a truncated response could be taken for a complete one.
       this.add(() => to.resetAndDestroy());
     });
     from.on('close', () => this.add(() => to.destroySoon()));
     from.pause();
   }
 
-  /** Stops reading; what was read is held back while the link is cut. */
+  /** Stops reading. Data already read is held back while the link is cut. */
   pause(): void {
     this.from.pause();
   }
 
+  /** Resumes reading and forwards data that was held back. */
   resume(): void {
     this.from.resume();
     this.flush();
@@ -47,20 +48,20 @@
 
   private add(run: () => void): void {
     const dueMs = performance.now() + this.link.delayMs;
-    // A shorter delay must not let later bytes overtake earlier ones.
+    // Later bytes must not overtake earlier ones if the delay gets shorter.
     this.lastDueMs = Math.max(this.lastDueMs, dueMs);
-    this.steps.push({dueMs: this.lastDueMs, run});
+    this.pending.push({dueMs: this.lastDueMs, run});
     this.flush();
   }
 
   private flush(): void {
     while (!this.link.isCut) {
-      const step = this.steps[0];
-      if (step === undefined) return;
-      const waitMs = step.dueMs - performance.now();
+      const next = this.pending[0];
+      if (next === undefined) return;
+      const waitMs = next.dueMs - performance.now();
       if (waitMs > 0) return this.flushLater(waitMs);
-      this.steps.shift();
-      step.run();
+      this.pending.shift();
+      next.run();
     }
   }
 
--- a/stand-ins/relay/relay.ts
+++ b/stand-ins/relay/relay.ts
@@ -5,7 +5,7 @@
 import type {LinkState} from './pipe.js';
 import {Pipe} from './pipe.js';
 
-/** Which way bytes go through a relay. */
+/** Direction of data through a relay. */
 export enum Direction {
   TO_DESTINATION = 'to_destination',
   TO_CALLER = 'to_caller',
@@ -13,7 +13,7 @@
 
 const BOTH_WAYS = [Direction.TO_DESTINATION, Direction.TO_CALLER];
 
-/** Where a relay listens and what it passes bytes to. */
+/** Listening address and destination of a relay. */
 export interface RelayOptions {
   readonly address: string;
   readonly port: number;
@@ -21,19 +21,19 @@
   readonly toPort: number;
 }
 
-interface Pair {
+interface Connection {
   readonly sockets: readonly Socket[];
   readonly pipes: Readonly<Record<Direction, Pipe>>;
 }
 
 /**
- * Passes bytes both ways between a listening port and one destination.
+ * Forwards connections from a listening port to one destination.
  *
  * @example
  * const relay = new Relay({address, port: 0, toHost, toPort});
  */
 export class Relay {
-  private readonly pairs = new Set<Pair>();
+  private readonly connections = new Set<Connection>();
   private readonly links: Readonly<Record<Direction, LinkState>> = {
     [Direction.TO_DESTINATION]: {isCut: false, delayMs: 0},
     [Direction.TO_CALLER]: {isCut: false, delayMs: 0},
@@ -42,15 +42,15 @@
 
   constructor(private readonly options: RelayOptions) {
     const settings = {allowHalfOpen: true, pauseOnConnect: true};
-    this.server = createServer(settings, (near) => this.accept(near));
+    this.server = createServer(settings, (socket) => this.accept(socket));
   }
 
-  /** The port on which the relay listens. */
+  /** Port that the relay listens on. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   listen(): Promise<void> {
     const {address, port} = this.options;
     return new Promise((resolve, reject) => {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Passes nothing on any more, but keeps and accepts connections. */
+  /** Stops forwarding; connections stay open and new ones are accepted. */
   cut(directions: readonly Direction[] = BOTH_WAYS): void {
     for (const direction of directions) {
       this.links[direction].isCut = true;
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Ends cuts and delays; what was held back goes first. */
+  /** Ends cuts and delays and forwards data that was held back. */
   restore(): void {
     for (const direction of BOTH_WAYS) {
       Object.assign(this.links[direction], {isCut: false, delayMs: 0});
@@ -75,13 +75,15 @@
     }
   }
 
-  /** Resets all connections; new ones are treated as before. */
+  /** Resets all open connections; cuts and delays stay in effect. */
   reset(): void {
-    const sockets = [...this.pairs].flatMap((pair) => pair.sockets);
+    const sockets = [...this.connections].flatMap(
+      (connection) => connection.sockets,
+    );
     sockets.forEach((socket) => socket.resetAndDestroy());
   }
 
-  /** Delays what is passed on, each way, in milliseconds. */
+  /** Delays forwarded data in each direction, in milliseconds. */
   delay(delayMs: number): void {
     for (const link of Object.values(this.links)) link.delayMs = delayMs;
   }
@@ -92,30 +94,40 @@
     return new Promise((resolve) => this.server.close(() => resolve()));
   }
 
-  private accept(near: Socket): void {
+  private accept(callerSocket: Socket): void {
     const {toHost: host, toPort: port} = this.options;
-    const far = connect({host, port, allowHalfOpen: true});
+    const destinationSocket = connect({host, port, allowHalfOpen: true});
     const {TO_DESTINATION, TO_CALLER} = Direction;
     const pipes = {
-      [TO_DESTINATION]: new Pipe(near, far, this.links[TO_DESTINATION]),
-      [TO_CALLER]: new Pipe(far, near, this.links[TO_CALLER]),
+      [TO_DESTINATION]: new Pipe(
+        callerSocket,
+        destinationSocket,
+        this.links[TO_DESTINATION],
+      ),
+      [TO_CALLER]: new Pipe(
+        destinationSocket,
+        callerSocket,
+        this.links[TO_CALLER],
+      ),
     };
-    const pair = {sockets: [near, far], pipes};
-    this.pairs.add(pair);
-    near.on('close', () => this.forget(pair));
-    far.on('close', () => this.forget(pair));
+    const connection = {sockets: [callerSocket, destinationSocket], pipes};
+    this.connections.add(connection);
+    callerSocket.on('close', () => this.removeIfClosed(connection));
+    destinationSocket.on('close', () => this.removeIfClosed(connection));
     for (const direction of BOTH_WAYS) {
       if (!this.links[direction].isCut) pipes[direction].resume();
     }
   }
 
-  private forget(pair: Pair): void {
-    if (pair.sockets.every((socket) => socket.destroyed)) {
-      this.pairs.delete(pair);
+  private removeIfClosed(connection: Connection): void {
+    if (connection.sockets.every((socket) => socket.destroyed)) {
+      this.connections.delete(connection);
     }
   }
 
   private pipes(direction: Direction): Pipe[] {
-    return [...this.pairs].map((pair) => pair.pipes[direction]);
+    return [...this.connections].map(
+      (connection) => connection.pipes[direction],
+    );
   }
 }
--- a/stand-ins/service/concurrency-limiter.ts
+++ b/stand-ins/service/concurrency-limiter.ts
@@ -1,9 +1,9 @@
-/** Lets calls run up to a capacity, and none while it is shut. */
+/** Limits concurrent calls; starts none while paused. */
 
-/** The calls of one service. */
+/** Runs up to `capacity` calls at once and queues the rest in order. */
 export class ConcurrencyLimiter {
   private waiting: Array<() => void> = [];
-  private isShut = false;
+  private isPaused = false;
   private runningCount = 0;
 
   constructor(private readonly capacity: number) {}
@@ -12,31 +12,31 @@
     return this.runningCount;
   }
 
-  /** Waits for a free place and runs the call in it. */
+  /** Waits for a free slot and runs the call. */
   async run<T>(call: () => Promise<T>): Promise<T> {
-    await this.enter();
+    await this.acquire();
     try {
       return await call();
     } finally {
       this.runningCount -= 1;
-      this.release();
+      this.startWaiting();
     }
   }
 
-  setPaused(isShut: boolean): void {
-    this.isShut = isShut;
-    this.release();
+  setPaused(isPaused: boolean): void {
+    this.isPaused = isPaused;
+    this.startWaiting();
   }
 
-  private enter(): Promise<void> {
+  private acquire(): Promise<void> {
     return new Promise((resolve) => {
       this.waiting.push(resolve);
-      this.release();
+      this.startWaiting();
     });
   }
 
-  private release(): void {
-    while (!this.isShut && this.runningCount < this.capacity) {
+  private startWaiting(): void {
+    while (!this.isPaused && this.runningCount < this.capacity) {
       const next = this.waiting.shift();
       if (next === undefined) return;
       this.runningCount += 1;
--- a/stand-ins/service/main.ts
+++ b/stand-ins/service/main.ts
@@ -1,4 +1,4 @@
-/** Runs a plain service as a program. */
+/** Program that runs the stand-in of a plain service. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {DEFAULT_SERVICE_OPTIONS, startService} from './server.js';
 
--- a/stand-ins/service/server.ts
+++ b/stand-ins/service/server.ts
@@ -1,4 +1,4 @@
-/** A plain service with bookings that must not repeat, and stock lookups. */
+/** Plain service with bookings, which must not run twice, and stock lookups. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -15,7 +15,7 @@
 import type {ServiceOptions} from './types.js';
 import {ServiceFault} from './types.js';
 
-/** How a service behaves where nothing else is said. */
+/** Default options of a service. */
 export const DEFAULT_SERVICE_OPTIONS: ServiceOptions = {
   address: '127.0.0.1',
   port: 0,
@@ -25,10 +25,10 @@
   exit: () => process.exit(1),
 };
 
-/** Delay multiplier of the slow fault where none is given. */
+/** Default delay multiplier of the `slow` fault. */
 const DEFAULT_SLOW_FACTOR = 100;
 
-/** Stock figures lie below this. */
+/** Upper limit of stock numbers, exclusive. */
 const STOCK_RANGE = 500;
 
 /**
@@ -48,14 +48,14 @@
 }
 
 class PlainService {
-  private readonly log = new ExecutionCounter();
-  private readonly gate: ConcurrencyLimiter;
+  private readonly executions = new ExecutionCounter();
+  private readonly limiter: ConcurrencyLimiter;
   private fault = ServiceFault.NONE;
   private slowFactor = 1;
   private lookups = 0;
 
   constructor(private readonly options: ServiceOptions) {
-    this.gate = new ConcurrencyLimiter(options.capacity);
+    this.limiter = new ConcurrencyLimiter(options.capacity);
   }
 
   async handle(call: HttpCall): Promise<void> {
@@ -67,7 +67,7 @@
       case 'GET /stock':
         return this.lookUp(call, item);
       case 'GET /counts': {
-        const body = {perKey: this.log.perKey, lookups: this.lookups};
+        const body = {perKey: this.executions.perKey, lookups: this.lookups};
         return sendJson({res, status: 200, body});
       }
       case 'GET /health':
@@ -84,7 +84,7 @@
     const key = typeof header === 'string' ? header : '';
     await readJson({req});
     this.checkFailFast();
-    await this.gate.run(async () => {
+    await this.limiter.run(async () => {
       await this.work();
       const execution = await this.execute(key);
       const body = {booking: randomUUID(), key, execution};
@@ -101,18 +101,18 @@
   }
 
   private async count(key: string): Promise<number> {
-    const execution = this.log.add(key);
+    const execution = this.executions.add(key);
     if (this.options.ledgerUrl === '') return execution;
-    const answer = await fetch(`${this.options.ledgerUrl}/executions`, {
+    const res = await fetch(`${this.options.ledgerUrl}/executions`, {
       method: 'POST',
       body: JSON.stringify({key}),
     });
-    return numberField(await answer.json(), 'execution', execution);
+    return numberField(await res.json(), 'execution', execution);
   }
 
   private async lookUp({res}: HttpCall, item: string): Promise<void> {
     this.checkFailFast();
-    await this.gate.run(async () => {
+    await this.limiter.run(async () => {
       await this.work();
       this.lookups += 1;
       const available = Buffer.from(item).reduce((a, b) => a + b, 0);
@@ -123,7 +123,7 @@
 
   private health({res}: HttpCall): void {
     if (this.fault === ServiceFault.STALL) return;
-    const {running} = this.gate;
+    const {running} = this.limiter;
     const body = {running, capacity: this.options.capacity};
     sendJson({res, status: 200, body});
   }
@@ -135,7 +135,7 @@
     this.fault = fault;
     const factor = numberField(body, 'factor', DEFAULT_SLOW_FACTOR);
     this.slowFactor = fault === ServiceFault.SLOW ? factor : 1;
-    this.gate.setPaused(fault === ServiceFault.STALL);
+    this.limiter.setPaused(fault === ServiceFault.STALL);
     sendJson({res, status: 200, body: {kind: fault}});
   }
 
@@ -149,7 +149,7 @@
     throw new HttpError(500, 'failing fast');
   }
 
-  /** Ends the process; a test's own `exit` may leave the call unanswered. */
+  /** Calls `exit` and never resolves, in case `exit` does not end the process. */
   private die(): Promise<never> {
     this.options.exit();
     return new Promise<never>(() => undefined);
--- a/stand-ins/service/types.ts
+++ b/stand-ins/service/types.ts
@@ -1,25 +1,25 @@
-/** Shapes of the plain service. */
+/** Types of the plain service stand-in. */
 
-/** How a service behaves. */
+/** Options of a service. */
 export interface ServiceOptions {
   readonly address: string;
   readonly port: number;
   readonly delayMs: number;
-  /** Calls that run at once; more wait. */
+  /** Maximum number of concurrent calls; further calls are queued. */
   readonly capacity: number;
-  /** Base URL of the ledger; empty to count in the process. */
+  /** Base URL of the ledger; empty to count only in this process. */
   readonly ledgerUrl: string;
   /** Ends the process. */
   readonly exit: () => void;
 }
 
-/** Faults that tests order. */
+/** Faults that can be set with `POST /faults`. */
 export enum ServiceFault {
   NONE = 'none',
   DIE = 'die',
-  /** Exits in the next booking, before it is counted. */
+  /** Exits during the next booking, before it is counted. */
   DIE_BEFORE_EFFECT = 'die_before_effect',
-  /** Exits in the next booking, after it is counted. */
+  /** Exits during the next booking, after it is counted. */
   DIE_AFTER_EFFECT = 'die_after_effect',
   STALL = 'stall',
   SLOW = 'slow',
--- a/stand-ins/site/boot-file.ts
+++ b/stand-ins/site/boot-file.ts
@@ -1,12 +1,12 @@
-/** Settings of an entry, as the platform writes them. */
+/** Settings file of an entry in the format of the platform. */
 
 const CALLERS_PORT = 8_080;
 const READINESS_PORT = 8_081;
 
-/** What differs between entries. */
+/** Settings that differ between entries. */
 export interface BootFileOptions {
   readonly name: string;
-  /** Address on which only this entry listens. */
+  /** Address to listen on; used by no other entry. */
   readonly address: string;
   readonly zone: string;
   /** HOST:PORT of the store. */
@@ -14,7 +14,7 @@
   readonly bounds: Readonly<Record<string, number | boolean>>;
 }
 
-/** Where an entry that was started with `bootFile` serves callers. */
+/** Host and port where an entry with this address accepts callers. */
 export function callersEndpointOf(address: string): {
   host: string;
   port: number;
@@ -22,13 +22,13 @@
   return {host: address, port: CALLERS_PORT};
 }
 
-/** Where such an entry tells whether it is ready, as HOST:PORT. */
+/** Address of the readiness endpoint of such an entry, as HOST:PORT. */
 export function readinessAddressOf(address: string): string {
   return `${address}:${READINESS_PORT}`;
 }
 
 /**
- * The document of a settings file; JSON is YAML too.
+ * Returns the content of a settings file. Written as JSON, it is valid YAML.
  *
  * @example
  * writeFileSync(path, JSON.stringify(bootFile(options)));
--- a/stand-ins/site/clock-fault.ts
+++ b/stand-ins/site/clock-fault.ts
@@ -1,17 +1,17 @@
-/** Loaded before a program, so that its parent can step its wall clock. */
+/** Preloaded module that lets the parent process step the wall clock. */
 
-/** Sent by the parent: from now on the wall clock is off by this much. */
+/** Message from the parent that sets the offset of the wall clock. */
 export interface ClockFault {
   readonly offsetMs: number;
 }
 
-const trueNow = Date.now;
+const systemNow = Date.now;
 let offsetMs = 0;
 
-Date.now = () => trueNow() + offsetMs;
+Date.now = () => systemNow() + offsetMs;
 
 process.on('message', (fault: ClockFault) => {
   offsetMs = fault.offsetMs;
 });
-// The program must not outlive the process that watches it.
+// The program must not outlive its parent.
 process.on('disconnect', () => process.exit(0));
--- a/stand-ins/site/config.ts
+++ b/stand-ins/site/config.ts
@@ -1,17 +1,17 @@
-/** The configuration of a site of stand-ins, as an operator writes it. */
+/** Operator configuration of a site of stand-ins. */
 
 /** Host name of all routes. */
 export const HOST = 'shop.example';
 
-/** The key that callers use where nothing else is said. */
+/** Default API key of callers. */
 export const API_KEY = 'key-of-a';
 
 const ROUTE_TIMEOUT_MS = 3_000;
 
-/** Services of the site. */
+/** Names of the services of the site. */
 export enum SiteService {
   DESK = 'desk',
-  /** Serves nothing until a route is moved to it. */
+  /** Has no route until the configuration moves one to it. */
   SPARE = 'spare',
   WRITERS = 'writers',
 }
@@ -21,22 +21,22 @@
   SAFE = '/stock/1',
   UNSAFE = '/orders/1',
   STREAM = '/drafts/1',
-  /** Moves between services with the configuration. */
+  /** Its service is set by `SiteConfigOptions.movingTo`. */
   MOVING = '/moving/1',
 }
 
-/** What differs between configurations of a site. */
+/** Options of a site configuration. */
 export interface SiteConfigOptions {
   readonly version: number;
   readonly keys?: readonly string[];
-  /** Service of the route that moves. */
+  /** Service of the route `SitePath.MOVING`. */
   readonly movingTo?: SiteService;
-  /** Longest time for a stream, in milliseconds. */
+  /** Timeout of the stream route, in milliseconds. */
   readonly streamTimeoutMs?: number;
 }
 
 /**
- * The configuration of the site.
+ * Returns the configuration of the site.
  *
  * @example
  * store.put({kind: 'config', name: 'main', spec: siteConfig({version: 1})});
--- a/stand-ins/site/parent-commands.ts
+++ b/stand-ins/site/parent-commands.ts
@@ -1,35 +1,35 @@
-/** Messages by which a stand-in process is steered by its parent. */
+/** Messages that let a parent process control a stand-in process. */
 
-/** A step that a parent asks for; the process answers with its number. */
+/** Command from the parent; the reply has the same number. */
 export interface ParentCommand {
   readonly number: number;
   readonly step: string;
   readonly args: unknown;
 }
 
-/** Sent once the step was done. */
+/** Sent after the command was executed. */
 export interface CommandReply {
   readonly number: number;
 }
 
-/** Steps of a stand-in by their names. */
+/** Command handlers of a stand-in by name. */
 export interface CommandHandlers {
   readonly [step: string]: (args: never) => void;
 }
 
 /**
- * Carries out the steps that the parent process asks for.
+ * Executes the commands of the parent process.
  *
  * @example
- * followParent({setMode: (mode: StoreMode) => store.setMode(mode)});
+ * handleParentCommands({setMode: (mode: StoreMode) => store.setMode(mode)});
  */
 export function handleParentCommands(steps: CommandHandlers): void {
   process.on('message', ({number, step, args}: ParentCommand) => {
     const run = steps[step];
-    if (run === undefined) throw new Error(`no such step: ${step}`);
+    if (run === undefined) throw new Error(`unknown command: ${step}`);
     run(args as never);
     process.send?.({number} satisfies CommandReply);
   });
-  // A stand-in must not outlive the process that steers it.
+  // A stand-in must not outlive its parent.
   process.on('disconnect', () => process.exit(0));
 }
--- a/stand-ins/site/store-main.ts
+++ b/stand-ins/site/store-main.ts
@@ -1,4 +1,4 @@
-/** Runs the platform's store as a program that its parent steers. */
+/** Program that runs the platform's store under control of its parent. */
 import {announceReady} from '../lib/program.js';
 import {handleParentCommands} from './parent-commands.js';
 import type {StoreMode} from './store.js';
--- a/stand-ins/site/store.ts
+++ b/stand-ins/site/store.ts
@@ -1,4 +1,4 @@
-/** The platform's store, as an entry sees it: objects, waits, faults. */
+/** Stand-in of the platform's object store, with long polls and faults. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -6,22 +6,22 @@
 import type {RunningServer} from '../lib/http-server.js';
 import {readJson, startServer} from '../lib/http-server.js';
 
-/** How the store answers. */
+/** Availability of the store. */
 export enum StoreMode {
   UP = 'up',
-  /** Refuses each call. */
+  /** Responds 503 to each call. */
   BUSY = 'busy',
-  /** Takes calls and never answers. */
+  /** Accepts calls and never responds. */
   SILENT = 'silent',
   /** Resets each connection. */
   RESET = 'reset',
 }
 
-/** An address of the store, with troubles of its own. */
+/** An address of the store with its own faults. */
 export interface StoreEndpoint {
   readonly url: string;
   mode: StoreMode;
-  /** Time by which each answer is late, in milliseconds. */
+  /** Delay of each response, in milliseconds. */
   delayMs: number;
 }
 
@@ -32,29 +32,29 @@
   readonly spec?: unknown;
 }
 
-interface Waiter {
+interface LongPoll {
   readonly kind: string;
   readonly since: number;
-  answer(): void;
+  respond(): void;
 }
 
-/** One call, with the kind and the name in its path. */
+/** A call with the kind and the name from its path. */
 interface StoreCall {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
   readonly kind: string;
   readonly name: string;
   readonly query: URLSearchParams;
-  readonly door: StoreEndpoint;
+  readonly endpoint: StoreEndpoint;
 }
 
 const FIRST_REVISION = 100;
 
-/** Segments of a path before the kind. */
+/** Index of the kind among the path segments. */
 const KIND_SEGMENT = Path.OBJECTS.split('/').length - 1;
 
 /**
- * Holds objects in memory. Waiting calls end at the first change.
+ * Stores objects in memory. A long poll ends at the first change.
  *
  * @example
  * const store = new StandInStore();
@@ -62,37 +62,37 @@
  * store.put({kind: 'config', name: 'main', spec});
  */
 export class StandInStore {
-  /** Holds at all addresses; a door's own mode holds besides. */
+  /** Applies to all endpoints; if `UP`, the mode of the endpoint applies. */
   mode = StoreMode.UP;
-  /** Time by which each answer is late, in milliseconds. */
+  /** Delay of each response at all endpoints, in milliseconds. */
   delayMs = 0;
-  /** Calls that were answered, refused or left waiting. */
+  /** Number of calls received, whatever their outcome. */
   calls = 0;
   private revision = FIRST_REVISION;
   private oldestRevision = FIRST_REVISION;
   private readonly objects = new Map<string, StoredChange>();
   private readonly changes: StoredChange[] = [];
-  private readonly waiters = new Set<Waiter>();
+  private readonly longPolls = new Set<LongPoll>();
   private readonly servers: RunningServer[] = [];
 
   async start(): Promise<void> {
     await this.openEndpoint();
   }
 
-  /** Opens another address, at which some callers can be turned away. */
+  /** Opens another endpoint, whose faults affect only its own clients. */
   async openEndpoint(): Promise<StoreEndpoint> {
     const server = await startServer({
       address: '127.0.0.1',
       port: 0,
       handle: async ({req, res, segments, query}) => {
         const [kind = '', name = ''] = segments.slice(KIND_SEGMENT);
-        await sleep(this.delayMs + door.delayMs);
-        await this.handle({req, res, kind, name, query, door});
+        await sleep(this.delayMs + endpoint.delayMs);
+        await this.handle({req, res, kind, name, query, endpoint});
       },
     });
-    const door = {url: server.url, mode: StoreMode.UP, delayMs: 0};
+    const endpoint = {url: server.url, mode: StoreMode.UP, delayMs: 0};
     this.servers.push(server);
-    return door;
+    return endpoint;
   }
 
   get url(): string {
@@ -111,15 +111,15 @@
     this.change({...options, spec: undefined});
   }
 
-  /** Forgets which changes led to the present state. */
+  /** Deletes the change history; watches of older revisions get 410. */
   dropHistory(): void {
     this.oldestRevision = this.revision;
     this.changes.length = 0;
   }
 
-  /** Ends all waiting calls as a fault of the store would. */
+  /** Ends all long polls early, as a fault of the store can. */
   endLongPolls(): void {
-    for (const waiter of [...this.waiters]) waiter.answer();
+    for (const longPoll of [...this.longPolls]) longPoll.respond();
   }
 
   private change(options: {kind: string; name: string; spec?: unknown}): void {
@@ -129,12 +129,12 @@
     this.changes.push(change);
     if (options.spec === undefined) this.objects.delete(`${kind}/${name}`);
     else this.objects.set(`${kind}/${name}`, change);
-    for (const waiter of [...this.waiters]) {
-      if (waiter.kind === kind) waiter.answer();
+    for (const longPoll of [...this.longPolls]) {
+      if (longPoll.kind === kind) longPoll.respond();
     }
   }
 
-  /** Names of the objects of a kind. */
+  /** Returns the names of the objects of a kind. */
   namesOf(kind: string): string[] {
     return [...this.objects.values()]
       .filter((object) => object.kind === kind)
@@ -144,14 +144,14 @@
   private async handle(call: StoreCall): Promise<void> {
     const {req, res, kind, query} = call;
     this.calls++;
-    const mode = this.modeAt(call.door);
+    const mode = this.modeAt(call.endpoint);
     if (mode === StoreMode.SILENT) return;
     if (mode === StoreMode.RESET) {
       req.socket.resetAndDestroy();
       return;
     }
     if (mode === StoreMode.BUSY || !req.url?.startsWith(Path.OBJECTS)) {
-      reply(res, 503, {});
+      sendJson(res, 503, {});
       return;
     }
     if (req.method !== 'GET') {
@@ -160,17 +160,17 @@
     }
     const watch = query.get('watch');
     if (watch === null) this.list(res, kind);
-    else this.wait(call);
+    else this.startLongPoll(call);
   }
 
-  private modeAt(door: StoreEndpoint): StoreMode {
-    return this.mode === StoreMode.UP ? door.mode : this.mode;
+  private modeAt(endpoint: StoreEndpoint): StoreMode {
+    return this.mode === StoreMode.UP ? endpoint.mode : this.mode;
   }
 
   private async write({req, res, kind, name}: StoreCall): Promise<void> {
     if (req.method === 'DELETE') {
       this.remove({kind, name});
-      reply(res, 200, {});
+      sendJson(res, 200, {});
       return;
     }
     const object = (await readJson({req})) as {
@@ -178,48 +178,48 @@
       spec: unknown;
     };
     const {metadata, spec} = object;
-    const isKnown = this.objects.has(`${kind}/${metadata.name}`);
-    const isWanted = req.method === 'PUT';
-    if (isKnown !== isWanted) {
-      reply(res, isWanted ? 404 : 409, {});
+    const exists = this.objects.has(`${kind}/${metadata.name}`);
+    const isUpdate = req.method === 'PUT';
+    if (exists !== isUpdate) {
+      sendJson(res, isUpdate ? 404 : 409, {});
       return;
     }
     this.put({kind, name: metadata.name, spec});
-    reply(res, 201, {});
+    sendJson(res, 201, {});
   }
 
   private list(res: ServerResponse, kind: string): void {
     const entries = [...this.objects.values()]
       .filter((object) => object.kind === kind)
       .map(toEntry);
-    reply(res, 200, {entries, has_more: false, at: this.revision});
+    sendJson(res, 200, {entries, has_more: false, at: this.revision});
   }
 
-  private wait({res, kind, query, door}: StoreCall): void {
+  private startLongPoll({res, kind, query, endpoint}: StoreCall): void {
     const since = Number(query.get('watch'));
     if (since < this.oldestRevision) {
-      reply(res, 410, {});
+      sendJson(res, 410, {});
       return;
     }
-    const answer = () => {
+    const respond = () => {
       clearTimeout(timer);
-      this.waiters.delete(waiter);
-      if (this.modeAt(door) === StoreMode.SILENT) return;
+      this.longPolls.delete(longPoll);
+      if (this.modeAt(endpoint) === StoreMode.SILENT) return;
       const events = this.changes
         .filter((change) => change.kind === kind && change.revision > since)
         .map((change) => ({
           object: toEntry(change),
           deleted: change.spec === undefined,
         }));
-      reply(res, 200, {events, at: this.revision});
+      sendJson(res, 200, {events, at: this.revision});
     };
-    const timer = setTimeout(answer, Number(query.get('wait_ms')));
-    const waiter = {kind, since, answer};
-    this.waiters.add(waiter);
-    const hasNews = this.changes.some(
+    const timer = setTimeout(respond, Number(query.get('wait_ms')));
+    const longPoll = {kind, since, respond};
+    this.longPolls.add(longPoll);
+    const hasChanges = this.changes.some(
       (change) => change.kind === kind && change.revision > since,
     );
-    if (hasNews) answer();
+    if (hasChanges) respond();
   }
 }
 
@@ -228,7 +228,7 @@
   return {metadata: {name, revision}, spec: spec ?? null, status: null};
 }
 
-function reply(res: ServerResponse, status: number, body: unknown): void {
+function sendJson(res: ServerResponse, status: number, body: unknown): void {
   if (res.writableEnded) return;
   res.writeHead(status, {'Content-Type': 'application/json'});
   res.end(JSON.stringify(body));
--- a/stand-ins/site/target-fault.ts
+++ b/stand-ins/site/target-fault.ts
@@ -1,40 +1,40 @@
-/** What a target on the platform answers, with each of its faults. */
+/** Responses of a target on the platform, correct or with a fault. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {Header} from '../../platform/names.js';
 
-/** What a target does with its next requests. */
+/** How a target handles its requests. */
 export enum TargetFault {
   NONE = 'none',
-  /** Answers 500 after it ran. */
+  /** Runs and responds 500. */
   ERROR = 'error',
-  /** Says that it has no room. */
+  /** Rejects without running, as a target without a free slot does. */
   REJECT = 'reject',
-  /** Runs, then breaks the connection. */
+  /** Runs and closes the connection without a response. */
   CLOSE_CONNECTION = 'cut',
-  /** Breaks off half an answer that has no length, with a reset. */
+  /** Sends part of a response without `Content-Length` and resets. */
   NO_CONTENT_LENGTH_RESET = 'unframed_reset',
-  /** Answers without a length, whole. */
+  /** Sends a complete response without `Content-Length`. */
   NO_CONTENT_LENGTH = 'unframed',
-  /** Claims a longer body than it sends. */
+  /** Sends less than `Content-Length` and ends the connection. */
   TRUNCATED_BODY = 'short',
-  /** Answers with the id of another request. */
+  /** Responds with the attempt id of another request. */
   WRONG_ATTEMPT_ID = 'foreign',
-  /** Answers without proof that the answer is its own. */
+  /** Responds without `Server-Stamp`, which identifies a target's response. */
   NO_SERVER_STAMP = 'unproven',
-  /** Answers twice on one connection. */
+  /** Sends two responses to one request. */
   DUPLICATE_RESPONSE = 'twice',
-  /** Runs and never answers. */
+  /** Runs and never responds. */
   HANG = 'hang',
-  /** Sends a head without end. */
+  /** Sends a response header that never ends. */
   ENDLESS_HEAD = 'endless_head',
-  /** Sends a body without end, whatever it is asked. */
+  /** Sends a response body that never ends. */
   ENDLESS_BODY = 'endless_body',
-  /** The same as a failure of its own. */
+  /** Sends a 500 response whose body never ends. */
   ENDLESS_FAILURE = 'endless_failure',
-  /** Sends bytes that are no answer, without end. */
+  /** Sends bytes that are not HTTP and never end. */
   ENDLESS_INVALID = 'endless_noise',
-  /** Breaks the connections of what runs, and stays up. */
+  /** Closes the connection of each stream; the target stays up. */
   DROP_STREAMS = 'drop_runs',
 }
 
@@ -45,19 +45,19 @@
   TargetFault.ENDLESS_INVALID,
 ]);
 
-/** Bytes that an endless answer sends at a time. */
-const PIECE_BYTES = 65_536;
+/** Bytes per write of an endless response. */
+const CHUNK_BYTES = 65_536;
 
-/** Whether a fault sends bytes until the caller closes. */
+/** Returns whether a fault sends bytes until the client closes. */
 export function isEndless(fault: TargetFault): boolean {
   return ENDLESS.has(fault);
 }
 
 /**
- * Answers a plain call, soundly or with a fault.
+ * Responds to a plain call, correctly or with a fault.
  *
  * @example
- * answerWith({req, res, fault: Fault.SHORT, id: 'i-1'});
+ * sendResponse({req, res, fault: TargetFault.TRUNCATED_BODY, id: 'i-1'});
  */
 export function sendResponse(options: {
   req: IncomingMessage;
@@ -71,7 +71,7 @@
   const text = `answer to ${attemptId}`;
   const head = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s-${targetId}\r\n`;
   const {socket} = req;
-  const sized = (id: string) =>
+  const withContentLength = (id: string) =>
     `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Stamp: s\r\n` +
     `Content-Length: ${text.length}\r\n\r\n${text}`;
   switch (fault) {
@@ -99,15 +99,15 @@
       );
       break;
     case TargetFault.WRONG_ATTEMPT_ID:
-      socket.write(sized('another'));
+      socket.write(withContentLength('another'));
       break;
     case TargetFault.NO_SERVER_STAMP:
       res.writeHead(200, {[Header.ATTEMPT_ID]: attemptId});
       res.end(text);
       break;
     case TargetFault.DUPLICATE_RESPONSE:
-      socket.write(sized(attemptId));
-      setTimeout(() => socket.write(sized(attemptId)), 20);
+      socket.write(withContentLength(attemptId));
+      setTimeout(() => socket.write(withContentLength(attemptId)), 20);
       break;
     case TargetFault.HANG:
       break;
@@ -121,32 +121,32 @@
 }
 
 /**
- * Writes as fast as it is read, until the caller closes.
+ * Sends bytes as fast as the client reads, until it closes.
  *
  * @example
- * sendEndless({req, fault: Fault.ENDLESS_HEAD, onBytes: count});
+ * sendEndlessResponse({req, fault: TargetFault.ENDLESS_HEAD, onBytes: count});
  */
 export function sendEndlessResponse(options: {
   req: IncomingMessage;
   fault: TargetFault;
-  /** Told of the bytes of each write. */
+  /** Called with the size of each write. */
   onBytes: (bytes: number) => void;
 }): void {
   const {req, fault, onBytes} = options;
   const {socket, headers} = req;
   const attemptId = String(headers[Header.ATTEMPT_ID] ?? '');
-  const proof = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s\r\n`;
-  const starts: Partial<Record<TargetFault, string>> = {
-    [TargetFault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${proof}X: `,
-    [TargetFault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${proof}\r\n`,
-    [TargetFault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${proof}\r\n`,
+  const requiredHeaders = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s\r\n`;
+  const heads: Partial<Record<TargetFault, string>> = {
+    [TargetFault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${requiredHeaders}X: `,
+    [TargetFault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${requiredHeaders}\r\n`,
+    [TargetFault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${requiredHeaders}\r\n`,
   };
-  socket.write(starts[fault] ?? '');
-  const piece = Buffer.alloc(PIECE_BYTES, 'x');
-  const step = () => {
+  socket.write(heads[fault] ?? '');
+  const chunk = Buffer.alloc(CHUNK_BYTES, 'x');
+  const writeChunk = () => {
     if (socket.destroyed) return;
-    onBytes(piece.length);
-    socket.write(piece, () => setImmediate(step));
+    onBytes(chunk.length);
+    socket.write(chunk, () => setImmediate(writeChunk));
   };
-  step();
+  writeChunk();
 }
--- a/stand-ins/site/target-main.ts
+++ b/stand-ins/site/target-main.ts
@@ -1,10 +1,10 @@
-/** Runs a target as a program that its parent steers and hears from. */
+/** Program that runs a target, controlled by its parent and reporting to it. */
 import {announceReady, readFlags} from '../lib/program.js';
 import {handleParentCommands} from './parent-commands.js';
 import type {TargetFault} from './target-fault.js';
 import {RemoteCopyNetwork, StandInTarget} from './target.js';
 
-/** What a target tells its parent; times are Unix milliseconds. */
+/** Message to the parent; times are Unix times in milliseconds. */
 export type TargetReport =
   | {
       readonly type: 'arrived';
@@ -25,7 +25,7 @@
   switches: [],
 });
 
-const report = (event: TargetReport): void => void process.send?.(event);
+const sendReport = (event: TargetReport): void => void process.send?.(event);
 
 const target = new StandInTarget({
   id: flags.text('id', 'i-1'),
@@ -38,9 +38,9 @@
   workMs: flags.number('work-ms', 0),
   observer: {
     onArrived: (arrival) =>
-      report({type: 'arrived', atMs: Date.now(), ...arrival}),
+      sendReport({type: 'arrived', atMs: Date.now(), ...arrival}),
     onEnded: (attemptId) =>
-      report({type: 'ended', atMs: Date.now(), attemptId}),
+      sendReport({type: 'ended', atMs: Date.now(), attemptId}),
   },
 });
 await target.start();
@@ -48,8 +48,8 @@
   setFault: (fault: TargetFault) => {
     target.fault = fault;
   },
-  setDark: (isDark: boolean) => {
-    target.isUnresponsive = isDark;
+  setDark: (isUnresponsive: boolean) => {
+    target.isUnresponsive = isUnresponsive;
   },
 });
 announceReady({port: Number(target.listenAddress.split(':')[1])});
--- a/stand-ins/site/target.ts
+++ b/stand-ins/site/target.ts
@@ -1,4 +1,4 @@
-/** A target on the platform: counts what runs and fails as it is told. */
+/** Stand-in of a target on the platform, with run records and faults. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
@@ -13,39 +13,39 @@
   sendEndlessResponse,
 } from './target-fault.js';
 
-/** Longest wait for a target that takes a copy, in milliseconds. */
+/** Timeout of storing a KV cache copy at another target, in milliseconds. */
 const COPY_TIMEOUT_MS = 1_000;
 
-/** A request that a target worked on. */
+/** A request that a target ran. */
 export interface RunRecord {
   readonly attemptId: string;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
-  /** Prompts that were read anew, as no copy was there. */
+  /** Whether the whole prompt was prefilled, as no KV cache copy was used. */
   readonly hasFullPrefill: boolean;
-  /** On the clock of the process, in milliseconds. */
+  /** Arrival on the monotonic clock of the process, in milliseconds. */
   readonly atMs: number;
 }
 
-/** How an engine writes its streams. */
+/** Number of events per stream and their timing in milliseconds. */
 export interface StreamPace {
   readonly events: number;
   readonly firstMs: number;
   readonly gapMs: number;
 }
 
-/** Header in which callers repeat the key that they use, for checks. */
+/** Header with the API key of the caller, used only in checks. */
 export const KEY_HEADER = 'used-key';
 
-/** Which requests end the target that runs them. */
+/** Selects the requests that crash the target. */
 export interface CrashTrigger {
-  /** Part of their bodies. */
+  /** Text that their bodies contain. */
   readonly marker: string;
-  /** Events of a stream that are written before; a call writes nothing. */
+  /** Stream events sent before the crash; plain calls send nothing. */
   readonly afterEvents: number;
 }
 
-/** A time at which a target was ended by a request. */
+/** A crash of the target by a request. */
 export interface CrashRecord {
   readonly attemptId: string;
   readonly body: string;
@@ -58,16 +58,16 @@
 
 const HEALTH_PATH = '/healthz';
 
-/** Path at which a target of another process takes a copy of a run. */
-const TAKE_COPY = '/stand-in/copies';
+/** Path where targets of other processes store KV cache copies. */
+const COPIES_PATH = '/stand-in/copies';
 
-/** How a target hands copies of its runs to other targets. */
+/** Stores copies of KV caches at other targets. */
 export interface CopyNetwork {
-  /** Tells whether the target at an address now holds the copy. */
+  /** Resolves to whether the target at the address stored the copy. */
   storeCopy(address: string, copyId: string): Promise<boolean>;
 }
 
-/** Targets of one process; copies of runs travel between them. */
+/** Copies KV caches between targets of one process. */
 export class LocalCopyNetwork implements CopyNetwork {
   readonly targetsByAddress = new Map<string, StandInTarget>();
 
@@ -80,24 +80,24 @@
   }
 }
 
-/** Hands copies to targets of other processes. */
+/** Copies KV caches to targets of other processes over HTTP. */
 export class RemoteCopyNetwork implements CopyNetwork {
   async storeCopy(address: string, copyId: string): Promise<boolean> {
-    const url = `http://${address}${TAKE_COPY}/${copyId}`;
+    const url = `http://${address}${COPIES_PATH}/${copyId}`;
     const options = {method: 'PUT', headersTimeout: COPY_TIMEOUT_MS} as const;
     try {
       const {statusCode, body} = await request(url, options);
       await body.dump();
       return statusCode === 200;
     } catch {
-      // The other target cannot be reached, so it holds nothing.
+      // The other target is unreachable, so the copy is not stored.
       return false;
     }
   }
 }
 
 /**
- * What a target at an address says of itself in the store.
+ * Returns the registration of a target in the store.
  *
  * @example
  * const spec = registrationOf({service: 'desk', zone: 'a', address});
@@ -107,7 +107,7 @@
   zone: string;
   address: string;
   state?: string;
-  /** Start of the target, as a Unix time in milliseconds. */
+  /** Start of the incarnation as a Unix time in milliseconds. */
   bornMs?: number;
 }) {
   const {service, zone, address, state = 'ready'} = options;
@@ -125,11 +125,11 @@
   };
 }
 
-/** Told of what a target does. */
+/** Callbacks for the requests of a target. */
 export interface TargetObserver {
-  /** A request arrived; `hasRun` is false where it was rejected. */
+  /** A request arrived; `hasRun` is false if it was rejected. */
   onArrived(arrival: {attemptId: string; hasRun: boolean; key: string}): void;
-  /** Work on a request has ended, for whatever reason. */
+  /** The run of a request ended, for whatever reason. */
   onEnded(attemptId: string): void;
 }
 
@@ -139,7 +139,7 @@
 };
 
 /**
- * One target on a loopback port.
+ * A target on a loopback port.
  *
  * @example
  * const target = new StandInTarget({id: 'i-1', copyNetwork});
@@ -147,24 +147,24 @@
  */
 export class StandInTarget {
   readonly runs: RunRecord[] = [];
-  /** Runs whose callers went before their end. */
+  /** Number of streams whose connection closed before their end. */
   cancelled = 0;
   fault = TargetFault.NONE;
-  /** Start of its life, as it tells of it. */
+  /** Start of its incarnation, as reported to entries. */
   bornMs = DEFAULT_BORN_MS;
-  /** Takes connections and bytes, and answers nothing. */
+  /** Accepts connections and requests but never responds. */
   isUnresponsive = false;
-  /** Requests that end this target. */
+  /** Requests that crash this target. */
   crashOn?: CrashTrigger;
-  /** Times at which a request ended this target, over all its lives. */
+  /** Crashes caused by requests, over all incarnations. */
   readonly crashes: CrashRecord[] = [];
-  /** Told when a request has ended the target. */
+  /** Called after a request crashed the target. */
   onCrash: () => void = () => undefined;
-  /** Bytes that were sent of answers without end. */
+  /** Bytes sent in endless responses. */
   endlessBytes = 0;
-  /** Ids of copies that were freed. */
+  /** Ids of KV cache copies that entries released. */
   readonly releasedCopies: string[] = [];
-  /** Ids of runs of which a copy is kept here. */
+  /** Ids of the KV cache copies stored here. */
   readonly copies = new Set<string>();
   readonly id: string;
   private readonly pace: StreamPace;
@@ -179,7 +179,7 @@
     id: string;
     copyNetwork: CopyNetwork;
     pace?: StreamPace;
-    /** Time for a plain answer. */
+    /** Duration of a plain call, in milliseconds. */
     workMs?: number;
     observer?: TargetObserver;
   }) {
@@ -203,7 +203,7 @@
     this.address = `127.0.0.1:${port}`;
   }
 
-  /** Starts anew where it was, knowing nothing of its earlier life. */
+  /** Restarts on the same port as a new incarnation without stored copies. */
   async restart(): Promise<void> {
     if (this.server.listening) return;
     this.bornMs++;
@@ -214,18 +214,18 @@
     });
   }
 
-  /** Where the target listens, as HOST:PORT. */
+  /** Listening address as HOST:PORT. */
   get listenAddress(): string {
     return this.address;
   }
 
-  /** What the target says of itself in the store. */
+  /** Returns the registration of this target in the store. */
   registration(options: {service: string; zone: string; state?: string}) {
     const {address, bornMs} = this;
     return registrationOf({...options, address, bornMs});
   }
 
-  /** Dies: connections break and new ones are refused. */
+  /** Closes all connections and refuses new ones. */
   crash(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -244,11 +244,11 @@
       return;
     }
     if (req.url === (Path.COPY_RUN as string)) {
-      await this.copyRun(res, body);
+      await this.copyKvCache(res, body);
       return;
     }
-    if (req.url?.startsWith(TAKE_COPY) === true) {
-      this.copies.add(req.url.slice(TAKE_COPY.length + 1));
+    if (req.url?.startsWith(COPIES_PATH) === true) {
+      this.copies.add(req.url.slice(COPIES_PATH.length + 1));
       res.end();
       return;
     }
@@ -263,7 +263,7 @@
       return;
     }
     if (isEndless(this.fault)) {
-      this.note({req, res, body, isReadAnew: true});
+      this.recordRun({req, res, body, hasFullPrefill: true});
       sendEndlessResponse({
         req,
         fault: this.fault,
@@ -276,14 +276,14 @@
       return;
     }
     if (this.pace.events > 0) this.stream(req, res, body);
-    else this.answer(req, res, body);
+    else this.respond(req, res, body);
   }
 
-  private isEndedBy(body: string): boolean {
+  private triggersCrash(body: string): boolean {
     return this.crashOn !== undefined && body.includes(this.crashOn.marker);
   }
 
-  private crashUnder(req: IncomingMessage, body: string): void {
+  private crashOnRequest(req: IncomingMessage, body: string): void {
     if (!this.server.listening) return;
     const {attemptId} = arrivalOf(req);
     this.crashes.push({attemptId, body, atMs: performance.now()});
@@ -291,11 +291,11 @@
     this.onCrash();
   }
 
-  private async copyRun(res: ServerResponse, body: string): Promise<void> {
+  private async copyKvCache(res: ServerResponse, body: string): Promise<void> {
     const {id, target} = JSON.parse(body) as {id: string; target: string};
     const handle = `copy-of-${id}`;
-    const isHeld = await this.copyNetwork.storeCopy(target, handle);
-    if (isHeld) res.end(JSON.stringify({handle, created: 1}));
+    const isStored = await this.copyNetwork.storeCopy(target, handle);
+    if (isStored) res.end(JSON.stringify({handle, created: 1}));
     else res.writeHead(503).end('{}');
   }
 
@@ -304,13 +304,13 @@
     res.writeHead(503, {'Not-Executed': '1'}).end();
   }
 
-  private note(options: {
+  private recordRun(options: {
     req: IncomingMessage;
     res: ServerResponse;
     body: string;
-    isReadAnew: boolean;
+    hasFullPrefill: boolean;
   }): void {
-    const {req, res, body, isReadAnew} = options;
+    const {req, res, body, hasFullPrefill} = options;
     const {attemptId, key} = arrivalOf(req);
     const {headers} = req;
     const atMs = performance.now();
@@ -318,17 +318,17 @@
       attemptId,
       headers,
       body,
-      hasFullPrefill: isReadAnew,
+      hasFullPrefill,
       atMs,
     });
     this.observer.onArrived({attemptId, key, hasRun: true});
     res.on('close', () => this.observer.onEnded(attemptId));
   }
 
-  private answer(req: IncomingMessage, res: ServerResponse, body: string) {
-    this.note({req, res, body, isReadAnew: true});
+  private respond(req: IncomingMessage, res: ServerResponse, body: string) {
+    this.recordRun({req, res, body, hasFullPrefill: true});
     setTimeout(() => {
-      if (this.isEndedBy(body)) this.crashUnder(req, body);
+      if (this.triggersCrash(body)) this.crashOnRequest(req, body);
       else sendResponse({req, res, fault: this.fault, id: this.id});
     }, this.workMs);
   }
@@ -342,7 +342,7 @@
       this.reject(req, res);
       return;
     }
-    this.note({req, res, body, isReadAnew: !usesCopy});
+    this.recordRun({req, res, body, hasFullPrefill: !usesCopy});
     if (this.fault === TargetFault.DROP_STREAMS) {
       req.socket.destroy();
       return;
@@ -355,10 +355,10 @@
       if (!res.writableFinished) this.cancelled++;
     });
     let written = 0;
-    const step = () => {
+    const writeEvent = () => {
       if (this.isUnresponsive) return;
-      if (this.isEndedBy(body) && written >= this.crashOn!.afterEvents) {
-        this.crashUnder(req, body);
+      if (this.triggersCrash(body) && written >= this.crashOn!.afterEvents) {
+        this.crashOnRequest(req, body);
         return;
       }
       written++;
@@ -374,9 +374,9 @@
         void this.copyNetwork.storeCopy(copyTo, attemptId);
       }
       if (next++ >= this.pace.events) res.end();
-      else timer = setTimeout(step, this.pace.gapMs);
+      else timer = setTimeout(writeEvent, this.pace.gapMs);
     };
-    timer = setTimeout(step, usesCopy ? 1 : this.pace.firstMs);
+    timer = setTimeout(writeEvent, usesCopy ? 1 : this.pace.firstMs);
   }
 }
 
