--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -40,7 +40,7 @@
 });
 
 describe('engine', () => {
-  it('runs the waiting request of the highest priority first', async () => {
+  it('runs the waiting request with the highest priority first', async () => {
     const url = await openEngine({capacity: 1});
     const driver = new HttpEngineDriver({baseUrl: url});
     await post(`${url}/faults`, {kind: 'stall'});
@@ -68,7 +68,7 @@
     expect(second.requests.map((count) => count.produced)).toEqual([32, 16]);
   });
 
-  it('answers 500 while it fails fast', async () => {
+  it('responds with an error under the fail_fast fault', async () => {
     const url = await openEngine({});
     await post(`${url}/faults`, {kind: 'fail_fast'});
     const driver = new HttpEngineDriver({baseUrl: url});
@@ -88,8 +88,8 @@
   {earlyEnd: EarlyEnd.NO_FINISH_REASON, finishReason: undefined},
 ];
 
-describe('an engine that ends early after a resume', () => {
-  it.each(EARLY_ENDS)('says $earlyEnd', async ({earlyEnd, finishReason}) => {
+describe('an engine that ends resumed generations early', () => {
+  it.each(EARLY_ENDS)('reports $earlyEnd', async ({earlyEnd, finishReason}) => {
     const url = await openEngine({earlyEnd});
     const driver = new HttpEngineDriver({baseUrl: url});
     const spec = specOf({});
@@ -123,10 +123,10 @@
     expect((await other).err?.kind).toBe(DriverErrorKind.LOST);
   });
 
-  it('dies on order', async () => {
+  it('exits on the die fault', async () => {
     const program = await openProgram([]);
-    const answer = post(`${program.url}/faults`, {kind: 'die'});
-    await expect(answer).rejects.toThrow();
+    const res = post(`${program.url}/faults`, {kind: 'die'});
+    await expect(res).rejects.toThrow();
     expect(await program.exited).toBe(1);
   });
 });
--- a/test/stand-ins/platform.test.ts
+++ b/test/stand-ins/platform.test.ts
@@ -36,7 +36,7 @@
     });
   });
 
-  it('lets one of many racing creates win', async () => {
+  it('accepts exactly one of many concurrent creates', async () => {
     const url = `${platform.url}/objects/claim/a`;
     const creates = Array.from({length: 20}, (_, value) => post(url, {value}));
     const statuses = (await Promise.all(creates)).map((res) => res.status);
@@ -44,7 +44,7 @@
     expect(statuses.filter((status) => status === 409)).toHaveLength(19);
   });
 
-  it.each(MALFORMED)('refuses $name', async ({method, body, status}) => {
+  it.each(MALFORMED)('rejects $name', async ({method, body, status}) => {
     const url = `${platform.url}/objects/claim/a`;
     expect((await fetch(url, {method, body})).status).toBe(status);
   });
--- a/test/stand-ins/relay.test.ts
+++ b/test/stand-ins/relay.test.ts
@@ -47,11 +47,11 @@
 }
 
 describe('Relay', () => {
-  it('passes bytes both ways', async () => {
+  it('forwards data in both directions', async () => {
     expect((await book()).status).toBe(201);
   });
 
-  it('passes nothing while it is cut, and what was held back later', async () => {
+  it('holds data back while cut and forwards it once restored', async () => {
     await book();
     await post(`${control.url}/cut`);
     const silent = book(AbortSignal.timeout(QUIET_MS));
@@ -62,7 +62,7 @@
     expect((await held).status).toBe(201);
   });
 
-  it('resets connections', async () => {
+  it('resets open connections', async () => {
     await post(`${service.url}/faults`, {kind: 'stall'});
     const pending = book();
     const rejected = expect(pending).rejects.toThrow();
@@ -83,13 +83,13 @@
     expect((await held).status).toBe(201);
   });
 
-  it('delays each way and keeps the order of bytes', async () => {
+  it('delays each direction and keeps the order of bytes', async () => {
     await post(`${control.url}/delay`, {ms: 5});
     const item = 'x'.repeat(5_000);
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [1, 2, 3].map((n) => getJson(`${url}/stock/${item}${n}`)),
     );
     const items = [1, 2, 3].map((n) => ({item: `${item}${n}`}));
-    expect(answers).toMatchObject(items);
+    expect(responses).toMatchObject(items);
   });
 });
--- a/test/stand-ins/service.test.ts
+++ b/test/stand-ins/service.test.ts
@@ -41,16 +41,19 @@
 ];
 
 describe('service', () => {
-  it.each(CRASHES)('keeps its counts over $kind', async ({kind, perKey}) => {
-    expect(await (await book('a')).json()).toMatchObject({execution: 1});
-    expect(await (await book('a')).json()).toMatchObject({execution: 2});
-    await post(`${service.url}/faults`, {kind});
-    await expect(book('b')).rejects.toThrow();
-    expect(await service.exited).toBe(1);
-    expect(await getJson(`${ledger.url}/counts`)).toEqual({perKey});
-  });
+  it.each(CRASHES)(
+    'counts executions correctly across $kind',
+    async ({kind, perKey}) => {
+      expect(await (await book('a')).json()).toMatchObject({execution: 1});
+      expect(await (await book('a')).json()).toMatchObject({execution: 2});
+      await post(`${service.url}/faults`, {kind});
+      await expect(book('b')).rejects.toThrow();
+      expect(await service.exited).toBe(1);
+      expect(await getJson(`${ledger.url}/counts`)).toEqual({perKey});
+    },
+  );
 
-  it('holds calls while it is stalled and runs them later', async () => {
+  it('queues calls while stalled and runs them afterwards', async () => {
     await post(`${service.url}/faults`, {kind: 'stall'});
     const held = book('a');
     await sleep(QUIET_MS);
--- a/test/stand-ins/site-store.test.ts
+++ b/test/stand-ins/site-store.test.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the platform's store under broken calls. */
+/** Tests that the stand-in of the platform's store survives aborted writes. */
 import {once} from 'node:events';
 import {connect} from 'node:net';
 
@@ -19,7 +19,7 @@
 afterEach(() => store.stop());
 
 it.each(['POST', 'PUT'])(
-  'outlives a %s that breaks off midway',
+  'survives a %s whose connection is reset within the body',
   async (method) => {
     const {hostname, port} = new URL(store.url);
     const socket = connect({host: hostname, port: Number(port)});
@@ -28,7 +28,7 @@
     socket.write(`${head}Content-Length: 100\r\n\r\n{"metadata"`);
     await new Promise((resolve) => setTimeout(resolve, 50));
     socket.resetAndDestroy();
-    // A write that nobody awaits would end the process by now.
+    // An unhandled rejection of the write would have ended the process by now.
     await new Promise((resolve) => setTimeout(resolve, 50));
     const {url} = store;
     const source = new StoreSource({
