--- a/bench/lib/arrivals.ts
+++ b/bench/lib/arrivals.ts
@@ -1,10 +1,10 @@
-/** Arrival processes that repeat with their seed. */
+/** Arrival processes, reproducible by their seed. */
 import type {RandomSource} from '../../src/core/clock/index.js';
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * Times of a Poisson process, in milliseconds from its start.
+ * Returns the arrival times of a Poisson process, in milliseconds from its start.
  *
  * @example
  * poissonArrivals({perSecond: 50, forMs: 3_000, random});
@@ -26,7 +26,7 @@
 }
 
 /**
- * Times of arrivals that come in bursts of a size at the same mean rate.
+ * Returns arrival times in bursts of `size` at a mean rate of `perSecond`.
  *
  * @example
  * burstArrivals({perSecond: 50, forMs: 3_000, size: 10, random});
@@ -42,12 +42,12 @@
   return starts.flatMap((atMs) => Array.from({length: size}, () => atMs));
 }
 
-/** An exponentially distributed time with this mean. */
+/** Returns an exponentially distributed time in milliseconds. */
 export function exponential(meanMs: number, random: RandomSource): number {
   return -meanMs * Math.log(1 - random.float());
 }
 
-/** Calls `run` at each time of the list, without waiting for its work. */
+/** Calls `run` at each time, even if earlier calls have not ended. */
 export async function runAtTimes(options: {
   timesMs: readonly number[];
   run: (index: number) => Promise<void>;
@@ -60,7 +60,7 @@
   await Promise.all(work);
 }
 
-/** Waits; at once where the time is over. */
+/** Waits `ms` milliseconds, or not at all if negative. */
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, Math.max(0, ms)));
 }
--- a/bench/lib/load-run.ts
+++ b/bench/lib/load-run.ts
@@ -1,30 +1,30 @@
-/** Sends generations at given times and notes what becomes of each. */
+/** Sends generation requests at given times and records their results. */
 import type {Ask} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import {runAtTimes} from './arrivals.js';
 
-/** What became of one request. */
+/** Result of one request; times in milliseconds. */
 export interface RequestResult {
-  /** Index of the caller that sent it. */
+  /** Index of the request in the load. */
   readonly index: number;
   readonly durationMs: number;
-  /** From the start of the load. */
+  /** Time since the start of the load. */
   readonly endedAtMs: number;
-  /** Whole, and by its deadline. */
+  /** Whether the output was complete by the deadline. */
   readonly metDeadline: boolean;
-  /** Refused with a problem document. */
+  /** Whether the response was a problem document. */
   readonly refused: boolean;
-  /** Time that the refusal names; 0 for none. */
+  /** Retry delay of the refusal; 0 if absent. */
   readonly retryAfterMs: number;
 }
 
-/** A load to send. */
+/** Options of a load. */
 export interface LoadOptions {
   readonly timesMs: readonly number[];
-  /** Where the request of an index goes. */
+  /** Returns the URL for the request with an index. */
   readonly urlOf: (index: number) => string;
   readonly createRequest: (index: number) => Ask;
-  /** After this the caller goes away. */
+  /** Time after which the caller aborts the request. */
   readonly deadlineMs: number;
 }
 
@@ -32,7 +32,7 @@
  * Sends the load and waits for the end of every request.
  *
  * @example
- * const ends = await runLoad({timesMs, urlOf, askOf, deadlineMs: 1_000});
+ * const ends = await runLoad({timesMs, urlOf, createRequest, deadlineMs: 1_000});
  */
 export async function runLoad(options: LoadOptions): Promise<RequestResult[]> {
   const ends: RequestResult[] = [];
@@ -47,7 +47,7 @@
   return ends;
 }
 
-/** Sends one request and reads its answer until its deadline. */
+/** Sends one request and reads the response until the deadline. */
 export async function sendOne(
   options: Omit<LoadOptions, 'timesMs'>,
   index: number,
@@ -55,20 +55,20 @@
   const {urlOf, createRequest: askOf, deadlineMs} = options;
   const transcript = createTranscript();
   const startedMs = performance.now();
-  const gone = new AbortController();
-  const timer = setTimeout(() => gone.abort(), deadlineMs);
+  const abortController = new AbortController();
+  const timer = setTimeout(() => abortController.abort(), deadlineMs);
   const ask = {...askOf(index), deadlineMs};
-  const {signal} = gone;
+  const {signal} = abortController;
   const url = urlOf(index);
   await readStream({url, ask, transcript, signal}).catch(() => undefined);
   clearTimeout(timer);
   const tookMs = performance.now() - startedMs;
-  const whole = transcript.ends === 1 && transcript.finishReason !== '';
+  const isComplete = transcript.ends === 1 && transcript.finishReason !== '';
   const problem = transcript.errors[0] as {retryAfterMs?: number} | undefined;
   return {
     index,
     durationMs: tookMs,
-    metDeadline: whole && tookMs <= deadlineMs,
+    metDeadline: isComplete && tookMs <= deadlineMs,
     refused: problem !== undefined,
     retryAfterMs: problem?.retryAfterMs ?? 0,
   };
--- a/bench/lib/plot.ts
+++ b/bench/lib/plot.ts
@@ -1,4 +1,4 @@
-/** Draws line plots as SVG and puts them into one report page. */
+/** Renders line plots as SVG and writes them into a report page. */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 
--- a/bench/lib/process-usage.ts
+++ b/bench/lib/process-usage.ts
@@ -1,14 +1,14 @@
-/** What a started process has used, as the kernel counts it. */
+/** Processor time and memory of a process, read from `/proc`. */
 import {readFileSync} from 'node:fs';
 
-/** The kernel counts processor time in hundredths of a second. */
+/** Microseconds per clock tick (100 ticks per second). */
 const US_PER_TICK = 10_000;
 
-/** Places of user and system time after the program's name. */
+/** Indexes of utime and stime in `/proc/PID/stat`, after the program name. */
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** Processor time and resident memory of one process. */
+/** Processor time and resident memory of a process. */
 export interface ProcessUsage {
   readonly cpuUs: number;
   readonly residentKb: number;
--- a/bench/lib/report.ts
+++ b/bench/lib/report.ts
@@ -1,4 +1,4 @@
-/** Writes results as a table for people or as JSON for programs. */
+/** Renders results as text tables or as JSON. */
 import type {
   BoundResult,
   CaseResult,
@@ -8,7 +8,7 @@
 
 const DECIMALS = 3;
 
-/** A result with what identifies its run. */
+/** Result of a run with the name, seed and commit that identify it. */
 export interface Report extends ExperimentResult {
   readonly experiment: string;
   readonly seed: number;
@@ -16,7 +16,7 @@
 }
 
 /**
- * Renders a report for people.
+ * Renders a report as text tables.
  *
  * @example
  * process.stdout.write(renderReport(report));
@@ -38,7 +38,7 @@
   return `${sections.filter((text) => text !== '').join('\n\n')}\n`;
 }
 
-/** Renders a report for programs: one line of JSON. */
+/** Renders a report as one line of JSON, without plots. */
 export function renderJson(report: Report): string {
   const {experiment, seed, commit, cases, ratios, bounds} = report;
   const shape = {experiment, seed, commit, cases, ratios, bounds};
--- a/bench/lib/samples.ts
+++ b/bench/lib/samples.ts
@@ -1,4 +1,4 @@
-/** Collects samples and gives their quantiles. */
+/** Collects samples and computes their quantiles. */
 import {build} from 'hdr-histogram-js';
 
 import type {CaseResult} from './types.js';
@@ -8,7 +8,7 @@
 const DIGITS = 3;
 
 /**
- * Samples of one quantity, kept to a thousandth of its unit.
+ * Samples of one quantity, with a resolution of a thousandth of its unit.
  *
  * @example
  * const gaps = new Samples({name: 'token gap', unit: 'ms'});
@@ -31,7 +31,7 @@
     this.histogram.recordValue(Math.min(scaled, HIGHEST));
   }
 
-  /** The value below which `percent` of the samples lie. */
+  /** Returns the value below which `percent` of the samples lie. */
   percentile(percent: number): number {
     return this.histogram.getValueAtPercentile(percent) / SCALE;
   }
--- a/bench/lib/types.ts
+++ b/bench/lib/types.ts
@@ -1,4 +1,4 @@
-/** Shapes that every experiment shares. */
+/** Types shared by all experiments. */
 
 /** Quantiles of one measured quantity. */
 export interface CaseResult {
@@ -11,13 +11,13 @@
   readonly max: number;
 }
 
-/** One figure over another, both of the same run. */
+/** Ratio of two figures of the same run. */
 export interface RatioResult {
   readonly name: string;
   readonly value: number;
 }
 
-/** A target that the users state, beside what was measured. */
+/** A stated bound and the measured value. */
 export interface BoundResult {
   readonly name: string;
   readonly stated: number;
@@ -37,9 +37,9 @@
   readonly points: readonly PlotPoint[];
 }
 
-/** A plot for the report; it is no part of the JSON. */
+/** A plot for the report page; not part of the JSON. */
 export interface Plot {
-  /** Names its file. */
+  /** Part of the file name. */
   readonly name: string;
   readonly title: string;
   readonly xLabel: string;
@@ -47,7 +47,7 @@
   readonly series: readonly PlotSeries[];
 }
 
-/** What an experiment found. */
+/** Result of an experiment. */
 export interface ExperimentResult {
   readonly cases: readonly CaseResult[];
   readonly ratios: readonly RatioResult[];
@@ -55,21 +55,21 @@
   readonly plots?: readonly Plot[];
 }
 
-/** Options of a run, beside the seed. */
+/** Command-line flags of an experiment, apart from the seed. */
 export interface ExperimentFlags {
   /** The value of `--<name>`, or the fallback. */
   text(name: string, fallback: string): string;
   number(name: string, fallback: number): number;
 }
 
-/** One experiment; its file exports it under the name `experiment`. */
+/** An experiment, exported as `experiment` by `index.ts` of its folder. */
 export interface Experiment {
   readonly name: string;
-  /** What it measures, in a line. */
+  /** One-line summary of what it measures. */
   readonly summary: string;
-  /** Which processes it starts, and how long it takes. */
+  /** Processes that it starts and approximate duration. */
   readonly starts: string;
-  /** Flags that it takes beside --seed and --json, a line each. */
+  /** Help lines of its flags apart from `--seed` and `--json`. */
   readonly flags: readonly string[];
   run(options: {
     seed: number;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** Runs one experiment by name. */
+/** Command line of the bench: runs one experiment by name. */
 import {execFileSync} from 'node:child_process';
 import {existsSync, readdirSync} from 'node:fs';
 
