--- a/bench/experiments/balance/index.ts
+++ b/bench/experiments/balance/index.ts
@@ -1,4 +1,4 @@
-/** The choice of targets under lagged reports, against simpler ones. */
+/** Compares target selection under delayed load reports with simpler methods. */
 import type {Maybe} from 'purify-ts';
 import {Just} from 'purify-ts';
 
@@ -24,7 +24,7 @@
 const FOR_MS = 20_000;
 const LOAD = 0.9;
 
-/** Takes the target whose report shows the least load. */
+/** Chooses the target with the lowest reported load. */
 class LeastReported implements TargetChooser {
   choose(options: {
     query: ChoiceQuery;
@@ -36,7 +36,7 @@
   }
 }
 
-/** Takes the targets in turn. */
+/** Chooses the targets in turn. */
 class RoundRobin implements TargetChooser {
   private next = 0;
 
@@ -46,7 +46,7 @@
   }
 }
 
-/** Compares how long requests wait at targets while others are free. */
+/** Measures how long requests wait at targets while other targets have free slots. */
 export const experiment: Experiment = {
   name: 'balance',
   summary: 'waiting at targets under lagged reports, by the way of choosing',
@@ -54,17 +54,17 @@
   flags: ['--load X: offered load over capacity, 0.9 by default'],
   run: ({seed, flags}) => {
     const load = flags.number('load', LOAD);
-    const ways: ReadonlyArray<{
+    const variants: ReadonlyArray<{
       name: string;
       createChooser: SimOptions['createChooser'];
     }> = [
       {
         name: 'corrected',
         createChooser: (clock) => {
-          const failures = new OutlierDetector({clock});
+          const outliers = new OutlierDetector({clock});
           return new LoadAwareChooser({
             random: new SeededRandom(seed),
-            outliers: failures,
+            outliers,
           });
         },
       },
@@ -76,7 +76,7 @@
       {name: 'round robin', createChooser: () => new RoundRobin()},
       {name: 'least reported', createChooser: () => new LeastReported()},
     ];
-    const sims = ways.map(({name, createChooser}) => {
+    const sims = variants.map(({name, createChooser}) => {
       const sim = new BalanceSim({
         targets: TARGETS,
         capacity: CAPACITY,
--- a/bench/experiments/balance/sim.ts
+++ b/bench/experiments/balance/sim.ts
@@ -1,4 +1,4 @@
-/** Targets and entries in one process, on a clock that is moved by hand. */
+/** Simulation of targets and entries on a manual clock. */
 import type {RandomSource} from '../../../src/core/clock/index.js';
 import {ManualClock} from '../../../src/core/clock/index.js';
 import type {
@@ -10,17 +10,17 @@
 import {Samples} from '../../lib/samples.js';
 
 const SAMPLE_MS = 50;
-const REPORT_KEEP_MS = 2_000;
+const REPORT_RETENTION_MS = 2_000;
 
-/** Age of the reports that the simulated entries go by. */
+/** Age of the load reports used by the simulated entries. */
 const REPORT_LAG_MS = 500;
 
-/** How large the simulated site is. */
+/** Size and load of the simulated site. */
 export interface SimOptions {
   readonly targets: number;
   readonly capacity: number;
   readonly entries: number;
-  /** Offered load over capacity. */
+  /** Ratio of offered load to capacity. */
   readonly load: number;
   readonly meanServiceMs: number;
   readonly forMs: number;
@@ -31,13 +31,13 @@
 interface SimTarget {
   running: number;
   readonly queue: Array<() => void>;
-  /** Requests at the target, as reports show them a lag later. */
+  /** Requests at the target over time; reports contain them with a delay. */
   readonly reported: CountHistory;
 }
 
-/** Runs arrivals through choosers and samples the queues at the targets. */
+/** Assigns arriving requests with choosers and samples the target queues. */
 export class BalanceSim {
-  /** Requests that wait at a target while another has a free slot. */
+  /** Requests waiting at a target while another has a free slot. */
   readonly avoidableWaits = new Samples({
     name: 'waiting beside a free slot',
     unit: 'requests',
@@ -45,24 +45,27 @@
   readonly waits = new Samples({name: 'wait at the target', unit: 'ms'});
   private readonly clock = new ManualClock();
   private readonly targets: SimTarget[];
-  private readonly own: CountHistory[][];
-  private readonly counts: number[][];
+  private readonly inFlightHistory: CountHistory[][];
+  private readonly inFlight: number[][];
   private readonly choosers: TargetChooser[];
 
   constructor(private readonly options: SimOptions) {
     const {targets, entries, createChooser} = options;
-    const each = <T>(n: number, create: () => T): T[] =>
+    const createArray = <T>(n: number, create: () => T): T[] =>
       Array.from({length: n}, create);
-    this.targets = each(targets, () => ({
+    this.targets = createArray(targets, () => ({
       running: 0,
       queue: [],
-      reported: new CountHistory({retentionMs: REPORT_KEEP_MS}),
+      reported: new CountHistory({retentionMs: REPORT_RETENTION_MS}),
     }));
-    this.own = each(entries, () =>
-      each(targets, () => new CountHistory({retentionMs: REPORT_KEEP_MS})),
+    this.inFlightHistory = createArray(entries, () =>
+      createArray(
+        targets,
+        () => new CountHistory({retentionMs: REPORT_RETENTION_MS}),
+      ),
     );
-    this.counts = each(entries, () => each(targets, () => 0));
-    this.choosers = each(entries, () => createChooser(this.clock));
+    this.inFlight = createArray(entries, () => createArray(targets, () => 0));
+    this.choosers = createArray(entries, () => createChooser(this.clock));
   }
 
   run(): void {
@@ -86,13 +89,13 @@
     const query = {service: 's', exclude: [], dataCentre: '', prefix: ''};
     const chosen = this.choosers[entry]!.choose({query, targets: views});
     const at = Number(chosen.extract()!.vm);
-    this.note(entry, at, 1);
+    this.updateInFlight(entry, at, 1);
     const arrivedMs = this.clock.now();
     const start = (): void => this.start({entry, at, arrivedMs});
     const target = this.targets[at]!;
     if (target.running < this.options.capacity) start();
     else target.queue.push(start);
-    this.report(target);
+    this.recordCount(target);
   }
 
   private start(options: {entry: number; at: number; arrivedMs: number}): void {
@@ -103,20 +106,23 @@
     this.waits.add(this.clock.now() - arrivedMs);
     const run = (): void => {
       target.running--;
-      this.note(entry, at, -1);
+      this.updateInFlight(entry, at, -1);
       target.queue.shift()?.();
-      this.report(target);
+      this.recordCount(target);
     };
     this.clock.schedule({delayMs: exponential(meanServiceMs, random), run});
   }
 
-  private note(entry: number, at: number, by: number): void {
-    const counts = this.counts[entry]!;
-    counts[at]! += by;
-    this.own[entry]![at]!.record({nowMs: this.clock.now(), count: counts[at]!});
+  private updateInFlight(entry: number, at: number, delta: number): void {
+    const counts = this.inFlight[entry]!;
+    counts[at]! += delta;
+    this.inFlightHistory[entry]![at]!.record({
+      nowMs: this.clock.now(),
+      count: counts[at]!,
+    });
   }
 
-  private report(target: SimTarget): void {
+  private recordCount(target: SimTarget): void {
     const count = target.running + target.queue.length;
     target.reported.record({nowMs: this.clock.now(), count});
   }
@@ -132,12 +138,12 @@
       incarnation: '',
       usable: true,
       draining: false,
-      ownInFlight: this.counts[entry]![at]!,
+      ownInFlight: this.inFlight[entry]![at]!,
       running: Math.min(reported, capacity),
       waiting: Math.max(0, reported - capacity),
       capacity,
       cachedPrefixes: [],
-      ownInReport: this.own[entry]![at]!.countAt(atMs),
+      ownInReport: this.inFlightHistory[entry]![at]!.countAt(atMs),
     };
   }
 
--- a/bench/experiments/booking/failures.ts
+++ b/bench/experiments/booking/failures.ts
@@ -1,4 +1,4 @@
-/** The share of `unknown` answers while something fails. */
+/** Measures the share of `unknown` results during failures. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Site} from '../../../tools/lab/site.js';
@@ -16,14 +16,14 @@
 const FAIL_AFTER_MS = 400;
 const SETTLE_MS = 1_000;
 
-/** A failure and how it is brought about. */
+/** A failure, how to inject it and how to recover from it. */
 interface Failure {
   readonly name: string;
-  readonly strike: (site: Site) => Promise<void>;
-  readonly mend?: (site: Site) => Promise<void>;
+  readonly inject: (site: Site) => Promise<void>;
+  readonly recover?: (site: Site) => Promise<void>;
 }
 
-/** What callers were told, and whether it was true. */
+/** Results of callers during a failure and how many were wrong. */
 export interface FailureResult {
   readonly name: string;
   readonly unknownShare: number;
@@ -33,30 +33,30 @@
 const FAILURES: readonly Failure[] = [
   {
     name: 'an agent is killed',
-    strike: (site) => Promise.resolve(site.orders[0]!.agent.proc.kill()),
+    inject: (site) => Promise.resolve(site.orders[0]!.agent.proc.kill()),
   },
   {
     name: 'an agent freezes and wakes',
-    strike: (site) => Promise.resolve(site.orders[0]!.agent.proc.freeze()),
-    mend: (site) => Promise.resolve(site.orders[0]!.agent.proc.thaw()),
+    inject: (site) => Promise.resolve(site.orders[0]!.agent.proc.freeze()),
+    recover: (site) => Promise.resolve(site.orders[0]!.agent.proc.thaw()),
   },
   {
     name: 'the services die after the effect',
-    strike: (site) => setServiceFault(site, {kind: 'die_after_effect'}),
+    inject: (site) => setServiceFault(site, {kind: 'die_after_effect'}),
   },
   {
     name: 'answers of 5 writes are lost',
-    strike: (site) =>
+    inject: (site) =>
       setStoreFault(site, {mode: 'lose_write_answer', count: 5}),
   },
   {
     name: 'the store is down',
-    strike: (site) => setStoreFault(site, {mode: 'down'}),
-    mend: (site) => setStoreFault(site, {mode: 'ok'}),
+    inject: (site) => setStoreFault(site, {mode: 'down'}),
+    recover: (site) => setStoreFault(site, {mode: 'ok'}),
   },
 ];
 
-/** Runs all failures, each on a site of its own. */
+/** Runs all failures, each on its own site. */
 export async function runFailures(): Promise<FailureResult[]> {
   const results: FailureResult[] = [];
   for (const failure of FAILURES) results.push(await runFailure(failure));
@@ -76,26 +76,26 @@
       deadlineMs: DEADLINE_MS,
     });
     await sleep(FAIL_AFTER_MS);
-    await failure.strike(site);
-    const {results: told} = await running;
-    await failure.mend?.(site);
+    await failure.inject(site);
+    const {results} = await running;
+    await failure.recover?.(site);
     await sleep(SETTLE_MS);
-    const unknown = told.filter(({ran}) => ran === 'unknown').length;
-    const violations = await countViolations(site, told);
-    return {name, unknownShare: unknown / told.length, violations};
+    const unknown = results.filter(({ran}) => ran === 'unknown').length;
+    const violations = await countViolations(site, results);
+    return {name, unknownShare: unknown / results.length, violations};
   } finally {
     await site.close();
   }
 }
 
-/** Answers that the service's own count contradicts. */
+/** Counts results that contradict the execution counts of the service. */
 export async function countViolations(
   site: Site,
-  told: readonly Told[],
+  results: readonly Told[],
   keyPrefix = 'key',
 ): Promise<number> {
   const runs = await readRuns(site);
-  return told.filter(({ran}, i) => {
+  return results.filter(({ran}, i) => {
     const count = runs.get(`${keyPrefix}-${i}`) ?? 0;
     const isFalse = (ran === 'no' && count > 0) || (ran === 'yes' && count < 1);
     return isFalse || count > 1;
--- a/bench/experiments/booking/index.ts
+++ b/bench/experiments/booking/index.ts
@@ -1,4 +1,4 @@
-/** What bookings cost in time and in calls to the platform. */
+/** Latency and platform calls of bookings. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Site} from '../../../tools/lab/site.js';
@@ -22,7 +22,7 @@
   readonly violations: number;
 }
 
-/** Compares bookings through the system with direct calls. */
+/** Compares bookings through the system with direct calls to the services. */
 export const experiment: Experiment = {
   name: 'booking',
   summary: 'added latency, platform calls and truth of bookings',
@@ -33,7 +33,7 @@
     const measured = await measureRates();
     const failures = await runFailures();
     const violations = failures.reduce(
-      (sum, one) => sum + one.violations,
+      (sum, failure) => sum + failure.violations,
       measured.violations,
     );
     const shares = failures.map(({name, unknownShare}) => ({
@@ -66,7 +66,7 @@
     entries: 2,
     engines: 0,
     orders: 4,
-    editBase: allowMany,
+    editBase: raiseAccountLimit,
   });
   try {
     const cases: CaseResult[] = [];
@@ -74,11 +74,11 @@
     let writesPerBooking = 0;
     let violations = 0;
     for (const rate of RATES) {
-      const one = await measureRate(site, rate);
-      cases.push(...one.cases);
-      ratios.push(...one.ratios);
-      writesPerBooking = one.writesPerBooking;
-      violations += one.violations;
+      const measured = await measureRate(site, rate);
+      cases.push(...measured.cases);
+      ratios.push(...measured.ratios);
+      writesPerBooking = measured.writesPerBooking;
+      violations += measured.violations;
     }
     return {cases, ratios, writesPerBooking, violations};
   } finally {
@@ -92,13 +92,13 @@
   const before = await readPlatformCalls(site);
   const keyPrefix = `rate-${rate}`;
   const name = `booked, ${rate}/s`;
-  const {samples, results: told} = await runLoad({...load, name, keyPrefix});
+  const {samples, results} = await runLoad({...load, name, keyPrefix});
   await sleep(OUTCOMES_RECORDED_MS);
   const after = await readPlatformCalls(site);
   const single = await runSingleClaims(load);
-  const writesPerBooking = (after.writes - before.writes) / told.length;
-  const readsPerBooking = (after.reads - before.reads) / told.length;
-  const refused = told.filter(({ran}) => ran !== 'yes').length;
+  const writesPerBooking = (after.writes - before.writes) / results.length;
+  const readsPerBooking = (after.reads - before.reads) / results.length;
+  const refused = results.filter(({ran}) => ran !== 'yes').length;
   return {
     cases: [direct.result(), samples.result(), single.samples.result()],
     ratios: [
@@ -108,15 +108,15 @@
         name: `writes per claim without groups, ${rate}/s`,
         value: single.writesPerClaim,
       },
-      {name: `share not answered, ${rate}/s`, value: refused / told.length},
+      {name: `share not answered, ${rate}/s`, value: refused / results.length},
     ],
     writesPerBooking,
-    violations: await countViolations(site, told, keyPrefix),
+    violations: await countViolations(site, results, keyPrefix),
   };
 }
 
-/** Neither the account nor the queue is what this measures. */
-function allowMany(base: Record<string, unknown>): void {
+/** Raises the account limit so that it does not limit the measured load. */
+function raiseAccountLimit(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<string, object>;
   accounts['demo'] = {...accounts['demo'], maxConcurrent: MAX_CONCURRENT};
 }
--- a/bench/experiments/booking/load.ts
+++ b/bench/experiments/booking/load.ts
@@ -1,4 +1,4 @@
-/** Bookings at a steady rate, straight to a service or through entries. */
+/** Sends bookings at a fixed rate, directly to services or through entries. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import type {Site} from '../../../tools/lab/site.js';
@@ -8,13 +8,13 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** What a load came to. */
+/** Latencies and results of a load. */
 export interface LoadResult {
   readonly samples: Samples;
   readonly results: readonly Told[];
 }
 
-/** Starts `rate` bookings a second for a time, however long each takes. */
+/** Starts `rate` bookings per second through entries (open loop). */
 export async function runLoad(options: {
   name: string;
   site: Site;
@@ -28,13 +28,13 @@
   const started = await pace(rate, forMs, (i) =>
     book({url: urls[i % urls.length]!, key: `${keyPrefix}-${i}`, deadlineMs}),
   );
-  const told = await Promise.all(started);
+  const results = await Promise.all(started);
   const samples = new Samples({name, unit: 'ms'});
-  for (const {ran, tookMs} of told) if (ran === 'yes') samples.add(tookMs);
-  return {samples, results: told};
+  for (const {ran, tookMs} of results) if (ran === 'yes') samples.add(tookMs);
+  return {samples, results};
 }
 
-/** The same straight to the services, without the system. */
+/** Starts `rate` bookings per second directly at the services (open loop). */
 export async function runDirect(options: {
   name: string;
   site: Site;
--- a/bench/experiments/booking/single-claims.ts
+++ b/bench/experiments/booking/single-claims.ts
@@ -1,4 +1,4 @@
-/** Claims without groups, from this process, for comparison. */
+/** Baseline: ungrouped claims, made by this process. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {HttpObjectStore} from '../../../src/adapters/index.js';
@@ -9,13 +9,13 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** What claims with an object each cost. */
+/** Cost of claims stored in one object each. */
 export interface SingleClaimsResult {
   readonly samples: Samples;
   readonly writesPerClaim: number;
 }
 
-/** Makes claims at a rate, each in its own object. */
+/** Creates `rate` claims per second, each in its own object. */
 export async function runSingleClaims(options: {
   site: Site;
   rate: number;
@@ -28,17 +28,17 @@
   const samples = new Samples({name, unit: 'ms'});
   const before = await readPlatformCalls(site);
   const count = Math.max(1, Math.round((rate * forMs) / MS_PER_SECOND));
-  const made: Array<Promise<void>> = [];
+  const pending: Array<Promise<void>> = [];
   for (let i = 0; i < count; i++) {
-    made.push(makeOne(claims, samples, `single-${rate}-${i}`));
+    pending.push(createClaim(claims, samples, `single-${rate}-${i}`));
     await sleep(MS_PER_SECOND / rate);
   }
-  await Promise.all(made);
+  await Promise.all(pending);
   const after = await readPlatformCalls(site);
   return {samples, writesPerClaim: (after.writes - before.writes) / count};
 }
 
-async function makeOne(
+async function createClaim(
   claims: SingleClaims,
   samples: Samples,
   name: string,
--- a/bench/experiments/config/index.ts
+++ b/bench/experiments/config/index.ts
@@ -1,4 +1,4 @@
-/** Time from acceptance to in force everywhere; flat watching against fan-out. */
+/** Time until a configuration is active everywhere: all entries watch, or fan-out. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {HttpObjectStore} from '../../../src/adapters/index.js';
@@ -18,21 +18,21 @@
 const DATA_CENTRES = ['waw', 'poz', 'krk', 'gdn'];
 const SIZES = [10, 50, 200];
 const CHANGES = 5;
-const IN_FORCE_MS = 6_000;
+const MAX_ROLLOUT_MS = 6_000;
 const SETTLE_MS = 3_000;
-const GIVE_UP_MS = 15_000;
+const TIMEOUT_MS = 15_000;
 const POLL_MS = 2;
 const FILLER = 'x'.repeat(20_000);
 
 interface Outcome {
   readonly times: CaseResult;
   readonly maxMs: number;
-  /** Calls for the configuration, of all processes, since their start. */
+  /** Configuration calls of all processes since their start. */
   readonly calls: number;
   readonly bytes: number;
 }
 
-/** Measures both ways for each size in one run. */
+/** Measures flat watching and fan-out for each size. */
 export const experiment: Experiment = {
   name: 'config',
   summary: 'acceptance to in force everywhere, flat watching and fan-out',
@@ -58,9 +58,9 @@
       );
       bounds.push({
         name: `${size} in force everywhere, fan-out, ms`,
-        stated: IN_FORCE_MS,
+        stated: MAX_ROLLOUT_MS,
         measured: fanOut.maxMs,
-        holds: fanOut.maxMs <= IN_FORCE_MS,
+        holds: fanOut.maxMs <= MAX_ROLLOUT_MS,
       });
     }
     return {cases, ratios, bounds};
@@ -153,7 +153,7 @@
   };
 }
 
-/** The quickstart's configuration with about 20 KB of comment. */
+/** Returns the quickstart configuration with about 20 KB of padding. */
 function variant(change: number): object {
   const document = loadExample('quickstart');
   return {nonce: `n${change}`, operator: FILLER, document};
@@ -163,9 +163,12 @@
   entries: readonly LightEntry[],
   version: number,
 ): Promise<void> {
-  const endMs = performance.now() + GIVE_UP_MS;
+  const endMs = performance.now() + TIMEOUT_MS;
   while (entries.some((entry) => entry.version() < version)) {
-    if (performance.now() > endMs) throw new Error(`no version ${version}`);
+    if (performance.now() > endMs)
+      throw new Error(
+        `timeout: version ${version} is not active at all entries`,
+      );
     await sleep(POLL_MS);
   }
 }
--- a/bench/experiments/config/light-entry.ts
+++ b/bench/experiments/config/light-entry.ts
@@ -1,4 +1,4 @@
-/** The part of an entry that brings configurations in, without the rest. */
+/** The configuration distribution of an entry without its other parts. */
 import {HttpObjectStore, HttpVmList} from '../../../src/adapters/index.js';
 import {SystemClock, SystemRandom} from '../../../src/core/clock/index.js';
 import type {
@@ -24,7 +24,7 @@
 
 const ADDRESS = '127.0.0.1';
 
-/** Counts the bytes that configurations cost at the platform. */
+/** Counts reads and watches of the store and the bytes they return. */
 class CountingStore implements ObjectStore {
   bytes = 0;
   calls = 0;
@@ -67,7 +67,7 @@
   }
 }
 
-/** One entry's configuration controllers over real sockets. */
+/** Configuration controller of one entry, connected over real sockets. */
 export class LightEntry {
   readonly board = new EntryBoard();
   readonly store: CountingStore;
@@ -81,7 +81,7 @@
       vm: string;
       dataCentre: string;
       platformUrl: string;
-      /** Whether every entry watches, as if it were alone. */
+      /** Whether every entry watches the store itself, without fan-out. */
       flat: boolean;
     },
   ) {
@@ -117,13 +117,13 @@
     });
   }
 
-  /** Listens, and gives the record for the VM list. */
+  /** Starts listening and returns the record for the VM list. */
   async start(): Promise<VmRecord> {
     const {vm, dataCentre, flat} = this.options;
     const listening = await this.server.listen({address: ADDRESS, port: 0});
     const peerPort = listening._unsafeUnwrap();
     this.control.open();
-    // Without the VM list an entry knows itself alone, and watches.
+    // Without the VM list an entry finds no other entries, so it watches the store.
     if (!flat) this.directory.open();
     return {
       name: vm,
--- a/bench/experiments/direct/index.ts
+++ b/bench/experiments/direct/index.ts
@@ -1,4 +1,4 @@
-/** Gaps between tokens through an entry and an agent, against none. */
+/** Gaps between tokens through an entry and an agent, and without them. */
 import {Site} from '../../../tools/lab/site.js';
 import {createTranscript, readStream} from '../../../tools/lab/caller.js';
 import {Samples} from '../../lib/samples.js';
@@ -8,7 +8,7 @@
 const TOKENS = 60;
 const STREAMS = 20;
 
-/** Compares the gaps that callers see with the engine's own. */
+/** Compares token gaps through the system with those directly at the engines. */
 export const experiment: Experiment = {
   name: 'direct',
   summary: 'gap between tokens, through the system and straight to an engine',
--- a/bench/experiments/fairness/index.ts
+++ b/bench/experiments/fairness/index.ts
@@ -1,4 +1,4 @@
-/** Shares of client accounts when one sends ten times its share. */
+/** Throughput of client accounts while one sends ten times its share. */
 import {FairAdmission} from '../../../src/core/admission/index.js';
 import type {ClientAccountConfig} from '../../../src/core/config/index.js';
 import {PriorityClass, ServiceKind} from '../../../src/core/config/index.js';
@@ -16,7 +16,7 @@
 const STEP_MS = 5;
 const RESIZE_MS = 100;
 
-/** Answers a second that fall to each account. */
+/** Fair share of each account, in requests per second. */
 const SHARE = (SLOTS * 1_000) / MEAN_SERVICE_MS / ACCOUNTS;
 
 interface SimRequest {
@@ -31,7 +31,7 @@
   readonly modestWaits: Samples;
 }
 
-/** Compares fair admission with one queue, first come, first served. */
+/** Compares fair admission with a single first-come, first-served queue. */
 export const experiment: Experiment = {
   name: 'fairness',
   summary: 'answers of nine accounts while a tenth sends ten times its share',
@@ -41,12 +41,15 @@
     const requests = createRequests(seed);
     const fair = await runFair(requests, seed);
     const naive = runNaive(requests);
-    const served = (o: Outcome): number => modestShare(o);
+    const shareInTime = (o: Outcome): number => modestShare(o);
     return {
       cases: [fair.modestWaits.result(), naive.modestWaits.result()],
       ratios: [
-        {name: 'fair: answered in time, modest accounts', value: served(fair)},
-        {name: 'one queue: the same', value: served(naive)},
+        {
+          name: 'fair: answered in time, modest accounts',
+          value: shareInTime(fair),
+        },
+        {name: 'one queue: the same', value: shareInTime(naive)},
         {name: 'fair: greedy account / its share', value: greedyShare(fair)},
         {name: 'one queue: the same', value: greedyShare(naive)},
       ],
@@ -58,7 +61,7 @@
 function createRequests(seed: number): SimRequest[] {
   const random = new SeededRandom(seed);
   const ofAccounts = Array.from({length: ACCOUNTS}, (_, account) => {
-    // Modest accounts ask for a little less than their share.
+    // The other accounts send a little less than their share.
     const factor = account === 0 ? GREEDY_FACTOR : 0.8;
     const perSecond = SHARE * factor;
     const times = poissonArrivals({perSecond, forMs: FOR_MS, random});
@@ -84,14 +87,14 @@
   while (clock.now() < FOR_MS + DEADLINE_MS) {
     clock.advance(STEP_MS);
     for (; (requests[next]?.atMs ?? Infinity) <= clock.now(); next++) {
-      ask({admission, clock, request: requests[next]!, outcome});
+      admitRequest({admission, clock, request: requests[next]!, outcome});
     }
     await new Promise((resolve) => setImmediate(resolve));
   }
   return outcome;
 }
 
-function ask(options: {
+function admitRequest(options: {
   admission: FairAdmission;
   clock: ManualClock;
   request: SimRequest;
@@ -108,13 +111,13 @@
     const startMs = clock.now();
     const run = (): void => {
       ticket.release();
-      note({outcome, request, startMs, endMs: clock.now()});
+      recordCompletion({outcome, request, startMs, endMs: clock.now()});
     };
     clock.schedule({delayMs: request.serviceMs, run});
   });
 }
 
-/** One queue before all slots. */
+/** Simulates a single queue for all slots. */
 function runNaive(requests: readonly SimRequest[]): Outcome {
   const outcome = createOutcome('one queue: wait of modest accounts', requests);
   const freeAtMs = Array.from({length: SLOTS}, () => 0);
@@ -123,7 +126,7 @@
     const startMs = Math.max(request.atMs, freeAtMs[slot]!);
     const endMs = startMs + request.serviceMs;
     freeAtMs[slot] = endMs;
-    note({outcome, request, startMs, endMs});
+    recordCompletion({outcome, request, startMs, endMs});
   }
   return outcome;
 }
@@ -135,7 +138,7 @@
   return {sent, inTime, modestWaits: new Samples({name, unit: 'ms'})};
 }
 
-function note(options: {
+function recordCompletion(options: {
   outcome: Outcome;
   request: SimRequest;
   startMs: number;
@@ -147,7 +150,7 @@
   if (endMs - atMs <= DEADLINE_MS) outcome.inTime[account]!++;
 }
 
-/** Answered in time, of what the modest accounts sent. */
+/** Share of the requests of the modest accounts that met their deadline. */
 function modestShare({sent, inTime}: Outcome): number {
   const sum = (counts: number[]): number =>
     counts.slice(1).reduce((a, b) => a + b, 0);
--- a/bench/experiments/membership/index.ts
+++ b/bench/experiments/membership/index.ts
@@ -1,4 +1,4 @@
-/** Detection, false suspicions, planned stops and the cost of watching. */
+/** Failure detection, false suspicions and graceful shutdown under load. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {request} from 'undici';
@@ -14,10 +14,10 @@
 
 const FREEZES = 4;
 const QUIET_MS = 5_000;
-const NO_NEW_WORK_MS = 3_000;
+const MAX_NEW_WORK_MS = 3_000;
 const DETECTION_MS = 3_000;
 
-/** Measures one small site under load. */
+/** Runs failures and shutdowns on a small site under load. */
 export const experiment: Experiment = {
   name: 'membership',
   summary: 'detection of frozen agents, false suspicions, stops under load',
@@ -35,15 +35,15 @@
         ...{site, generations: 8, tokens: 60, bookings: 0, lookups: 4},
       });
       await load.start();
-      const falseOnes = await countFalseSuspicions(site);
+      const falseSuspicions = await countFalseSuspicions(site);
       const detection = await measureDetection(site);
-      const newWork = await measureLeaving(site);
+      const newWork = await measureDraining(site);
       await replaceAll(site);
       const tally = await load.stop();
       const lost = countLost(tally);
       const bounds: BoundResult[] = [
         bound('requests lost under freezes and stops', 0, lost),
-        bound('false suspicions in 5 s of load', 0, falseOnes),
+        bound('false suspicions in 5 s of load', 0, falseSuspicions),
         bound('detection, max, ms', DETECTION_MS, detection.percentile(100)),
         bound('work begun past 3 s of leaving', 0, newWork.late),
       ];
@@ -84,7 +84,7 @@
   return sum;
 }
 
-/** Freezes agents that work, and times until no entry uses them. */
+/** Freezes agents and measures the time until no entry uses them. */
 async function measureDetection(site: Site): Promise<Samples> {
   const name = 'frozen to unused at both entries';
   const samples = new Samples({name, unit: 'ms'});
@@ -122,8 +122,8 @@
   return peers.find((peer) => peer.vm === vm)?.state ?? 'absent';
 }
 
-/** Lists a target as leaving, and times its last new generation. */
-async function measureLeaving(site: Site) {
+/** Lists a target as leaving and measures the time to its last new generation. */
+async function measureDraining(site: Site) {
   const name = 'listed as leaving to its last new work';
   const times = new Samples({name, unit: 'ms'});
   const target = site.engines[0]!;
@@ -132,11 +132,11 @@
   await site.listAsLeaving(target, 'drafts');
   let lastMs = 0;
   let late = 0;
-  while (performance.now() - startMs < 2 * NO_NEW_WORK_MS) {
+  while (performance.now() - startMs < 2 * MAX_NEW_WORK_MS) {
     const started = await countStarted(target);
     const sinceMs = performance.now() - startMs;
     if (started > seen) lastMs = sinceMs;
-    if (started > seen && sinceMs > NO_NEW_WORK_MS) late += started - seen;
+    if (started > seen && sinceMs > MAX_NEW_WORK_MS) late += started - seen;
     seen = started;
     await sleep(10);
   }
@@ -151,7 +151,7 @@
   return ((await sendControl({url})) as {started: number}).started;
 }
 
-/** Replaces every process, one after the other. */
+/** Replaces all agents and entries, one after the other. */
 async function replaceAll(site: Site): Promise<void> {
   for (const target of [...site.engines]) {
     target.agent.proc.terminate();
--- a/bench/experiments/overload/index.ts
+++ b/bench/experiments/overload/index.ts
@@ -1,4 +1,4 @@
-/** Goodput against offered load, beside a plain round robin. */
+/** Goodput against offered load, compared with round robin. */
 import type {RandomSource} from '../../../src/core/clock/index.js';
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import {Site} from '../../../tools/lab/site.js';
@@ -20,20 +20,20 @@
 const DEADLINE_MS = 1_000;
 const STEP_MS = 2_500;
 
-/** Start of each step that is not counted: the load builds up. */
+/** Start of each step, not counted because the load still builds up. */
 const RAMP_MS = 500;
 const SETTLE_MS = 300;
-/** Load before the first step, which is not counted. */
+/** Duration of the warm-up load before the first step, not counted. */
 const WARM_MS = 1_000;
 const WARM_FACTOR = 0.5;
 const FACTORS: readonly number[] = [0.5, 1, 1.5, 2, 3];
 const GOODPUT_TARGET = 0.95;
 
-/** Answers a second that the engines can give. */
+/** Capacity of all engines, in requests per second. */
 const CAPACITY = (ENGINES * SLOTS * 1_000) / (PACE_MS * TOKENS);
 
-/** One way of sending work to the engines. */
-interface Way {
+/** A named set of URLs that receive the load. */
+interface Setup {
   readonly name: string;
   readonly urls: readonly string[];
 }
@@ -41,11 +41,11 @@
 interface Step {
   readonly factor: number;
   readonly ends: readonly RequestResult[];
-  /** Answers in time, over what the engines can give. */
+  /** Requests that met their deadline, relative to the capacity. */
   readonly goodput: number;
 }
 
-/** Compares goodput under overload with that of a plain round robin. */
+/** Compares goodput under overload with that of round robin. */
 export const experiment: Experiment = {
   name: 'overload',
   summary: 'answers in time against offered load, 0.5 to 3 times capacity',
@@ -61,18 +61,22 @@
     });
     try {
       const urls = site.entries.map((entry) => entry.callersUrl);
-      const system = await climb({way: {name: 'system', urls}, seed, stepMs});
+      const system = await runSteps({
+        setup: {name: 'system', urls},
+        seed,
+        stepMs,
+      });
       const engines = site.engines.map((target) => target.standIn.url);
-      const way = {name: 'round robin', urls: engines};
-      const naive = await climb({way, seed, stepMs});
-      return summarise(system, naive);
+      const setup = {name: 'round robin', urls: engines};
+      const roundRobin = await runSteps({setup, seed, stepMs});
+      return summarise(system, roundRobin);
     } finally {
       await site.close();
     }
   },
 };
 
-/** The bound of the one account is not what is measured. */
+/** Raises the limit of the only account, which is not what is measured. */
 function liftAccountLimit(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<
     string,
@@ -81,33 +85,33 @@
   accounts['demo']!['maxConcurrent'] = 10_000;
 }
 
-async function climb(options: {
-  way: Way;
+async function runSteps(options: {
+  setup: Setup;
   seed: number;
   stepMs: number;
 }): Promise<Step[]> {
-  const {way, seed, stepMs} = options;
+  const {setup, seed, stepMs} = options;
   const random = new SeededRandom(seed);
-  await sendStep({way, random, factor: WARM_FACTOR, forMs: WARM_MS});
+  await sendStep({setup, random, factor: WARM_FACTOR, forMs: WARM_MS});
   const steps: Step[] = [];
   for (const factor of FACTORS) {
-    const ends = await sendStep({way, random, factor, forMs: stepMs});
+    const ends = await sendStep({setup, random, factor, forMs: stepMs});
     steps.push({factor, ends, goodput: goodputOf(ends, stepMs)});
   }
   return steps;
 }
 
 async function sendStep(options: {
-  way: Way;
+  setup: Setup;
   random: RandomSource;
   factor: number;
   forMs: number;
 }): Promise<RequestResult[]> {
-  const {way, random, factor, forMs} = options;
+  const {setup, random, factor, forMs} = options;
   const perSecond = factor * CAPACITY;
   const ends = await runLoad({
     timesMs: poissonArrivals({perSecond, forMs, random}),
-    urlOf: (index) => way.urls[index % way.urls.length]!,
+    urlOf: (index) => setup.urls[index % setup.urls.length]!,
     createRequest: (index) => ({
       prompt: `request ${factor} ${index} [length=${TOKENS}]`,
       maxTokens: TOKENS,
@@ -118,7 +122,7 @@
   return ends;
 }
 
-/** Answers in time while the load lasted, over what the engines can give. */
+/** Requests that met their deadline while the load ran, relative to the capacity. */
 function goodputOf(ends: readonly RequestResult[], stepMs: number): number {
   const counted = ends.filter(
     ({metDeadline: inTime, endedAtMs}) =>
--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -1,4 +1,4 @@
-/** What one call, one event and one registration cost a direct entry. */
+/** Cost of a call, an event and a registration for a direct entry. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {Agent} from 'node:http';
 import {tmpdir} from 'node:os';
@@ -24,14 +24,14 @@
 const REGISTRATIONS = 1_000;
 const DEADLINE_MS = 20_000;
 
-/** Longer than the entry lets changes gather. */
+/** Longer than the time over which the entry batches changes. */
 const SETTLE_MS = 2_500;
 
-/** Where nothing listens; no work is sent to a service without a route. */
-const NOWHERE = '127.0.0.1:9';
-const UNROUTED = 'unrouted';
+/** Nothing listens here; a service without a route gets no requests. */
+const UNUSED_ADDRESS = '127.0.0.1:9';
+const UNROUTED_SERVICE = 'unrouted';
 
-/** Compares the entry's usage before and after each kind of load. */
+/** Measures the usage of the entry before and after each kind of load. */
 export const experiment: Experiment = {
   name: 'platform-slopes',
   summary: 'processor and memory of a direct entry a call, event, registration',
@@ -45,7 +45,7 @@
     try {
       await site.start();
       const load = new SlopeLoad(site);
-      // The first round warms the code up.
+      // The first round warms up the JIT compiler.
       await load.callAll();
       await load.streamAll();
       const cases = [
@@ -62,7 +62,7 @@
   },
 };
 
-/** Puts load on the only entry of a site and reads its usage. */
+/** Sends load to the only entry of a site and reads its usage. */
 class SlopeLoad {
   private attempts = 0;
 
@@ -97,7 +97,7 @@
     return samples;
   }
 
-  /** The first of many registrations, and then changes of them. */
+  /** Measures adding many registrations, then changing them. */
   async measureRegistrations(rounds: number): Promise<Samples[]> {
     const memory = new Samples({name: 'memory, a registration', unit: 'KB'});
     const added = new Samples({name: 'processor, one added', unit: 'us'});
@@ -123,8 +123,13 @@
 
   private async register(state: string): Promise<void> {
     const {store} = this.site;
-    const place = {service: UNROUTED, zone: 'a', address: NOWHERE, state};
-    const spec = registrationOf(place);
+    const registration = {
+      service: UNROUTED_SERVICE,
+      zone: 'a',
+      address: UNUSED_ADDRESS,
+      state,
+    };
+    const spec = registrationOf(registration);
     const puts = Array.from({length: REGISTRATIONS}, (_, i) =>
       store.ask('put', {kind: Kind.TARGETS, name: `extra-${i}`, spec}),
     );
@@ -151,7 +156,8 @@
       attemptId: `try-${++this.attempts}`,
       deadlineMs: DEADLINE_MS,
     });
-    if (reply.status !== 200) throw new Error(`status ${reply.status}`);
+    if (reply.status !== 200)
+      throw new Error(`call failed with status ${reply.status}`);
   }
 
   private async measure(load: () => Promise<void>): Promise<ProcessUsage> {
--- a/bench/experiments/relay/index.ts
+++ b/bench/experiments/relay/index.ts
@@ -1,14 +1,14 @@
-/** What relaying through entry and agent adds to the gap between tokens. */
+/** Increase of the gap between tokens by relaying through entry and agent. */
 import type {Experiment} from '../../lib/types.js';
 import {createLoad} from './load.js';
 
-/** Most that relaying may add to the gap at the 95th percentile. */
+/** Maximum increase of the 95th percentile of the gap, in milliseconds. */
 const ADDED_P95_MS = 5;
 
 const STREAMS = 1_500;
 const ENGINES = 4;
 
-/** Compares gaps through one entry with gaps straight at the engines. */
+/** Compares gaps through one entry with gaps directly at the engines. */
 export const experiment: Experiment = {
   name: 'relay',
   summary: 'what one entry adds to the gap between tokens under full load',
--- a/bench/experiments/relay/load.ts
+++ b/bench/experiments/relay/load.ts
@@ -1,4 +1,4 @@
-/** A site, and reader processes that hold many streams. */
+/** A site and reader threads that read many streams. */
 import type {Worker} from 'node:worker_threads';
 
 import {Site} from '../../../tools/lab/site.js';
@@ -10,14 +10,14 @@
 const TOKENS = 140;
 const READERS = 4;
 
-/** What readers saw of all streams. */
+/** Measurements of all streams. */
 export interface Measured {
   readonly gaps: Samples;
-  /** Share of the answers that came whole. */
+  /** Share of the streams that were complete. */
   readonly wholeShare: number;
 }
 
-/** A running site with as many streams as it is to carry. */
+/** A running site and the load of its streams. */
 export interface Load {
   readonly engineUrls: readonly string[];
   readonly entryUrls: readonly string[];
@@ -26,7 +26,7 @@
   close(): Promise<void>;
 }
 
-/** Starts the site; whoever creates a load must close it. */
+/** Starts the site. The caller must close the load. */
 export async function createLoad(options: {
   streams: number;
   engines: number;
@@ -63,7 +63,7 @@
   };
 }
 
-/** The account of the quickstart may have all streams at once. */
+/** Raises the account limits so that all streams can run at once. */
 function raiseLimits(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<string, unknown>;
   for (const account of Object.values(accounts)) {
--- a/bench/experiments/relay/reader-thread.ts
+++ b/bench/experiments/relay/reader-thread.ts
@@ -1,14 +1,14 @@
-/** Reads many streams at once and notes when their pieces arrive. */
+/** Reads many streams at once and records the gaps between their events. */
 import {Agent, request} from 'node:http';
 import {parentPort, workerData} from 'node:worker_threads';
 
 import {DEMO_KEY} from '../../../tools/lab/caller.js';
 import type {ReaderTask, ReaderReport} from './reader.js';
 
-/** Time over which the streams start, in milliseconds. */
+/** Time over which the starts of the streams are spread, in milliseconds. */
 const RAMP_MS = 1_500;
 
-/** Gaps at the start, while other streams still begin, are left out. */
+/** Gaps before this are not counted because other streams still start. */
 const WARM_UP_MS = 2_500;
 
 const EVENT_MARK = 'data: {';
--- a/bench/experiments/relay/reader.ts
+++ b/bench/experiments/relay/reader.ts
@@ -1,7 +1,7 @@
 /** Starts threads that read many streams. */
 import {Worker} from 'node:worker_threads';
 
-/** What a reader has to read. */
+/** Streams that a reader thread reads. */
 export interface ReaderTask {
   readonly urls: readonly string[];
   /** Part of every prompt. */
@@ -10,14 +10,14 @@
   readonly tokens: number;
 }
 
-/** What a reader saw. */
+/** Measurements of a reader thread. */
 export interface ReaderReport {
   readonly gapsMs: readonly number[];
-  /** Answers that were refused or not whole. */
+  /** Number of streams that were refused or incomplete. */
   readonly broken: number;
 }
 
-/** Starts a thread; its one message is a ReaderReport. */
+/** Starts a reader thread. Its only message is a `ReaderReport`. */
 export function startReader(order: ReaderTask): Worker {
   const url = new URL('./reader-thread.js', import.meta.url);
   return new Worker(url, {workerData: order});
--- a/bench/experiments/resume/baselines.ts
+++ b/bench/experiments/resume/baselines.ts
@@ -1,4 +1,4 @@
-/** What callers would do without the system, straight at the engines. */
+/** Baselines: recovery by the caller, directly at the engines. */
 import type {StandIn} from '../../../tools/lab/lab.js';
 import {Lab, sendControl} from '../../../tools/lab/lab.js';
 import type {Ask, Transcript} from '../../../tools/lab/caller.js';
@@ -8,10 +8,10 @@
 const STREAMS = 6;
 const PACE_MS = 20;
 const TOKENS = 70;
-const TOKENS_BEFORE = 30;
+const TOKENS_BEFORE_LOSS = 30;
 const FIXED_TIMEOUT_MS = 5_000;
 
-/** What a baseline cost. */
+/** Wait of the caller and extra computation of a baseline. */
 export interface BaselineResult {
   readonly name: string;
   readonly wait: Samples;
@@ -19,12 +19,12 @@
   readonly prefilledPerLost: number;
 }
 
-/** The connection breaks with the engine; the answer starts from zero. */
+/** The engine dies and closes the connection; the caller restarts from zero. */
 export function measureFromZero(): Promise<BaselineResult> {
   return measure('baseline, from zero', (engine) => engine.proc.kill());
 }
 
-/** The engine falls silent; after a fixed time the answer starts anew. */
+/** The engine stops responding; the caller restarts after a fixed timeout. */
 export function measureFixedTimeout(): Promise<BaselineResult> {
   const name = 'baseline, fixed 5 s time-out';
   return measure(name, (engine) => engine.proc.freeze());
@@ -32,7 +32,7 @@
 
 async function measure(
   name: string,
-  lose: (engine: StandIn) => void,
+  injectLoss: (engine: StandIn) => void,
 ): Promise<BaselineResult> {
   const lab = new Lab();
   const wait = new Samples({name: `${name}: wait`, unit: 'ms'});
@@ -41,7 +41,7 @@
     const first = await lab.startStandIn({name: 'engine', flags});
     const second = await lab.startStandIn({name: 'engine', flags});
     const answers = Array.from({length: STREAMS}, (_, i) =>
-      readTwice({first, second, index: i, lose, wait}),
+      readAcrossLoss({first, second, index: i, injectLoss, wait}),
     );
     const lost = await Promise.all(answers);
     const lostTokens = lost.reduce((sum, tokens) => sum + tokens, 0);
@@ -60,15 +60,15 @@
   }
 }
 
-/** Reads until the loss, then from zero; returns the tokens lost. */
-async function readTwice(options: {
+/** Reads until the loss, then from zero. Returns the number of lost tokens. */
+async function readAcrossLoss(options: {
   first: StandIn;
   second: StandIn;
   index: number;
-  lose: (engine: StandIn) => void;
+  injectLoss: (engine: StandIn) => void;
   wait: Samples;
 }): Promise<number> {
-  const {first, second, index, lose, wait} = options;
+  const {first, second, index, injectLoss, wait} = options;
   const prompt = `baseline ${index} [length=${TOKENS}]`;
   const ask: Ask = {prompt, maxTokens: TOKENS};
   const before = createTranscript();
@@ -82,7 +82,7 @@
     onPiece: ({pieces}) => {
       clearTimeout(timer);
       timer = setTimeout(() => abort.abort(), FIXED_TIMEOUT_MS);
-      if (pieces === TOKENS_BEFORE && index === 0) lose(first);
+      if (pieces === TOKENS_BEFORE_LOSS && index === 0) injectLoss(first);
     },
   }).catch(() => undefined);
   clearTimeout(timer);
@@ -92,7 +92,7 @@
   return before.pieces;
 }
 
-/** From the last token seen to the first one that is new to the caller. */
+/** Time from the last token before the loss to the first new one, in milliseconds. */
 function waitForNew(before: Transcript, after: Transcript): number {
   const next = after.arrivalsMs[before.pieces] ?? after.arrivalsMs.at(-1)!;
   return next - before.arrivalsMs.at(-1)!;
--- a/bench/experiments/resume/index.ts
+++ b/bench/experiments/resume/index.ts
@@ -1,4 +1,4 @@
-/** How long callers wait after a loss, and what the recovery costs. */
+/** Wait of callers after a loss and cost of the recovery. */
 import type {Samples} from '../../lib/samples.js';
 import type {Experiment, ExperimentResult} from '../../lib/types.js';
 import type {BaselineResult} from './baselines.js';
@@ -6,20 +6,20 @@
 import type {LossResult} from './losses.js';
 import {Loss, measureLoss} from './losses.js';
 
-/** Output goes on within this time of any single loss, always. */
-const ALWAYS_MS = 3_000;
+/** Maximum time until output resumes after any single loss. */
+const MAX_WAIT_MS = 3_000;
 
-/** Aims at the 99th percentile, at `latency`. */
+/** Bounds of the 99th percentile with `weigh: latency`. */
 const DEATH_P99_MS = 300;
 const SILENCE_P99_MS = 1_200;
 
-/** Aim at `resources`: one prefill of what was lost. */
-const EXTRA_PREFILLS = 1;
+/** Bound with `weigh: resources`: one prefill of the lost context. */
+const MAX_EXTRA_PREFILLS = 1;
 
 const ROUNDS = 4;
 const STREAMS = 20;
 
-/** Loses engines and VMs under running answers. */
+/** Kills engines and freezes or cuts off VMs while generations run. */
 export const experiment: Experiment = {
   name: 'resume',
   summary: 'wait of callers after a loss, and extra tokens computed for it',
@@ -88,10 +88,10 @@
 
 function createBounds(weigh: string, loss: LossResult) {
   const {name, wait, cost, kind} = loss;
-  const always = atMost(`${name}, max ms`, ALWAYS_MS, maxOf(wait));
+  const always = atMost(`${name}, max ms`, MAX_WAIT_MS, maxOf(wait));
   if (weigh === 'resources') {
     const label = `${name}, extra computation in prefills of what was lost`;
-    return [always, atMost(label, EXTRA_PREFILLS, cost.extraPerPrefill)];
+    return [always, atMost(label, MAX_EXTRA_PREFILLS, cost.extraPerPrefill)];
   }
   const aim = kind === Loss.DEATH ? DEATH_P99_MS : SILENCE_P99_MS;
   return [always, atMost(`${name}, p99 ms`, aim, wait.percentile(99))];
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -1,4 +1,4 @@
-/** Loses a target under running answers, again and again. */
+/** Injects losses of targets while generations run. */
 import {request} from 'undici';
 
 import {expectedOutput} from '../../../stand-ins/engine/text.js';
@@ -14,42 +14,42 @@
 const PACE_MS = 20;
 const TOKENS = 70;
 
-/** Tokens that each answer has when the loss comes. */
-const TOKENS_BEFORE = 30;
+/** Minimum number of tokens of each generation before the loss. */
+const TOKENS_BEFORE_LOSS = 30;
 
-/** Characters of a prompt that the engine counts as one token. */
+/** Prompt characters per token, as counted by the engine. */
 const CHARACTERS_PER_TOKEN = 4;
 
 const MS_PER_S = 1_000;
 
-/** What is lost. */
+/** Kind of a loss. */
 export enum Loss {
   DEATH = 'engine process dies',
   FREEZE = 'VM freezes',
   CUT = 'VM is cut off',
 }
 
-/** What losses of one kind did. */
+/** Results of the losses of one kind. */
 export interface LossResult {
   readonly name: string;
   readonly kind: Loss;
-  /** From the last token before to the first one after, at the caller. */
+  /** Time between the last token before and the first after, at the caller. */
   readonly wait: Samples;
-  /** The entry's own split of it. */
+  /** Phases of the wait, as measured by the entry. */
   readonly parts: readonly CaseResult[];
   readonly cost: ResumeCost;
   readonly wholeShare: number;
 }
 
-/** Extra computation, per lost token that callers had. */
+/** Extra computation per lost token that callers had received. */
 export interface ResumeCost {
-  /** Tokens that other targets prefilled. */
+  /** Tokens prefilled by other targets. */
   readonly prefilled: number;
-  /** Tokens that other targets decoded and nobody got. */
+  /** Tokens decoded by other targets but not received by callers. */
   readonly decoded: number;
-  /** Tokens that the lost target itself decoded and nobody got. */
+  /** Tokens decoded by the lost target but not received by callers. */
   readonly wastedDecodes: number;
-  /** All extra tokens of other targets, per token of one prefill. */
+  /** All extra tokens of other targets, per token of one prefill of the context. */
   readonly extraPerPrefill: number;
 }
 
@@ -125,15 +125,17 @@
     readWhole({urls, ask, transcript: transcripts[i]!}),
   );
   const check = (): Promise<boolean> =>
-    Promise.resolve(transcripts.every((t) => positionOf(t) >= TOKENS_BEFORE));
-  await waitUntil({what: 'the answers have begun', check});
-  const victim = chooseVictim(alive, transcripts);
-  const isLost = transcripts.map((t) => vmOf(t) === victim.vm);
+    Promise.resolve(
+      transcripts.every((t) => positionOf(t) >= TOKENS_BEFORE_LOSS),
+    );
+  await waitUntil({what: 'all streams produce tokens', check});
+  const lostTarget = chooseLostTarget(alive, transcripts);
+  const isLost = transcripts.map((t) => vmOf(t) === lostTarget.vm);
   const atMs = performance.now();
-  const repair = await lose(victim, loss);
+  const recover = await injectLoss(lostTarget, loss);
   await Promise.all(reading);
-  await repair();
-  const others = alive.filter((t) => t !== victim);
+  await recover();
+  const others = alive.filter((t) => t !== lostTarget);
   const after = await readAll(others);
   transcripts.forEach((transcript, i) => {
     if (isLost[i]) wait.add(waitAround(transcript, atMs));
@@ -145,8 +147,15 @@
   tally.decoded += growth(sums, (counts) => counts.tokensProduced);
   tally.prefilled += growth(sums, (counts) => counts.prefillTokens);
   if (loss === Loss.DEATH) return;
-  const own = {before, after: await readAll([victim]), targets: [victim]};
-  tally.wastedDecodes += growth(own, (counts) => counts.tokensProduced);
+  const atLostTarget = {
+    before,
+    after: await readAll([lostTarget]),
+    targets: [lostTarget],
+  };
+  tally.wastedDecodes += growth(
+    atLostTarget,
+    (counts) => counts.tokensProduced,
+  );
 }
 
 function createTally(): Tally {
@@ -177,7 +186,7 @@
   };
 }
 
-/** Takes what an answer needed off what the targets computed. */
+/** Subtracts the necessary computation of a generation from the tally. */
 function addAnswer(options: {
   transcript: Transcript;
   prompt: string;
@@ -199,7 +208,7 @@
   else tally.prefilled -= promptTokens;
 }
 
-/** How much the targets computed between two readings. */
+/** Returns the growth of a counter of the targets between two readings. */
 function growth(
   options: {
     before: ReadonlyMap<string, EngineCounts>;
@@ -215,7 +224,7 @@
   );
 }
 
-async function lose(
+async function injectLoss(
   {standIn, agent, targetRelay, agentRelay}: Target,
   loss: Loss,
 ): Promise<() => Promise<void>> {
@@ -243,8 +252,8 @@
   }
 }
 
-/** The target with the most of the answers. */
-function chooseVictim(
+/** Returns the target with the most generations. */
+function chooseLostTarget(
   targets: readonly Target[],
   transcripts: readonly Transcript[],
 ): Target {
@@ -253,7 +262,7 @@
   return targets.reduce((a, b) => (countOf(b) > countOf(a) ? b : a));
 }
 
-/** The widest gap between arrivals that ends after a moment. */
+/** Returns the longest gap between arrivals that ends after `atMs`. */
 function waitAround({arrivalsMs}: Transcript, atMs: number): number {
   let widest = 0;
   arrivalsMs.forEach((ms, i) => {
@@ -289,7 +298,7 @@
 
 const PARTS = ['detection', 'placement', 'first_token'];
 
-/** Quantiles that the entry kept of each part of its resumes. */
+/** Reads the quantiles of each phase of a resume from the metrics of the entry. */
 async function readParts(site: Site, loss: Loss): Promise<CaseResult[]> {
   const url = `${site.entries[0]!.operatorsUrl}/metrics`;
   const res = await request(url);
--- a/bench/experiments/slopes/consts.ts
+++ b/bench/experiments/slopes/consts.ts
@@ -1,34 +1,34 @@
-/** Targets that the entry watches for the slope per target. */
+/** Number of targets that the entry watches to measure the cost per target. */
 export const WATCHED_TARGETS = 200;
 
-/** Heartbeats a second of each of them while their cost is measured. */
+/** Heartbeats per second and target while their cost is measured. */
 export const HEARTBEATS_PER_SECOND = 10;
 
-/** Streams whose memory is measured, and the size of their prompts. */
+/** Number of streams and prompt size for the memory per stream. */
 export const STREAMS = 300;
 export const PROMPT_CHARACTERS = 2_000;
 
-/** Streams and pace of the slope per token. */
+/** Number and pace of the streams for the cost per token. */
 export const BUSY_STREAMS = 60;
 export const BUSY_PACE_MS = 25;
 
-/** Length of each measurement, in milliseconds. */
+/** Duration of each measurement, in milliseconds. */
 export const WINDOW_MS = 3_000;
 
-/** Length of the measurement with nothing to do, in milliseconds. */
+/** Duration of the idle measurement, in milliseconds. */
 export const IDLE_MS = 5_000;
 
-/** How much slower the engine is while streams are held open. */
+/** Slowdown of the engine while streams are kept open. */
 export const SLOW_FACTOR = 20;
 
-/** Short generations whose cost is measured. */
+/** Number of short generations for the cost per generation. */
 export const REQUESTS = 80;
 
-/** Configuration changes and bookings that are measured. */
+/** Number of configuration changes and bookings for the cost of each. */
 export const CHANGES = 40;
 export const BOOKINGS = 60;
 
-/** What control may cost a node, by the users' word. */
+/** Required upper bounds of the control overhead per node. */
 export const CONTROL_CORE_SHARE = 0.017;
 export const CONTROL_MEMORY_KB = 64 * 1_024;
 export const CONTROL_BYTES_PER_SECOND = 9_000;
--- a/bench/experiments/slopes/fake-targets.ts
+++ b/bench/experiments/slopes/fake-targets.ts
@@ -1,4 +1,4 @@
-/** Many targets that only greet and send heartbeats. */
+/** Fake targets that complete the handshake and send heartbeats. */
 import {SystemClock} from '../../../src/core/clock/index.js';
 import type {HeartbeatMessage} from '../../../src/core/protocol/index.js';
 import {
@@ -12,7 +12,7 @@
 
 const CACHED_PREFIXES = 16;
 
-/** A heartbeat as an agent beside a busy engine sends it. */
+/** Typical heartbeat of the agent of a busy engine. */
 export const SAMPLE_HEARTBEAT: HeartbeatMessage = {
   type: MessageType.HEARTBEAT,
   sequence: 1_000,
@@ -28,7 +28,7 @@
   configVersion: 7,
 };
 
-/** One listener behind as many targets as are registered for its port. */
+/** One listener that serves all targets registered with its port. */
 export class FakeTargets {
   port = 0;
   sent = 0;
@@ -66,7 +66,7 @@
     this.port = (await listening)._unsafeUnwrap();
   }
 
-  /** Sends a heartbeat on every connection each `periodMs`. */
+  /** Sends a heartbeat on every connection each `periodMs` milliseconds. */
   sendHeartbeats(periodMs: number): void {
     clearInterval(this.timer);
     this.timer = setInterval(() => {
--- a/bench/experiments/slopes/index.ts
+++ b/bench/experiments/slopes/index.ts
@@ -1,4 +1,4 @@
-/** What each unit of work costs a process, for docs/CAPACITY.md. */
+/** Cost of each unit of work for a process, used by docs/CAPACITY.md. */
 import {setMaxListeners} from 'node:events';
 
 import {HttpObjectStore} from '../../../src/adapters/index.js';
@@ -37,7 +37,7 @@
 } from './consts.js';
 import {FakeTargets, SAMPLE_HEARTBEAT} from './fake-targets.js';
 
-/** Measures slopes; each case is one figure. */
+/** Measures the cost per unit of work; each case is one figure. */
 export const experiment: Experiment = {
   name: 'slopes',
   summary: 'memory, processor time and platform calls per unit of work',
@@ -69,28 +69,28 @@
   accounts['demo']!['maxConcurrent'] = 10_000;
 }
 
-/** Processor time per second of both roles with nothing to do. */
-interface IdleUse {
+/** Processor time per second of an idle entry and an idle agent. */
+interface IdleUsage {
   readonly entryUs: number;
   readonly agentUs: number;
 }
 
-interface UsePair {
+interface UsagePair {
   readonly entry: ProcessUsage;
   readonly agent: ProcessUsage;
 }
 
-/** Measures one quantity after another at one site. */
+/** Takes the measurements one after the other at one site. */
 class Slopes {
   readonly bounds: BoundResult[] = [];
   private readonly cases: CaseResult[] = [];
   private readonly targets = new FakeTargets();
-  private idle: IdleUse = {entryUs: 0, agentUs: 0};
+  private idle: IdleUsage = {entryUs: 0, agentUs: 0};
 
   constructor(private readonly site: Site) {}
 
   async measure(): Promise<CaseResult[]> {
-    await this.warm();
+    await this.warmUp();
     await this.measureIdle();
     await this.measureTokens();
     await this.measureRequests();
@@ -102,17 +102,17 @@
     return this.cases;
   }
 
-  /** Lets the programs compile what they run often. */
-  private async warm(): Promise<void> {
+  /** Sends load so that the JIT compiler optimizes frequently run code. */
+  private async warmUp(): Promise<void> {
     await this.stream({streams: BUSY_STREAMS, tokens: 40, prompt: 'warm'});
     for (let i = 0; i < BOOKINGS; i++) await this.book(`warm-${i}`);
   }
 
   private async measureIdle(): Promise<void> {
     const callsBefore = await this.countCalls();
-    const before = this.read();
+    const before = this.readUsages();
     await sleep(IDLE_MS);
-    const after = this.read();
+    const after = this.readUsages();
     const calls = (await this.countCalls()) - callsBefore;
     const seconds = IDLE_MS / MS_PER_SECOND;
     this.idle = {
@@ -129,9 +129,9 @@
   private async measureTokens(): Promise<void> {
     const tokens = Math.round(WINDOW_MS / BUSY_PACE_MS);
     const startMs = performance.now();
-    const before = this.read();
+    const before = this.readUsages();
     await this.stream({streams: BUSY_STREAMS, tokens, prompt: 'busy'});
-    const after = this.read();
+    const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     const relayed = BUSY_STREAMS * tokens;
     const entryUs = after.entry.cpuUs - before.entry.cpuUs;
@@ -143,12 +143,12 @@
   }
 
   private async measureRequests(): Promise<void> {
-    const before = this.read();
+    const before = this.readUsages();
     const startMs = performance.now();
     for (let i = 0; i < REQUESTS; i++) {
       await this.stream({streams: 1, tokens: 1, prompt: `short ${i}`});
     }
-    const after = this.read();
+    const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     const us = after.entry.cpuUs - before.entry.cpuUs;
     const perRequest = (us - this.idle.entryUs * seconds) / REQUESTS;
@@ -157,10 +157,10 @@
 
   private async measureBookings(): Promise<void> {
     const callsBefore = await this.countCalls();
-    const before = this.read();
+    const before = this.readUsages();
     const startMs = performance.now();
     for (let i = 0; i < BOOKINGS; i++) await this.book(`slopes-${i}`);
-    const after = this.read();
+    const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     await sleep(WINDOW_MS / 4);
     const calls = (await this.countCalls()) - callsBefore;
@@ -172,10 +172,10 @@
 
   private async measureConfig(): Promise<void> {
     const store = new HttpObjectStore({baseUrl: this.site.platform.url});
-    const read = (await store.read(CONFIG_OBJECT))._unsafeUnwrap();
-    const stored = read.extract()!;
+    const response = (await store.read(CONFIG_OBJECT))._unsafeUnwrap();
+    const stored = response.extract()!;
     const callsBefore = await this.countCalls();
-    const before = this.read();
+    const before = this.readUsages();
     const startMs = performance.now();
     let expectedVersion = stored.version;
     for (let i = 0; i < CHANGES; i++) {
@@ -184,7 +184,7 @@
       expectedVersion = (await store.update(update))._unsafeUnwrap().version;
       await sleep(50);
     }
-    const after = this.read();
+    const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     const calls = (await this.countCalls()) - callsBefore;
     const us = after.entry.cpuUs - before.entry.cpuUs;
@@ -196,7 +196,7 @@
 
   private async measureStreams(): Promise<void> {
     await this.slowEngine();
-    const before = this.read();
+    const before = this.readUsages();
     const ended = new AbortController();
     setMaxListeners(STREAMS + 1, ended.signal);
     let started = 0;
@@ -217,7 +217,7 @@
     const check = (): Promise<boolean> => Promise.resolve(started === STREAMS);
     await waitUntil({what: 'all streams run', check});
     await sleep(MS_PER_SECOND);
-    const after = this.read();
+    const after = this.readUsages();
     ended.abort();
     await Promise.all(reading);
     this.addMemory('entry: memory per stream', {before, after}, STREAMS);
@@ -227,22 +227,22 @@
   private async measureWatched(): Promise<void> {
     const {targets} = this;
     await targets.open();
-    const before = this.read();
+    const before = this.readUsages();
     for (let i = 0; i < WATCHED_TARGETS; i++)
       await this.registerFake(i, targets.port);
     const check = (): Promise<boolean> =>
       Promise.resolve(targets.connected >= WATCHED_TARGETS);
-    await waitUntil({what: 'the entry watches all', check});
+    await waitUntil({what: 'the entry watches all targets', check});
     targets.sendHeartbeats(MS_PER_SECOND);
     await sleep(WINDOW_MS);
-    const quiet = this.read();
+    const quiet = this.readUsages();
     this.addMemory(
       'entry: memory per watched target',
       {before, after: quiet},
       WATCHED_TARGETS,
     );
-    const slow = await this.measureBeats(targets, MS_PER_SECOND);
-    const fast = await this.measureBeats(
+    const slow = await this.measureHeartbeats(targets, MS_PER_SECOND);
+    const fast = await this.measureHeartbeats(
       targets,
       MS_PER_SECOND / HEARTBEATS_PER_SECOND,
     );
@@ -255,29 +255,29 @@
     this.add('peer: bytes of a heartbeat', 'bytes', bytes);
     const bare = encodeFrame({...SAMPLE_HEARTBEAT, cachedPrefixes: []}).length;
     this.add('peer: bytes of a heartbeat without prefixes', 'bytes', bare);
-    this.bound({use: slow, residentKb: quiet.entry.residentKb, bytes});
+    this.addBounds({use: slow, residentKb: quiet.entry.residentKb, bytes});
     targets.sendHeartbeats(MS_PER_SECOND);
   }
 
-  /** Processor time and heartbeats a second at a period. */
-  private async measureBeats(
+  /** Measures processor time and heartbeats per second at a heartbeat period. */
+  private async measureHeartbeats(
     targets: FakeTargets,
     periodMs: number,
   ): Promise<{us: number; beats: number}> {
     targets.sendHeartbeats(periodMs);
     await sleep(periodMs);
     const sent = targets.sent;
-    const before = this.read().entry.cpuUs;
+    const before = this.readUsages().entry.cpuUs;
     await sleep(WINDOW_MS);
     const seconds = WINDOW_MS / MS_PER_SECOND;
     return {
-      us: (this.read().entry.cpuUs - before) / seconds,
+      us: (this.readUsages().entry.cpuUs - before) / seconds,
       beats: (targets.sent - sent) / seconds,
     };
   }
 
-  /** Whether control stays within the users' limits for a node. */
-  private bound(options: {
+  /** Compares the control overhead with the required bounds per node. */
+  private addBounds(options: {
     use: {us: number; beats: number};
     residentKb: number;
     bytes: number;
@@ -305,7 +305,7 @@
     }
   }
 
-  /** Slows the engine so that streams stay open and cost little. */
+  /** Slows the engine down so that streams stay open at little cost. */
   private async slowEngine(): Promise<void> {
     const url = `${this.site.engines[0]!.standIn.url}/faults`;
     const body = {kind: 'slow', factor: SLOW_FACTOR};
@@ -363,7 +363,7 @@
     return counts.total;
   }
 
-  private read(): UsePair {
+  private readUsages(): UsagePair {
     return {
       entry: readUsage(this.site.entries[0]!.proc.pid),
       agent: readUsage(this.site.engines[0]!.agent.proc.pid),
@@ -372,7 +372,7 @@
 
   private addMemory(
     name: string,
-    pair: {before: UsePair; after: UsePair},
+    pair: {before: UsagePair; after: UsagePair},
     count: number,
   ): void {
     const role = name.startsWith('entry') ? 'entry' : 'agent';
--- a/bench/experiments/storm/index.ts
+++ b/bench/experiments/storm/index.ts
@@ -1,4 +1,4 @@
-/** A third of the engines lost at full load, with callers that retry at once. */
+/** Loss of a third of the engines at full load with callers that retry at once. */
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import {sendControl} from '../../../tools/lab/lab.js';
 import type {Target} from '../../../tools/lab/site.js';
@@ -20,15 +20,15 @@
 const BIN_MS = 500;
 const RAMP_MS = 2_000;
 
-/** Times that a caller asks again at once when it is refused. */
-const IMPATIENCE = 3;
+/** Immediate retries of a caller after a refusal. */
+const IMMEDIATE_RETRIES = 3;
 
-/** Answers a second of one engine. */
+/** Capacity of one engine, in requests per second. */
 const ENGINE_RATE = (SLOTS * 1_000) / (PACE_MS * TOKENS);
 
 const AMPLIFICATION_TARGET = 1.1;
 
-/** Measures goodput and work sent twice around the loss. */
+/** Measures goodput around the loss and the amplification by retries. */
 export const experiment: Experiment = {
   name: 'storm',
   summary: 'goodput and amplification when a third of the engines is lost',
@@ -64,19 +64,23 @@
   const timesMs = poissonArrivals({perSecond, forMs: FOR_MS, random});
   const startMs = performance.now();
   const ends: RequestResult[] = [];
-  const lost = sleep(LOSS_AT_MS).then(() => loseEngine(site.engines[0]!));
+  const startedAtLost = sleep(LOSS_AT_MS).then(() =>
+    killEngine(site.engines[0]!),
+  );
   await runAtTimes({
     timesMs,
     run: async (index) => {
-      for (let i = 0; i <= IMPATIENCE; i++) {
+      for (let i = 0; i <= IMMEDIATE_RETRIES; i++) {
         const end = await sendOne(createLoad(url), index);
         ends.push({...end, endedAtMs: performance.now() - startMs});
         if (!end.refused) return;
       }
     },
   });
-  const left = await Promise.all(site.engines.slice(1).map(startedAt));
-  const started = left.reduce((a, b) => a + b, await lost);
+  const startedAtOthers = await Promise.all(
+    site.engines.slice(1).map(countStarted),
+  );
+  const started = startedAtOthers.reduce((a, b) => a + b, await startedAtLost);
   return summarise(ends, started);
 }
 
@@ -91,15 +95,15 @@
   };
 }
 
-/** Ends an engine and its agent; returns what it had started. */
-async function loseEngine(target: Target): Promise<number> {
-  const started = await startedAt(target);
+/** Kills an engine and its agent. Returns the number of generations started. */
+async function killEngine(target: Target): Promise<number> {
+  const started = await countStarted(target);
   target.standIn.proc.kill();
   target.agent.proc.kill();
   return started;
 }
 
-async function startedAt(target: Target): Promise<number> {
+async function countStarted(target: Target): Promise<number> {
   const url = `${target.standIn.url}/counts`;
   const counts = (await sendControl({url})) as {started: number};
   return counts.started;
@@ -161,7 +165,7 @@
   };
 }
 
-/** Answers in time a second between two times. */
+/** Returns the rate of requests that met their deadline between two times. */
 function goodput(
   ends: readonly RequestResult[],
   fromMs: number,
