--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -1,6 +1,6 @@
 /**
- * The text that the model engine writes. Token `i` depends on the prompt and
- * on `i` alone, so that any answer can be checked whole.
+ * Deterministic output of the model engine. Token `i` depends only on the
+ * prompt and on `i`, so that tests can compute the expected output.
  */
 import {StringDecoder} from 'node:string_decoder';
 
@@ -12,8 +12,8 @@
 
 const HASH = await xxhash();
 
-/** Length in tokens of an answer whose prompt names none. */
-export const DEFAULT_NATURAL_LENGTH = 200;
+/** Tokens of an output if the prompt has no `[length=N]`. */
+export const DEFAULT_LENGTH_TOKENS = 200;
 
 const LENGTH_MARK = /\[length=(\d+)\]/;
 
@@ -21,21 +21,21 @@
 const MIX_A = 0x85ebca6b;
 const MIX_B = 0xc2b2ae35;
 
-/** What decides an answer. */
-export interface AnswerSpec {
+/** Parameters that determine an output. */
+export interface OutputSpec {
   readonly prompt: string;
   readonly maxTokens: number;
   readonly stop: readonly string[];
 }
 
-/** A whole answer. */
-export interface Answer {
+/** A complete output. */
+export interface Output {
   readonly tokens: readonly Token[];
   readonly finishReason: FinishReason;
 }
 
-/** Writes one answer, token by token, from any position on. */
-export class AnswerWriter {
+/** Generates one output token by token, optionally after given tokens. */
+export class OutputGenerator {
   private readonly decoder = new StringDecoder('utf8');
   private readonly ids: number[] = [];
   private readonly seed: number;
@@ -45,21 +45,21 @@
   private stopped = false;
 
   constructor(
-    private readonly spec: AnswerSpec,
+    private readonly spec: OutputSpec,
     resumeIds: readonly number[] = [],
   ) {
     this.seed = HASH.h32(spec.prompt);
     this.naturalLength = naturalLengthOf(spec.prompt);
     this.stop = spec.stop.filter((text) => text !== '');
-    for (const id of resumeIds) this.take(id);
+    for (const id of resumeIds) this.append(id);
   }
 
-  /** Ids of the answer so far, the resumed ones included. */
+  /** Token ids so far, including those that the generation resumed from. */
   get tokenIds(): readonly number[] {
     return this.ids;
   }
 
-  /** Why the answer is over; undefined while it goes on. */
+  /** Reason for the end of the output; undefined before the end. */
   get finishReason(): FinishReason | undefined {
     if (this.stopped) return FinishReason.STOP;
     if (this.ids.length >= this.naturalLength) return FinishReason.STOP;
@@ -67,12 +67,12 @@
     return undefined;
   }
 
-  /** Writes the next token. */
+  /** Generates the next token. */
   next(): Token {
-    return this.take(tokenIdAt(this.seed, this.ids.length));
+    return this.append(tokenIdAt(this.seed, this.ids.length));
   }
 
-  private take(id: number): Token {
+  private append(id: number): Token {
     const text = this.decoder.write(bytesOf(id));
     this.ids.push(id);
     this.tail += text;
@@ -84,14 +84,14 @@
 }
 
 /**
- * Returns the whole answer. The token that completes a stop string is its
+ * Returns the complete output. The token that completes a stop string is the
  * last one.
  *
  * @example
  * expectedAnswer({prompt: 'Draft a quote', maxTokens: 50, stop: []}).tokens;
  */
-export function expectedAnswer(spec: AnswerSpec): Answer {
-  const writer = new AnswerWriter(spec);
+export function expectedOutput(spec: OutputSpec): Output {
+  const writer = new OutputGenerator(spec);
   const tokens: Token[] = [];
   for (;;) {
     const finishReason = writer.finishReason;
@@ -102,7 +102,7 @@
 
 function naturalLengthOf(prompt: string): number {
   const mark = LENGTH_MARK.exec(prompt);
-  return mark === null ? DEFAULT_NATURAL_LENGTH : Number(mark[1]);
+  return mark === null ? DEFAULT_LENGTH_TOKENS : Number(mark[1]);
 }
 
 function tokenIdAt(seed: number, position: number): number {
--- a/stand-ins/relay/control.ts
+++ b/stand-ins/relay/control.ts
@@ -1,4 +1,4 @@
-/** The relay's control port. */
+/** HTTP control server of a relay. */
 import {numberField} from '../lib/fields.js';
 import type {HttpCall, RunningServer} from '../lib/http-server.js';
 import {
@@ -36,7 +36,7 @@
     case 'reset':
       return relay.reset();
     case 'mend':
-      return relay.mend();
+      return relay.restore();
     case 'delay':
       return relay.delay(numberField(body, 'ms', 0));
     default:
--- a/stand-ins/site/target-fault.ts
+++ b/stand-ins/site/target-fault.ts
@@ -1,68 +1,68 @@
-/** What a target on the platform answers, with each of its faults. */
+/** Responses of a target on the platform, correct or with a fault. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {Header} from '../../platform/names.js';
 
-/** What a target does with its next requests. */
-export enum Fault {
+/** How a target handles its requests. */
+export enum TargetFault {
   NONE = 'none',
-  /** Answers 500 after it ran. */
+  /** Runs and responds 500. */
   ERROR = 'error',
-  /** Says that it has no room. */
+  /** Rejects without running, as a target without a free slot does. */
   REJECT = 'reject',
-  /** Runs, then breaks the connection. */
-  CUT = 'cut',
-  /** Breaks off half an answer that has no length, with a reset. */
-  UNFRAMED_RESET = 'unframed_reset',
-  /** Answers without a length, whole. */
-  UNFRAMED = 'unframed',
-  /** Claims a longer body than it sends. */
-  SHORT = 'short',
-  /** Answers with the id of another request. */
-  FOREIGN = 'foreign',
-  /** Answers without proof that the answer is its own. */
-  UNPROVEN = 'unproven',
-  /** Answers twice on one connection. */
-  TWICE = 'twice',
-  /** Runs and never answers. */
+  /** Runs and closes the connection without a response. */
+  CLOSE_CONNECTION = 'cut',
+  /** Sends part of a response without `Content-Length` and resets. */
+  NO_CONTENT_LENGTH_RESET = 'unframed_reset',
+  /** Sends a complete response without `Content-Length`. */
+  NO_CONTENT_LENGTH = 'unframed',
+  /** Sends less than `Content-Length` and ends the connection. */
+  TRUNCATED_BODY = 'short',
+  /** Responds with the attempt id of another request. */
+  WRONG_ATTEMPT_ID = 'foreign',
+  /** Responds without `Server-Stamp`, which identifies a target's response. */
+  NO_SERVER_STAMP = 'unproven',
+  /** Sends two responses to one request. */
+  DUPLICATE_RESPONSE = 'twice',
+  /** Runs and never responds. */
   HANG = 'hang',
-  /** Sends a head without end. */
+  /** Sends a response header that never ends. */
   ENDLESS_HEAD = 'endless_head',
-  /** Sends a body without end, whatever it is asked. */
+  /** Sends a response body that never ends. */
   ENDLESS_BODY = 'endless_body',
-  /** The same as a failure of its own. */
+  /** Sends a 500 response whose body never ends. */
   ENDLESS_FAILURE = 'endless_failure',
-  /** Sends bytes that are no answer, without end. */
-  ENDLESS_NOISE = 'endless_noise',
-  /** Breaks the connections of what runs, and stays up. */
-  DROP_RUNS = 'drop_runs',
+  /** Sends bytes that are not HTTP and never end. */
+  ENDLESS_INVALID = 'endless_noise',
+  /** Closes the connection of each stream; the target stays up. */
+  DROP_STREAMS = 'drop_runs',
 }
 
-const ENDLESS: ReadonlySet<Fault> = new Set([
-  Fault.ENDLESS_HEAD,
-  Fault.ENDLESS_BODY,
-  Fault.ENDLESS_FAILURE,
-  Fault.ENDLESS_NOISE,
+const ENDLESS: ReadonlySet<TargetFault> = new Set([
+  TargetFault.ENDLESS_HEAD,
+  TargetFault.ENDLESS_BODY,
+  TargetFault.ENDLESS_FAILURE,
+  TargetFault.ENDLESS_INVALID,
 ]);
 
-/** Bytes that an endless answer sends at a time. */
-const PIECE_BYTES = 65_536;
+/** Bytes per write of an endless response. */
+const CHUNK_BYTES = 65_536;
 
-/** Whether a fault sends bytes until the caller closes. */
-export function isEndless(fault: Fault): boolean {
+/** Returns whether a fault sends bytes until the client closes. */
+export function isEndless(fault: TargetFault): boolean {
   return ENDLESS.has(fault);
 }
 
 /**
- * Answers a plain call, soundly or with a fault.
+ * Responds to a plain call, correctly or with a fault.
  *
  * @example
- * answerWith({req, res, fault: Fault.SHORT, id: 'i-1'});
+ * sendResponse({req, res, fault: TargetFault.TRUNCATED_BODY, id: 'i-1'});
  */
-export function answerWith(options: {
+export function sendResponse(options: {
   req: IncomingMessage;
   res: ServerResponse;
-  fault: Fault;
+  fault: TargetFault;
   /** Id of the target. */
   id: string;
 }): void {
@@ -71,45 +71,45 @@
   const text = `answer to ${attemptId}`;
   const head = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s-${targetId}\r\n`;
   const {socket} = req;
-  const sized = (id: string) =>
+  const withContentLength = (id: string) =>
     `HTTP/1.1 200 OK\r\nAttempt-Id: ${id}\r\nServer-Stamp: s\r\n` +
     `Content-Length: ${text.length}\r\n\r\n${text}`;
   switch (fault) {
-    case Fault.ERROR:
+    case TargetFault.ERROR:
       res.writeHead(500, {
         [Header.ATTEMPT_ID]: attemptId,
         'Server-Stamp': 's',
       });
       res.end('failed');
       break;
-    case Fault.CUT:
+    case TargetFault.CLOSE_CONNECTION:
       socket.destroy();
       break;
-    case Fault.UNFRAMED_RESET:
+    case TargetFault.NO_CONTENT_LENGTH_RESET:
       socket.write(`HTTP/1.1 200 OK\r\n${head}\r\n${text.slice(0, 5)}`, () =>
         setTimeout(() => socket.resetAndDestroy(), 10),
       );
       break;
-    case Fault.UNFRAMED:
+    case TargetFault.NO_CONTENT_LENGTH:
       socket.end(`HTTP/1.1 200 OK\r\n${head}\r\n${text}`);
       break;
-    case Fault.SHORT:
+    case TargetFault.TRUNCATED_BODY:
       socket.end(
         `HTTP/1.1 200 OK\r\n${head}Content-Length: 900\r\n\r\n${text}`,
       );
       break;
-    case Fault.FOREIGN:
-      socket.write(sized('another'));
+    case TargetFault.WRONG_ATTEMPT_ID:
+      socket.write(withContentLength('another'));
       break;
-    case Fault.UNPROVEN:
+    case TargetFault.NO_SERVER_STAMP:
       res.writeHead(200, {[Header.ATTEMPT_ID]: attemptId});
       res.end(text);
       break;
-    case Fault.TWICE:
-      socket.write(sized(attemptId));
-      setTimeout(() => socket.write(sized(attemptId)), 20);
+    case TargetFault.DUPLICATE_RESPONSE:
+      socket.write(withContentLength(attemptId));
+      setTimeout(() => socket.write(withContentLength(attemptId)), 20);
       break;
-    case Fault.HANG:
+    case TargetFault.HANG:
       break;
     default:
       res.writeHead(200, {
@@ -121,32 +121,32 @@
 }
 
 /**
- * Writes as fast as it is read, until the caller closes.
+ * Sends bytes as fast as the client reads, until it closes.
  *
  * @example
- * sendEndless({req, fault: Fault.ENDLESS_HEAD, onBytes: count});
+ * sendEndlessResponse({req, fault: TargetFault.ENDLESS_HEAD, onBytes: count});
  */
-export function sendEndless(options: {
+export function sendEndlessResponse(options: {
   req: IncomingMessage;
-  fault: Fault;
-  /** Told of the bytes of each write. */
+  fault: TargetFault;
+  /** Called with the size of each write. */
   onBytes: (bytes: number) => void;
 }): void {
   const {req, fault, onBytes} = options;
   const {socket, headers} = req;
   const attemptId = String(headers[Header.ATTEMPT_ID] ?? '');
-  const proof = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s\r\n`;
-  const starts: Partial<Record<Fault, string>> = {
-    [Fault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${proof}X: `,
-    [Fault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${proof}\r\n`,
-    [Fault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${proof}\r\n`,
+  const requiredHeaders = `Attempt-Id: ${attemptId}\r\nServer-Stamp: s\r\n`;
+  const heads: Partial<Record<TargetFault, string>> = {
+    [TargetFault.ENDLESS_HEAD]: `HTTP/1.1 200 OK\r\n${requiredHeaders}X: `,
+    [TargetFault.ENDLESS_BODY]: `HTTP/1.1 200 OK\r\n${requiredHeaders}\r\n`,
+    [TargetFault.ENDLESS_FAILURE]: `HTTP/1.1 500 Failed\r\n${requiredHeaders}\r\n`,
   };
-  socket.write(starts[fault] ?? '');
-  const piece = Buffer.alloc(PIECE_BYTES, 'x');
-  const step = () => {
+  socket.write(heads[fault] ?? '');
+  const chunk = Buffer.alloc(CHUNK_BYTES, 'x');
+  const writeChunk = () => {
     if (socket.destroyed) return;
-    onBytes(piece.length);
-    socket.write(piece, () => setImmediate(step));
+    onBytes(chunk.length);
+    socket.write(chunk, () => setImmediate(writeChunk));
   };
-  step();
+  writeChunk();
 }
--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -9,7 +9,7 @@
   FinishReason,
 } from '../../src/core/edges/index.js';
 import {startEngine} from '../../stand-ins/engine/server.js';
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {
   EngineCounts,
   EngineOptions,
@@ -61,7 +61,7 @@
   it.each(OUTPUTS)('returns output $name', async (request) => {
     const driver = new HttpEngineDriver({baseUrl: await openEngine()});
     const outcome = await generate({driver, spec: createSpec(request)});
-    expect(outcome).toEqual(expectedAnswer(request));
+    expect(outcome).toEqual(expectedOutput(request));
   });
 
   it.each(OUTPUTS)(
@@ -69,7 +69,7 @@
     async (request) => {
       const driver = new HttpEngineDriver({baseUrl: await openEngine()});
       const spec = createSpec(request);
-      const expected = expectedAnswer(request);
+      const expected = expectedOutput(request);
       const positions = [...expected.tokens.keys(), expected.tokens.length];
       const resumed = positions.map((position) =>
         generate({
@@ -106,7 +106,7 @@
     const outcomes = await Promise.all(
       requests.map((request) => generate({driver, spec: createSpec(request)})),
     );
-    expect(outcomes).toEqual(requests.map(expectedAnswer));
+    expect(outcomes).toEqual(requests.map(expectedOutput));
   });
 
   it('cancels the generation and calls no sink method afterwards', async () => {
--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -4,7 +4,7 @@
 import {Client, request} from 'undici';
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {Transcript} from '../../tools/lab/caller.js';
 import {
   createTranscript,
@@ -38,7 +38,7 @@
   const req = {prompt: `stop test [length=${tokens}]`, maxTokens: tokens};
   const url = site.entries[0]!.callersUrl;
   await readStream({url, req, transcript, onChunk});
-  const output = expectedAnswer({...req, stop: []});
+  const output = expectedOutput({...req, stop: []});
   const text = output.tokens.map((token) => token.text).join('');
   expect(transcript).toMatchObject({
     text,
--- a/test/processes/generation-early-end.test.ts
+++ b/test/processes/generation-early-end.test.ts
@@ -1,7 +1,7 @@
 /** Engines that end too early after a resume; stop strings across attempts. */
 import {afterEach, describe, expect, it} from 'vitest';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {NamedValues} from '../../tools/lab/lab.js';
 import {
   expectedTextOf,
@@ -21,7 +21,7 @@
 /** Text of eight tokens from the middle on, shortly after the fault. */
 function stopAfterResume(): string {
   const spec = {prompt: PROMPT, maxTokens: LENGTH, stop: []};
-  const {tokens} = expectedAnswer(spec);
+  const {tokens} = expectedOutput(spec);
   const middle = tokens.slice(LENGTH / 2, LENGTH / 2 + 8);
   return middle.map((token) => token.text).join('');
 }
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,5 +1,5 @@
 /** A small site in which tests fail engines, agents and entries. */
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
 import type {Daemon, StandIn} from '../../tools/lab/lab.js';
@@ -54,7 +54,7 @@
 /** The complete text that an engine generates for a request. */
 export function expectedTextOf(req: CompletionRequest): string {
   const {prompt, maxTokens, stop = []} = req;
-  const {tokens} = expectedAnswer({prompt, maxTokens, stop});
+  const {tokens} = expectedOutput({prompt, maxTokens, stop});
   return tokens.map((token) => token.text).join('');
 }
 
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -2,7 +2,7 @@
 import type {Dispatcher} from 'undici';
 import {Agent, request} from 'undici';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import {createTranscript, DEMO_KEY, readStream} from './caller.js';
 import type {Site} from './site.js';
 
@@ -147,7 +147,7 @@
       }
       if (transcript.doneEvents === 0) await pause();
     }
-    const expected = expectedAnswer({prompt, maxTokens: tokens, stop: []});
+    const expected = expectedOutput({prompt, maxTokens: tokens, stop: []});
     const text = expected.tokens.map((token) => token.text).join('');
     const isComplete = transcript.text === text && transcript.doneEvents === 1;
     if (isComplete && transcript.restarts === 0) this.tally.generations.done++;
--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -5,7 +5,7 @@
  */
 import {request} from 'undici';
 
-import {expectedAnswer} from '../../stand-ins/engine/text.js';
+import {expectedOutput} from '../../stand-ins/engine/text.js';
 import {DEMO_KEY, readWithResume} from '../lab/caller.js';
 import {sendControl} from '../lab/lab.js';
 import type {Target} from '../lab/site.js';
@@ -43,7 +43,7 @@
       void pendingKill.then((target) => target.standIn.proc.kill());
     },
   });
-  const expected = expectedAnswer({
+  const expected = expectedOutput({
     prompt: PROMPT,
     maxTokens: MAX_TOKENS,
     stop: [],
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -4,7 +4,7 @@
 import {StoreObjectKind} from '../../platform/names.js';
 import {Direction} from '../../stand-ins/relay/relay.js';
 import {StoreMode} from '../../stand-ins/site/store.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {entryComponent, targetComponent} from './checks/index.js';
 import {DRAIN_NOTICE_MS, ZONES} from './consts.js';
 import {STORE_COMPONENT} from './history.js';
@@ -129,7 +129,7 @@
     }),
   [FaultKind.TARGET_LEAVE]: (stage) => drainTarget(stage),
   [FaultKind.TARGET_FAULTY]: ({site, target, planned}) => {
-    const faults = Object.values(Fault);
+    const faults = Object.values(TargetFault);
     const fault = faults[Math.floor(planned.variant * faults.length)]!;
     return withRecordedTargetFaults({site, planned}, [target], () =>
       site.applyTargetFault(target, fault, planned.durationMs),
@@ -154,7 +154,7 @@
     withRecordedTargetFaults({site, planned}, [target], async () => {
       target.relay.delay(planned.variant * MAX_DELAY_MS);
       await sleep(planned.durationMs);
-      target.relay.mend();
+      target.relay.restore();
     }),
   [FaultKind.ZONE_KILL]: ({site, zone, planned}) =>
     withRecordedTargetFaults({site, planned}, zone, async () => {
@@ -227,7 +227,7 @@
   return withRecordedFault({site, planned, parts}, async () => {
     entry.storeRelay.cut(directions);
     await sleep(planned.durationMs);
-    entry.storeRelay.mend();
+    entry.storeRelay.restore();
   });
 }
 
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -3,8 +3,8 @@
 
 import {StoreObjectKind} from '../../platform/names.js';
 import type {Direction} from '../../stand-ins/relay/relay.js';
-import {KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
-import {Fault} from '../../stand-ins/site/target-fault.js';
+import {API_KEY, SiteService, siteConfig} from '../../stand-ins/site/config.js';
+import {TargetFault} from '../../stand-ins/site/target-fault.js';
 import {KEY_LIFETIME_VERSIONS} from './checks/control.js';
 import {STREAM_DEADLINE_MS, ZONES} from './consts.js';
 import type {History} from './history.js';
@@ -30,7 +30,7 @@
 
 /** Key added by a configuration version; the permanent key for version 0. */
 export function keyOf(version: number): string {
-  return version === 0 ? KEY : `key-${version}`;
+  return version === 0 ? API_KEY : `key-${version}`;
 }
 
 /** Owns all processes of a run; must be closed after use. */
@@ -130,12 +130,12 @@
   /** Makes a target respond incorrectly for a time. */
   async applyTargetFault(
     target: SoakTarget,
-    fault: Fault,
+    fault: TargetFault,
     durationMs: number,
   ): Promise<void> {
     await target.standIn.execute('setFault', fault);
     await sleep(durationMs);
-    await target.standIn.execute('setFault', Fault.NONE);
+    await target.standIn.execute('setFault', TargetFault.NONE);
   }
 
   /** Cuts the connections to targets for a time. */
@@ -146,7 +146,7 @@
   ): Promise<void> {
     for (const {relay} of targets) relay.cut(directions);
     await sleep(durationMs);
-    for (const {relay} of targets) relay.mend();
+    for (const {relay} of targets) relay.restore();
   }
 
   /** Kills all processes and waits until they have exited. */
