--- a/bench/lib/load-run.ts
+++ b/bench/lib/load-run.ts
@@ -63,7 +63,8 @@
   await readStream({url, req: ask, transcript, signal}).catch(() => undefined);
   clearTimeout(timer);
   const tookMs = performance.now() - startedMs;
-  const isComplete = transcript.doneEvents === 1 && transcript.finishReason !== '';
+  const isComplete =
+    transcript.doneEvents === 1 && transcript.finishReason !== '';
   const problem = transcript.errors[0] as {retryAfterMs?: number} | undefined;
   return {
     index,
--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -87,7 +87,7 @@
   const claim: Claim = {
     nonce,
     // Without a target the claim is voided. The key can then never run, so the
-    // verdict Ran.NO remains true.
+    // verdict Executed.NO remains true.
     state: target === undefined ? ClaimState.VOIDED : ClaimState.HELD,
     fingerprint: state.fingerprint,
     agentVm: target?.vm ?? '',
--- a/src/core/booking/decide-ran.ts
+++ b/src/core/booking/decide-ran.ts
@@ -1,6 +1,6 @@
 /**
  * Decides from typed evidence whether a refused booking ran, as a pure
- * function. The verdict is Ran.NO only if no later event can make it false.
+ * function. The verdict is Executed.NO only if no later event can make it false.
  */
 import {Executed, RefusalReason} from '../errors/refusals.js';
 
@@ -50,7 +50,7 @@
  * Decides what the refusal of a booking states.
  *
  * @example
- * decideRan({kind: EvidenceKind.AGENT_GONE}).ran; // Ran.UNKNOWN
+ * decideRan({kind: EvidenceKind.AGENT_GONE}).ran; // Executed.UNKNOWN
  */
 export function decideRan(evidence: Evidence): Verdict {
   return VERDICTS[evidence.kind];
--- a/src/direct/streams/stream-durations.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -5,10 +5,10 @@
 import {MinGenerationTime, toPosition} from '../../core/streams/index.js';
 
 /**
- * One `StreamTime` for each service.
+ * One `MinGenerationTime` for each service.
  *
  * @example
- * durations.of('drafts').isHopeless({need, leftMs});
+ * durations.of('drafts').cannotFinish({need, leftMs});
  */
 export class StreamDurations {
   private readonly durations = new Map<string, MinGenerationTime>();
