--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -88,7 +88,7 @@
  * last one.
  *
  * @example
- * expectedAnswer({prompt: 'Draft a quote', maxTokens: 50, stop: []}).tokens;
+ * expectedOutput({prompt: 'Draft a quote', maxTokens: 50, stop: []}).tokens;
  */
 export function expectedOutput(spec: OutputSpec): Output {
   const writer = new OutputGenerator(spec);
