--- a/src/core/streams/index.ts
+++ b/src/core/streams/index.ts
@@ -3,5 +3,5 @@
 export type {RawEvent} from './event-splitter.js';
 export {EventSplitter, toPosition} from './event-splitter.js';
 export {probeDelayMs, stallTimeoutMs} from './stall-timeout.js';
-export type {GenerationSample, GenerationSize} from './min-generation-time.js';
+export type {GenerationNeed, GenerationSample} from './min-generation-time.js';
 export {MinGenerationTime} from './min-generation-time.js';
--- a/src/core/streams/min-generation-time.ts
+++ b/src/core/streams/min-generation-time.ts
@@ -11,8 +11,8 @@
 /** Share of the shortest time below which the remaining time is too short. */
 const REFUSAL_FACTOR = 0.8;
 
-/** Size of a generation as known on arrival. */
-export interface GenerationSize {
+/** Work that a requested generation needs, as known on its arrival. */
+export interface GenerationNeed {
   readonly promptTokens: number;
   /** Maximum number of events. */
   readonly maxEvents: number;
@@ -61,7 +61,7 @@
   }
 
   /** Shortest time for a generation, in milliseconds; 0 while unknown. */
-  shortestMs(need: GenerationSize): number {
+  shortestMs(need: GenerationNeed): number {
     if (this.samples < MIN_SAMPLES) return 0;
     const {promptTokens, maxEvents, receivedEvents} = need;
     const events = Math.max(0, maxEvents * this.eventShare - receivedEvents);
@@ -69,7 +69,7 @@
   }
 
   /** Whether a generation cannot finish in the remaining time. */
-  cannotFinish(options: {need: GenerationSize; leftMs: number}): boolean {
+  cannotFinish(options: {need: GenerationNeed; leftMs: number}): boolean {
     return options.leftMs < this.shortestMs(options.need) * REFUSAL_FACTOR;
   }
 }
--- a/src/direct/streams/stream-durations.ts
+++ b/src/direct/streams/stream-durations.ts
@@ -1,7 +1,7 @@
 /** Estimated durations of generations, by service. */
 import type {CallerRequest} from '../../core/edges/direct-caller.js';
 import type {RoutedService} from '../../core/routes/index.js';
-import type {GenerationSize} from '../../core/streams/index.js';
+import type {GenerationNeed} from '../../core/streams/index.js';
 import {MinGenerationTime, toPosition} from '../../core/streams/index.js';
 
 /**
@@ -33,7 +33,7 @@
 export function toGenerationNeed(
   req: CallerRequest,
   service: RoutedService,
-): GenerationSize | undefined {
+): GenerationNeed | undefined {
   const {generation, lastEventId} = req;
   const {engine} = service;
   if (generation === undefined || engine === undefined) return undefined;
