--- a/src/core/admission/consts.ts
+++ b/src/core/admission/consts.ts
@@ -11,7 +11,8 @@
 export const DRAIN_RATE_DECAY_MS = 1_000;
 
 /**
- * Time without any slot until waiting requests are refused, in milliseconds.
+ * Time without any slot after which waiting requests are refused, in
+ * milliseconds.
  */
 export const NO_SLOTS_GRACE_MS = 5_000;
 
@@ -33,10 +34,11 @@
  */
 export const SHORTEST_HALF_LIFE_MS = 10_000;
 
-/** Mean deviations that a conservative estimate adds to the mean. */
+/** Number of mean deviations that a conservative estimate adds to the mean. */
 export const CONSERVATIVE_DEVIATIONS = 2;
 
 /**
- * Share of the difference by which a longer sample raises the shortest time.
+ * Share of the difference between a longer sample and the shortest time by
+ * which the sample raises the shortest time.
  */
 export const SHORTEST_RISE = 0.05;
--- a/src/core/admission/drain-rate.ts
+++ b/src/core/admission/drain-rate.ts
@@ -1,4 +1,4 @@
-/** The observed rate at which requests leave a queue. */
+/** Measures the rate at which requests leave a queue. */
 import {DRAIN_RATE_DECAY_MS} from './consts.js';
 
 /**
@@ -14,7 +14,10 @@
   private busyMs = 0;
   private departures = 0;
   private lastDepartureAtMs = 0;
-  /** Last departure or begin of waiting; undefined while the queue is empty. */
+  /**
+   * Time of the last departure or, if later, of the first arrival at the empty
+   * queue; undefined while the queue is empty.
+   */
   private intervalStartMs: number | undefined;
 
   /** Records that a request waits in the queue. */
@@ -26,8 +29,8 @@
   recordDeparture(options: {nowMs: number; stillWaiting: boolean}): void {
     const {nowMs, stillWaiting} = options;
     if (this.intervalStartMs === undefined) return;
-    // The limit lets the weight of one long interval decay as fast as that of
-    // many short ones.
+    // A long interval is capped, so that its effect on the mean decays as fast
+    // as that of many short ones.
     const elapsedMs = Math.min(
       nowMs - this.intervalStartMs,
       DRAIN_RATE_DECAY_MS,
@@ -39,18 +42,19 @@
     this.intervalStartMs = stillWaiting ? nowMs : undefined;
   }
 
-  /** Records that the queue became empty without a departure to a slot. */
+  /** Records that the last waiting request left without getting a slot. */
   recordEmpty(): void {
     this.intervalStartMs = undefined;
   }
 
   /**
-   * Mean time between two departures, in milliseconds; 0 without recent
-   * departures.
+   * Mean time between two departures, in milliseconds; 0 before the first one,
+   * and while the queue is empty and the last one is no longer recent.
    */
   intervalMs(nowMs: number): number {
-    const idle = this.intervalStartMs === undefined;
-    if (idle && nowMs - this.lastDepartureAtMs > DRAIN_RATE_DECAY_MS) return 0;
+    const isQueueEmpty = this.intervalStartMs === undefined;
+    if (isQueueEmpty && nowMs - this.lastDepartureAtMs > DRAIN_RATE_DECAY_MS)
+      return 0;
     return this.departures === 0 ? 0 : this.busyMs / this.departures;
   }
 }
--- a/src/core/admission/fair-admission.ts
+++ b/src/core/admission/fair-admission.ts
@@ -30,6 +30,7 @@
  */
 export class FairAdmission implements Admission {
   private readonly pools = new Map<string, ServicePool>();
+  /** Number of waiting and running requests, by client account. */
   private readonly openRequests = new Map<string, number>();
   private queueLength: number = DEFAULT_LIMITS.queueLength;
   private liveEntries = 1;
@@ -96,8 +97,8 @@
   }
 
   /**
-   * Resumed requests may use the whole limit, since the entry that served them
-   * may have just failed.
+   * Resumed and running requests may use the whole limit, since the entry that
+   * served them, with its share of the limit, may have just failed.
    */
   private concurrencyLimit(query: AdmissionQuery): number {
     const limit = query.clientAccount.maxConcurrent;
@@ -140,8 +141,8 @@
   }
 
   /**
-   * Evicts the lowest-ranked request if the queue is full; returns false if the
-   * new request ranks lowest itself.
+   * Evicts the lowest-ranked request if the queue is full; returns false if no
+   * waiting request ranks below the new one.
    */
   private makeQueueSpace(pool: ServicePool, request: PoolRequest): boolean {
     if (pool.canStartNow(request) || this.waiting < this.queueLength)
@@ -196,7 +197,7 @@
   }
 }
 
-/** Whether `b` is evicted from a full queue before `a`. */
+/** Whether `a` ranks above `b`: a full queue evicts `b` before `a`. */
 function ranksAbove(a: QueueRank, b: QueueRank): boolean {
   if (a.lane !== b.lane) return a.lane < b.lane;
   return a.weightedLength < b.weightedLength;
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -87,12 +87,12 @@
   /** Removes an item without serving it; its flow is not charged. */
   remove(item: T): boolean {
     const flow = this.flows.get(item.flow);
-    const at = flow?.queued.findIndex((q) => q.item === item) ?? -1;
-    if (flow === undefined || at < 0) return false;
-    const head = flow.queued[0]!.startTime;
-    flow.queued.splice(at, 1);
+    const index = flow?.queued.findIndex((q) => q.item === item) ?? -1;
+    if (flow === undefined || index < 0) return false;
+    const firstStartTime = flow.queued[0]!.startTime;
+    flow.queued.splice(index, 1);
     this.count--;
-    reassignStartTimes(flow, head);
+    reassignStartTimes(flow, firstStartTime);
     this.deleteIfIdle(item.flow, flow);
     return true;
   }
@@ -104,24 +104,24 @@
   charge(options: FairItem): void {
     const {weight, cost} = options;
     const flow = this.getOrCreateFlow(options.flow);
-    const shift = cost / weight;
-    flow.finishTime = Math.max(0, flow.finishTime + shift);
+    const timeShift = cost / weight;
+    flow.finishTime = Math.max(0, flow.finishTime + timeShift);
     const head = flow.queued[0];
     if (head !== undefined)
-      reassignStartTimes(flow, Math.max(0, head.startTime + shift));
+      reassignStartTimes(flow, Math.max(0, head.startTime + timeShift));
     this.deleteIfIdle(options.flow, flow);
   }
 
   /** Number of items that would be served before a new item of this flow. */
   countAhead(flow: string): number {
-    const known = this.flows.get(flow);
+    const existing = this.flows.get(flow);
     const startTime =
-      known === undefined ? this.virtualTime : this.nextStartTime(known);
-    let before = 0;
+      existing === undefined ? this.virtualTime : this.nextStartTime(existing);
+    let ahead = 0;
     for (const {queued} of this.flows.values()) {
-      before += queued.filter((q) => q.startTime <= startTime).length;
+      ahead += queued.filter((q) => q.startTime <= startTime).length;
     }
-    return before;
+    return ahead;
   }
 
   /** The flow with the most waiting items for its weight. */
@@ -131,9 +131,9 @@
       const last = queued.at(-1)?.item;
       if (last === undefined) continue;
       const weightedLength = queued.length / last.weight;
-      const longer =
+      const isLonger =
         longest === undefined || weightedLength > longest.weightedLength;
-      if (longer) longest = {weightedLength, last};
+      if (isLonger) longest = {weightedLength, last};
     }
     return longest;
   }
@@ -170,17 +170,17 @@
   }
 
   private deleteIfIdle(name: string, flow: Flow<T>): void {
-    const idle = flow.queued.length === 0;
-    if (idle && flow.finishTime <= this.virtualTime) this.flows.delete(name);
+    const isEmpty = flow.queued.length === 0;
+    if (isEmpty && flow.finishTime <= this.virtualTime) this.flows.delete(name);
   }
 }
 
-/** Recomputes the start times of a flow's items from a new first one. */
+/** Recomputes the start times of a flow's items, given that of the first. */
 function reassignStartTimes<T extends FairItem>(
   flow: Flow<T>,
-  from: number,
+  firstStartTime: number,
 ): void {
-  let startTime = from;
+  let startTime = firstStartTime;
   flow.queued = flow.queued.map(({item, order}) => {
     const queued = {item, order, startTime};
     startTime += item.cost / item.weight;
--- a/src/core/admission/retry-after-schedule.ts
+++ b/src/core/admission/retry-after-schedule.ts
@@ -35,8 +35,8 @@
     const latestMs = nowMs + MAX_RETRY_AFTER_MS;
     const retryAtMs = Math.min(earliestMs + intervalMs, latestMs);
     this.lastRetryAtMs = retryAtMs;
-    const spread = (2 * this.options.random.float() - 1) * RETRY_AFTER_JITTER;
+    const jitter = (2 * this.options.random.float() - 1) * RETRY_AFTER_JITTER;
     const delayMs = Math.max(retryAtMs - nowMs, MIN_RETRY_AFTER_MS);
-    return Math.round(delayMs * (1 + spread));
+    return Math.round(delayMs * (1 + jitter));
   }
 }
--- a/src/core/admission/retry-budget.ts
+++ b/src/core/admission/retry-budget.ts
@@ -4,12 +4,10 @@
 /** Sliding window in which attempts are counted, in milliseconds. */
 export const RETRY_WINDOW_MS = 10_000;
 
-/**
- * Retries per window that are allowed whatever the number of first attempts.
- */
+/** Retries per window that are allowed even without first attempts. */
 export const RETRY_FLOOR = 3;
 
-/** Slices of the window; counts expire one slice at a time. */
+/** Number of slices of the window; counts expire one slice at a time. */
 const SLICES = 10;
 
 const SLICE_MS = RETRY_WINDOW_MS / SLICES;
@@ -38,7 +36,7 @@
     private readonly options: {
       clock: Clock;
       ratio: number;
-      /** Least number of retries that are allowed in a window. */
+      /** Retries in a window that are allowed even without first attempts. */
       floor?: number;
       /** Retries in a window in addition to those that the ratio allows. */
       reserve?: number;
@@ -82,8 +80,8 @@
 }
 
 /**
- * The retry budgets of all services; retries of a service share one budget
- * whatever their reason.
+ * The retry budgets of all services. All retries of a service share one budget,
+ * regardless of their reason.
  *
  * @example
  * budgets.forService(service).recordFirstAttempt();
@@ -112,7 +110,7 @@
 
 function sumOf(
   slices: readonly Slice[],
-  pick: (slice: Slice) => number,
+  countOf: (slice: Slice) => number,
 ): number {
-  return slices.reduce((sum, slice) => sum + pick(slice), 0);
+  return slices.reduce((sum, slice) => sum + countOf(slice), 0);
 }
--- a/src/core/admission/service-pool.ts
+++ b/src/core/admission/service-pool.ts
@@ -25,26 +25,24 @@
 }
 
 /**
- * Position of a request when the queue is full: requests in higher lanes, and
- * then those with the higher weighted length, are evicted first.
+ * Rank of a request when the queue is full: requests with a higher lane index
+ * are evicted first, and within a lane those with a higher weighted length.
  */
 export interface QueueRank {
   readonly request: PoolRequest;
   /** Index of the request's queue; lower lanes are served first. */
   readonly lane: number;
-  /** Waiting requests of the client account, divided by its weight. */
+  /** Client account's waiting requests in the lane, divided by its weight. */
   readonly weightedLength: number;
 }
 
-const CLASSES: readonly PriorityClass[] = [
+const PRIORITY_CLASSES: readonly PriorityClass[] = [
   PriorityClass.HIGH,
   PriorityClass.NORMAL,
   PriorityClass.LOW,
 ];
 
-/**
- * In each class, one lane for resumed requests goes before one for new ones.
- */
+/** Each class has a lane for resumed requests and then one for new requests. */
 const LANES_PER_CLASS = 2;
 
 /**
@@ -69,7 +67,7 @@
   private noSlotsSinceMs: number;
 
   constructor(private readonly options: {clock: Clock; random: RandomSource}) {
-    const count = CLASSES.length * LANES_PER_CLASS;
+    const count = PRIORITY_CLASSES.length * LANES_PER_CLASS;
     this.lanes = Array.from({length: count}, () => new FairQueue());
     this.retryAfterSchedule = new RetryAfterSchedule(options);
     this.noSlotsSinceMs = options.clock.now();
@@ -98,7 +96,7 @@
     this.refuseUnreachable();
   }
 
-  /** Whether a new request can finish by its deadline, as far as estimated. */
+  /** Whether a new request is expected to finish by its deadline. */
   canMeetDeadline(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
@@ -109,11 +107,11 @@
       );
     }
     const lane = laneOf(request);
-    const ahead = this.lanes.slice(0, lane);
-    const before =
-      ahead.reduce((sum, queue) => sum + queue.size, 0) +
+    const lanesAhead = this.lanes.slice(0, lane);
+    const requestsAhead =
+      lanesAhead.reduce((sum, queue) => sum + queue.size, 0) +
       this.lanes[lane]!.countAhead(request.flow);
-    const waitMs = (before + 1) * this.intervalMs();
+    const waitMs = (requestsAhead + 1) * this.intervalMs();
     return (
       leftMs > 0 && waitMs + this.serviceTimes.conservativeMs(size) <= leftMs
     );
@@ -151,7 +149,10 @@
     this.drain();
   }
 
-  /** The new request to evict first; undefined if none waits. */
+  /**
+   * The request to evict first; undefined if no new request waits. Resumed
+   * requests are not evicted.
+   */
   lowestRank(): QueueRank | undefined {
     for (let lane = this.lanes.length - 1; lane >= 0; lane--) {
       if (isResumeLane(lane)) continue;
@@ -176,8 +177,10 @@
   /** Whether a request would start immediately. */
   canStartNow(request: PoolRequest): boolean {
     const lane = laneOf(request);
-    const ahead = this.lanes.slice(0, lane + 1).some((q) => q.size > 0);
-    return !ahead && this.inFlight < this.slotLimit(lane);
+    const isBehindOthers = this.lanes
+      .slice(0, lane + 1)
+      .some((q) => q.size > 0);
+    return !isBehindOthers && this.inFlight < this.slotLimit(lane);
   }
 
   /** Retry-After for the next refusal, in milliseconds. */
@@ -209,7 +212,7 @@
 
   private startOrRefuse(lane: FairQueue<PoolRequest>): void {
     const request = lane.peek()!;
-    if (!this.canFinishInTime(request)) {
+    if (!this.canStillMeetDeadline(request)) {
       this.remove(request);
       this.refuse(request, RefusalReason.DEADLINE_UNREACHABLE);
       return;
@@ -226,12 +229,13 @@
     this.drainRate.recordDeparture({nowMs, stillWaiting});
   }
 
-  private canFinishInTime(request: PoolRequest): boolean {
+  /** Whether a waiting request is expected to finish in time if started now. */
+  private canStillMeetDeadline(request: PoolRequest): boolean {
     const nowMs = this.options.clock.now();
     const leftMs = request.deadlineAtMs - nowMs;
     const size = request.cost;
-    // Without other waiting requests an attempt costs little, and it measures
-    // whether the service has become faster.
+    // If no other request waits, a slot spent on a request that may be late
+    // costs little, and shows whether the service has become faster.
     const neededMs =
       this.waiting > 1
         ? this.serviceTimes.conservativeMs(size)
@@ -257,8 +261,9 @@
     }
     const unitMs = this.serviceTimes.expectedMs(1);
     if (unitMs === 0) return;
-    const cost = heldMs / unitMs - size;
-    this.lanes[laneOf(request)]!.charge({...request, cost});
+    // The queue charged the requested size; this corrects it to the time used.
+    const excessCost = heldMs / unitMs - size;
+    this.lanes[laneOf(request)]!.charge({...request, cost: excessCost});
   }
 
   private refuseUnreachable(): void {
@@ -288,22 +293,28 @@
     }
   }
 
-  /** Time between two departures, in milliseconds; 0 while unknown. */
+  /**
+   * Mean time between two departures from the queue, in milliseconds; 0 while
+   * unknown.
+   */
   private intervalMs(): number {
     const theoreticalMs = this.serviceTimes.meanHeldMs() / this.newWorkSlots;
     const nowMs = this.options.clock.now();
     return Math.max(theoreticalMs, this.drainRate.intervalMs(nowMs));
   }
 
-  /** Slots that a lane may use; some are reserved for resumed requests. */
+  /**
+   * Number of slots that a lane may use; new requests may not use the slots that
+   * are reserved for resumed ones.
+   */
   private slotLimit(lane: number): number {
     const slots = this.slots + this.turnaroundSlots();
     return isResumeLane(lane) ? slots : slots - this.resumeSlots;
   }
 
   /**
-   * Extra requests to dispatch so that slots are not idle between requests,
-   * by Little's law.
+   * Number of extra requests to send to the targets so that their slots are not
+   * idle between two requests, by Little's law.
    */
   private turnaroundSlots(): number {
     const heldMs = this.serviceTimes.meanHeldMs();
@@ -313,8 +324,9 @@
 }
 
 function laneOf(request: PoolRequest): number {
-  const rank = CLASSES.indexOf(request.priorityClass) * LANES_PER_CLASS;
-  return request.kind === WorkKind.NEW ? rank + 1 : rank;
+  const resumeLane =
+    PRIORITY_CLASSES.indexOf(request.priorityClass) * LANES_PER_CLASS;
+  return request.kind === WorkKind.NEW ? resumeLane + 1 : resumeLane;
 }
 
 function isResumeLane(lane: number): boolean {
--- a/src/core/admission/service-time-estimator.ts
+++ b/src/core/admission/service-time-estimator.ts
@@ -10,13 +10,13 @@
 export interface ServiceTimeSample {
   /** Time for which the request occupied its slot. */
   readonly heldMs: number;
-  /** Requested tokens of a generation, or 1. */
+  /** Requested tokens of a generation; 1 for a plain call. */
   readonly size: number;
   readonly nowMs: number;
 }
 
 /**
- * Estimates times in proportion to the size of a request, from requests that
+ * Estimates the time of a request in proportion to its size, from requests that
  * have ended. All estimates are 0 before the first sample.
  *
  * @example
@@ -44,7 +44,7 @@
     this.updateShortest(perUnit, nowMs);
   }
 
-  /** Mean time for which a request occupies its slot. */
+  /** Mean time for which a request occupies its slot, of any size. */
   meanHeldMs(): number {
     return this.meanMs;
   }
@@ -79,9 +79,9 @@
     // Rises slowly, so that a few slow requests do not cause quick ones to be
     // refused.
     const raised = previous + (perUnit - previous) * SHORTEST_RISE;
-    const first = this.samples === 1;
+    const isFirstSample = this.samples === 1;
     this.shortestPerUnit =
-      first || perUnit < previous ? perUnit : Math.min(perUnit, raised);
+      isFirstSample || perUnit < previous ? perUnit : Math.min(perUnit, raised);
     this.shortestAtMs = nowMs;
   }
 
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -41,17 +41,20 @@
   FAILED = 'failed',
 }
 
-/** Permit of an admitted request; it must be released exactly once. */
+/** Permit of an admitted request; must be released when the request ends. */
 export interface AdmissionTicket {
-  /** Ends the request; the outcome is SERVED by default. */
+  /**
+   * Ends the request; the outcome is SERVED by default. Further calls have no
+   * effect.
+   */
   release(outcome?: TicketOutcome): void;
 }
 
-/** Slots of this entry at the targets of one service. */
+/** Requests that this entry may have in flight at the targets of a service. */
 export interface ServiceSlots {
   readonly service: string;
   readonly slots: number;
-  /** Part of the slots that only resumed requests may use. */
+  /** Number of these slots that only resumed requests may use. */
   readonly resumeSlots: number;
 }
 
--- a/test/core/admission/capacity.test.ts
+++ b/test/core/admission/capacity.test.ts
@@ -25,30 +25,33 @@
 }
 
 /**
- * Simulates entries that fill their slots at one target in each step while they
- * receive the load of the others some steps late; returns the final load of
- * each entry.
+ * Simulates entries that fill their slots at one target in each step, while the
+ * load of the other entries is reported to them `LAG_STEPS` steps late; returns
+ * the final load of each entry.
  */
-function settleEntries(wanted: readonly number[], capacity: number): number[] {
+function simulateEntries(
+  wanted: readonly number[],
+  capacity: number,
+): number[] {
   let own = wanted.map(() => 0);
   const history: number[][] = [];
   for (let step = 0; step < 200; step++) {
     history.push(own);
-    const seen = history[Math.max(0, step - LAG_STEPS)]!;
-    const total = seen.reduce((a, b) => a + b, 0);
+    const reported = history[Math.max(0, step - LAG_STEPS)]!;
+    const total = reported.reduce((a, b) => a + b, 0);
     own = own.map((ownInFlight, i) => {
       const view = viewOf({
         capacity,
         ownInFlight,
         running: Math.min(total, capacity),
         waiting: Math.max(0, total - capacity),
-        ownInReport: seen[i]!,
+        ownInReport: reported[i]!,
       });
-      const sharers = wanted.length;
-      const slots = computeSlots({views: [view], entryCount: sharers});
+      const entryCount = wanted.length;
+      const slots = computeSlots({views: [view], entryCount});
       // One request ends in each step; others start up to the slots.
-      const left = Math.max(0, ownInFlight - 1);
-      return Math.max(left, Math.min(slots, wanted[i]!));
+      const remaining = Math.max(0, ownInFlight - 1);
+      return Math.max(remaining, Math.min(slots, wanted[i]!));
     });
   }
   return own;
@@ -61,8 +64,8 @@
     {name: 'one busy, one idle', wanted: [100, 0], expected: [58, 0]},
     {name: 'one busy, one nearly idle', wanted: [100, 5], expected: [53, 5]},
   ])('shares a target: $name', ({wanted, expected}) => {
-    const got = settleEntries(wanted, 60);
-    got.forEach((load, i) => {
+    const loads = simulateEntries(wanted, 60);
+    loads.forEach((load, i) => {
       expect(load).toBeGreaterThanOrEqual(expected[i]! - 1);
       expect(load).toBeLessThanOrEqual(expected[i]! + 3);
     });
@@ -80,12 +83,12 @@
       fc.property(
         fc.array(viewArb, {minLength: 1, maxLength: 8}),
         fc.integer({min: 1, max: 6}),
-        (fields, sharers) => {
+        (fields, entryCount) => {
           const views = fields.map((f) => viewOf(f));
           const total = views.reduce((sum, v) => sum + v.capacity, 0);
-          const slots = computeSlots({views, entryCount: sharers});
+          const slots = computeSlots({views, entryCount});
           expect(slots).toBeGreaterThanOrEqual(
-            Math.max(1, Math.floor(total / sharers)),
+            Math.max(1, Math.floor(total / entryCount)),
           );
           expect(slots).toBeLessThanOrEqual(total);
         },
@@ -107,9 +110,9 @@
         fc.integer({min: 1, max: 100_000}),
         fc.integer({min: 1, max: 900}),
         (limit, liveEntries) => {
-          const each = splitLimit({limit, liveEntries});
-          expect(each * liveEntries).toBeGreaterThanOrEqual(limit);
-          expect(each * liveEntries).toBeLessThan(limit + liveEntries);
+          const entryLimit = splitLimit({limit, liveEntries});
+          expect(entryLimit * liveEntries).toBeGreaterThanOrEqual(limit);
+          expect(entryLimit * liveEntries).toBeLessThan(limit + liveEntries);
         },
       ),
       {seed: SEED, numRuns: 1_000},
--- a/test/core/admission/drain-rate.test.ts
+++ b/test/core/admission/drain-rate.test.ts
@@ -14,13 +14,13 @@
       fc.property(gapsArb, fc.integer({min: 1, max: 100}), (gaps, evenMs) => {
         const rate = new DrainRate();
         let nowMs = 0;
-        const depart = (gapMs: number): void => {
+        const recordDeparture = (gapMs: number): void => {
           rate.recordWaiting(nowMs);
           nowMs += gapMs;
           rate.recordDeparture({nowMs, stillWaiting: true});
         };
-        gaps.forEach(depart);
-        for (let ms = 0; ms < 20_000; ms += evenMs) depart(evenMs);
+        gaps.forEach(recordDeparture);
+        for (let ms = 0; ms < 20_000; ms += evenMs) recordDeparture(evenMs);
         expect(rate.intervalMs(nowMs)).toBeCloseTo(evenMs, 1);
       }),
       {seed: SEED, numRuns: 200},
--- a/test/core/admission/fair-admission.test.ts
+++ b/test/core/admission/fair-admission.test.ts
@@ -12,7 +12,7 @@
 import type {Arrival} from './lib.js';
 import {
   accountOf,
-  AdmissionRun,
+  AdmissionSimulation,
   evenArrivals,
   inTime,
   queryOf,
@@ -40,8 +40,8 @@
 function createAdmission(slots: number, resumeSlots = 0, liveEntries = 1) {
   const clock = new ManualClock();
   const admission = new FairAdmission({clock, random: new SeededRandom(1)});
-  const resize = (now: number): void => {
-    const services = [{service: 'drafts', slots: now, resumeSlots}];
+  const resize = (newSlots: number): void => {
+    const services = [{service: 'drafts', slots: newSlots, resumeSlots}];
     admission.resize({liveEntries, services});
   };
   resize(slots);
@@ -54,14 +54,14 @@
       fc.asyncProperty(
         fc.array(arrivalArb, {maxLength: 120}),
         async (arrivals: Arrival[]) => {
-          const run = new AdmissionRun({slots: SLOTS});
-          const {admission, clock} = run;
+          const simulation = new AdmissionSimulation({slots: SLOTS});
+          const {admission, clock} = simulation;
           const check = (): void => {
             const running = admission.countRunning('drafts');
             expect(running).toBeLessThanOrEqual(SLOTS);
             if (admission.waiting > 0) expect(running).toBe(SLOTS);
           };
-          await run.play({arrivals, untilMs: 6_000, check});
+          await simulation.play({arrivals, untilMs: 6_000, check});
           expect(clock.now()).toBeGreaterThanOrEqual(6_000);
           for (const {startedAtMs, endedAtMs, refusal} of arrivals) {
             // A request either ran and ended, or was refused without running.
@@ -75,14 +75,14 @@
     );
   });
 
-  it('neither queues nor starts requests that would miss their deadline', async () => {
+  it('refuses in time and does not start requests that would miss their deadline', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(arrivalArb, {minLength: 30, maxLength: 120}),
         async (arrivals: Arrival[]) => {
-          const run = new AdmissionRun({slots: SLOTS});
-          // The first requests provide samples of the service time.
-          const warm = evenArrivals({
+          const simulation = new AdmissionSimulation({slots: SLOTS});
+          // These requests provide samples of the service time.
+          const warmUp = evenArrivals({
             account: 'w',
             perSecond: CAPACITY,
             seconds: 1,
@@ -90,16 +90,21 @@
             deadlineMs: 10_000,
           });
           const later = arrivals.map((a) => ({...a, atMs: a.atMs + 2_000}));
-          await run.play({arrivals: [...warm, ...later], untilMs: 8_000});
+          await simulation.play({
+            arrivals: [...warmUp, ...later],
+            untilMs: 8_000,
+          });
           for (const arrival of later) {
-            const latestMs = arrival.atMs + arrival.deadlineMs - SERVICE_MS;
+            const latestStartMs =
+              arrival.atMs + arrival.deadlineMs - SERVICE_MS;
             const {refusedAtMs, startedAtMs} = arrival;
-            const until = Math.max(arrival.atMs, latestMs + TICK_MS) + STEP_MS;
+            const latestRefusalMs =
+              Math.max(arrival.atMs, latestStartMs + TICK_MS) + STEP_MS;
             if (refusedAtMs !== undefined) {
-              expect(refusedAtMs).toBeLessThanOrEqual(until);
+              expect(refusedAtMs).toBeLessThanOrEqual(latestRefusalMs);
             }
             if (startedAtMs !== undefined) {
-              expect(startedAtMs).toBeLessThanOrEqual(latestMs + STEP_MS);
+              expect(startedAtMs).toBeLessThanOrEqual(latestStartMs + STEP_MS);
             }
           }
         },
@@ -115,7 +120,7 @@
     {name: 'a large account', weights: [1, 1, 1, 5]},
   ])('shares by weight: $name', async ({weights}) => {
     const total = weights.reduce((a, b) => a + b, 0);
-    const run = new AdmissionRun({slots: SLOTS});
+    const simulation = new AdmissionSimulation({slots: SLOTS});
     const ofAccounts = weights.map((weight, i) =>
       evenArrivals({
         account: `account-${i}`,
@@ -126,7 +131,7 @@
         deadlineMs: 3_000,
       }),
     );
-    await run.play({arrivals: ofAccounts.flat(), untilMs: 24_000});
+    await simulation.play({arrivals: ofAccounts.flat(), untilMs: 24_000});
     const served = ofAccounts.map((arrivals) => inTime(arrivals).length);
     const all = served.reduce((a, b) => a + b, 0);
     served.forEach((count, i) => {
@@ -137,7 +142,7 @@
   });
 
   it('starves no account when one sends ten times its share', async () => {
-    const run = new AdmissionRun({slots: SLOTS});
+    const simulation = new AdmissionSimulation({slots: SLOTS});
     const share = CAPACITY / 4;
     const send = (account: string, perSecond: number): Arrival[] =>
       evenArrivals({
@@ -149,13 +154,16 @@
       });
     const small = ['b', 'c', 'd'].map((account) => send(account, share));
     const large = send('a', 10 * share);
-    await run.play({arrivals: [...small.flat(), ...large], untilMs: 24_000});
+    await simulation.play({
+      arrivals: [...small.flat(), ...large],
+      untilMs: 24_000,
+    });
     for (const arrivals of small) {
       expect(inTime(arrivals).length / arrivals.length).toBeGreaterThan(0.95);
     }
-    const possible = CAPACITY * 20;
+    const maxServed = CAPACITY * 20;
     const served = inTime([...small.flat(), ...large]).length;
-    expect(served / possible).toBeGreaterThan(0.95);
+    expect(served / maxServed).toBeGreaterThan(0.95);
   });
 
   it('serves in time at 3 times capacity, unlike a FIFO queue', async () => {
@@ -166,16 +174,16 @@
       serviceMs: SERVICE_MS,
       deadlineMs: 1_000,
     });
-    const run = new AdmissionRun({slots: SLOTS});
-    await run.play({arrivals, untilMs: 24_000});
-    const possible = CAPACITY * 20;
-    expect(inTime(arrivals).length / possible).toBeGreaterThan(0.95);
-    expect(fifoInTime(arrivals) / possible).toBeLessThan(0.2);
+    const simulation = new AdmissionSimulation({slots: SLOTS});
+    await simulation.play({arrivals, untilMs: 24_000});
+    const maxServed = CAPACITY * 20;
+    expect(inTime(arrivals).length / maxServed).toBeGreaterThan(0.95);
+    expect(countInTimeByFifo(arrivals) / maxServed).toBeLessThan(0.2);
   });
 });
 
 /** Requests that an unbounded FIFO queue without deadlines serves in time. */
-function fifoInTime(arrivals: readonly Arrival[]): number {
+function countInTimeByFifo(arrivals: readonly Arrival[]): number {
   const freeAtMs = Array.from({length: SLOTS}, () => 0);
   let served = 0;
   for (const {atMs, serviceMs, deadlineMs} of arrivals) {
@@ -307,14 +315,15 @@
     clock.advance(1_000);
     first.release(TicketOutcome.SERVED);
     await admit(10_000);
-    const returns: number[] = [];
+    const retryAfters: number[] = [];
     for (let i = 0; i < 10; i++) {
       const refusal = (await admit(1_500))._unsafeUnwrapErr();
       expect(refusal.reason).toBe(RefusalReason.DEADLINE_UNREACHABLE);
-      returns.push(refusal.retryAfterMs!);
+      retryAfters.push(refusal.retryAfterMs!);
     }
-    // One request per second departs, so ten callers take about ten seconds.
-    expect(Math.max(...returns)).toBeGreaterThan(7_000);
-    expect(new Set(returns).size).toBe(10);
+    // One request per second leaves the queue, so the retries of ten callers
+    // are spread over about ten seconds.
+    expect(Math.max(...retryAfters)).toBeGreaterThan(7_000);
+    expect(new Set(retryAfters).size).toBe(10);
   });
 });
--- a/test/core/admission/fair-queue.test.ts
+++ b/test/core/admission/fair-queue.test.ts
@@ -36,9 +36,9 @@
 
   shift(): Item | undefined {
     const starts = this.items.map((q) => q.start);
-    const at = starts.indexOf(Math.min(...starts));
-    if (at < 0) return undefined;
-    const [{item, start}] = this.items.splice(at, 1) as [
+    const index = starts.indexOf(Math.min(...starts));
+    if (index < 0) return undefined;
+    const [{item, start}] = this.items.splice(index, 1) as [
       {item: Item; start: number},
     ];
     this.finish.set(item.flow, start + item.cost / item.weight);
@@ -86,12 +86,14 @@
         const queue = new FairQueue<Item>();
         ofA.forEach((cost, id) => queue.push({id, flow: 'a', cost, weight: 1}));
         ofC.forEach((cost, id) => queue.push({id, flow: 'c', cost, weight: 5}));
-        const got = {a: 0, c: 0};
+        const servedCost = {a: 0, c: 0};
         for (let i = 0; i < served; i++) {
           const {flow, cost, weight} = queue.shift()!;
-          got[flow as 'a' | 'c'] += cost / weight;
+          servedCost[flow as 'a' | 'c'] += cost / weight;
         }
-        expect(Math.abs(got.a - got.c)).toBeLessThanOrEqual(100 / 1 + 100 / 5);
+        expect(Math.abs(servedCost.a - servedCost.c)).toBeLessThanOrEqual(
+          100 / 1 + 100 / 5,
+        );
       }),
       {seed: SEED, numRuns: RUNS},
     );
@@ -108,15 +110,16 @@
             return {id, flow, cost: 1 + id, weight: WEIGHTS[flow]};
           });
           items.forEach((item) => queue.push(item));
-          const left = new Set(items);
-          for (const at of removed) {
-            const item = items[at];
+          const remaining = new Set(items);
+          for (const index of removed) {
+            const item = items[index];
             if (item === undefined) continue;
-            expect(queue.remove(item)).toBe(left.delete(item));
+            expect(queue.remove(item)).toBe(remaining.delete(item));
           }
-          expect(queue.size).toBe(left.size);
-          for (let n = left.size; n > 0; n--) left.delete(queue.shift()!);
-          expect(left.size).toBe(0);
+          expect(queue.size).toBe(remaining.size);
+          for (let n = remaining.size; n > 0; n--)
+            remaining.delete(queue.shift()!);
+          expect(remaining.size).toBe(0);
         },
       ),
       {seed: SEED, numRuns: RUNS},
--- a/test/core/admission/lib.ts
+++ b/test/core/admission/lib.ts
@@ -1,4 +1,4 @@
-/** Simulates arrivals at an admission on a manual clock. */
+/** Simulates requests that arrive at an admission, on a manual clock. */
 import {
   FairAdmission,
   TicketOutcome,
@@ -18,7 +18,7 @@
 /** Resolution of the simulation, in milliseconds. */
 export const STEP_MS = 10;
 
-/** One request of a run and its result. */
+/** One simulated request and its result. */
 export interface Arrival {
   readonly account: string;
   readonly weight: number;
@@ -70,8 +70,8 @@
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Runs arrivals against a number of slots. */
-export class AdmissionRun {
+/** Simulates an admission with a fixed number of slots at one service. */
+export class AdmissionSimulation {
   readonly clock = new ManualClock();
   readonly admission = new FairAdmission({
     clock: this.clock,
@@ -82,7 +82,7 @@
     this.tick();
   }
 
-  /** Plays the arrivals; `check` is called after each step. */
+  /** Simulates the arrivals; `check` is called after each step. */
   async play(options: {
     arrivals: readonly Arrival[];
     untilMs: number;
