--- a/src/core/routing/consts.ts
+++ b/src/core/routing/consts.ts
@@ -15,24 +15,26 @@
 export const SLOW_START_SHARE = 0.1;
 
 /**
- * Utilisation above the drawn target that a target with the prefix may have.
+ * Difference by which a target with the cached prefix may have a higher
+ * utilisation than the drawn target.
  */
 export const PREFIX_SLACK = 0.25;
 
-/** Reported load above this multiple of the capacity is capped. */
+/** Multiple of a target's capacity at which its reported load is capped. */
 export const MAX_REPORTED_UTILISATION = 2;
 
 /** Window in which the outcomes of a target are counted, in milliseconds. */
 export const FAILURE_WINDOW_MS = 10_000;
 
-/** Outcomes in a window before a target can be ejected. */
+/** Number of outcomes in a window before a target can be ejected. */
 export const MIN_OUTCOMES = 5;
 
-/** Share of failures at which a target is ejected. */
+/** Least share of failed outcomes at which a target is ejected. */
 export const FAILURE_SHARE_THRESHOLD = 0.5;
 
 /**
- * Length of the first ejection, in milliseconds; doubles with each further one.
+ * Length of the first ejection, in milliseconds; each consecutive one is twice
+ * as long.
  */
 export const BASE_EJECTION_MS = 5_000;
 
--- a/src/core/routing/count-history.ts
+++ b/src/core/routing/count-history.ts
@@ -1,4 +1,4 @@
-/** Recent request counts of an entry at a target, by time. */
+/** Recent numbers of an entry's requests at a target, by time. */
 
 interface CountChange {
   readonly atMs: number;
--- a/src/core/routing/estimate-load.ts
+++ b/src/core/routing/estimate-load.ts
@@ -19,12 +19,23 @@
   return ownInFlight + Math.min(others, maxReported);
 }
 
-/** Share of the target's capacity in use; above 1 if requests wait. */
+/**
+ * Share of the target's capacity in use; above 1 if requests wait.
+ *
+ * @example
+ * utilisationOf(view); // 0.75
+ */
 export function utilisationOf(view: TargetView): number {
   return estimateLoad(view) / Math.max(view.capacity, 1);
 }
 
-/** Share of its capacity that a target may use during slow start. */
+/**
+ * Share of its capacity that a target may use during slow start, which grows
+ * with the time since it became usable; 1 after the slow start.
+ *
+ * @example
+ * slowStartShare({...view, usableForMs: 5_000}); // 0.5
+ */
 export function slowStartShare(view: TargetView): number {
   const {usableForMs = SLOW_START_MS} = view;
   const ramp = Math.max(0, usableForMs) / SLOW_START_MS;
--- a/src/core/routing/index.ts
+++ b/src/core/routing/index.ts
@@ -1,4 +1,4 @@
-/** Chooses a target for a request by load and failures. */
+/** Chooses the target of a request by load and failures. */
 export {COUNT_RETENTION_MS, REPORT_ROUND_TRIP_MS} from './consts.js';
 export {estimateLoad, utilisationOf} from './estimate-load.js';
 export {OutlierDetector} from './outlier-detector.js';
--- a/src/core/routing/load-aware-chooser.ts
+++ b/src/core/routing/load-aware-chooser.ts
@@ -12,15 +12,15 @@
   readonly target: TargetView;
   /** Share of its whole capacity that is in use. */
   readonly utilisation: number;
-  /** Share in use of the capacity that slow start allows. */
+  /** Share in use of the part of its capacity that slow start allows. */
   readonly effectiveUtilisation: number;
 }
 
 /**
  * Draws two targets with free capacity at random and takes the less loaded
- * one, or a target that has the prompt's prefix in its cache and is at most
- * `PREFIX_SLACK` more loaded. If no target has free capacity, takes the least
- * loaded of all.
+ * one, or a target that has the prompt's prefix in its cache and whose
+ * utilisation is at most `PREFIX_SLACK` higher. If no target has free capacity,
+ * takes the least loaded of all.
  *
  * @example
  * new LoadAwareChooser({random, outliers}).choose({query, targets});
--- a/src/core/routing/outlier-detector.ts
+++ b/src/core/routing/outlier-detector.ts
@@ -1,4 +1,4 @@
-/** Outlier detection: ejects targets of which most requests fail. */
+/** Outlier detection: ejects targets at which most requests fail. */
 import type {Clock} from '../clock/index.js';
 import {
   BASE_EJECTION_MS,
@@ -19,8 +19,8 @@
 }
 
 /**
- * Counts the outcomes of each target and ejects a target for some time when
- * most of its requests fail. A target that fails requests immediately has a
+ * Counts the outcomes of each target's requests and ejects a target for some
+ * time when most of them fail. A target that fails requests immediately has a
  * low load, and would otherwise attract more and more requests.
  *
  * @example
@@ -50,25 +50,25 @@
   }
 
   isEjected(vm: string): boolean {
-    const until = this.records.get(vm)?.ejectedUntilMs ?? 0;
-    return this.options.clock.now() < until;
+    const untilMs = this.records.get(vm)?.ejectedUntilMs ?? 0;
+    return this.options.clock.now() < untilMs;
   }
 
   /**
-   * The targets that may be chosen. If more than the allowed share is ejected,
-   * those whose ejection ends first are included.
+   * The targets that may be chosen: those that are not ejected and, if more
+   * than `MAX_EJECTED_SHARE` are, the ones whose ejection ends first.
    */
   filterSelectable(options: {vms: readonly string[]}): string[] {
     const {vms} = options;
     const ejected = vms.filter((vm) => this.isEjected(vm));
     const allowed = Math.floor(vms.length * MAX_EJECTED_SHARE);
     const readmitted = ejected
-      .sort((a, b) => this.ejectedUntil(a) - this.ejectedUntil(b))
+      .sort((a, b) => this.ejectedUntilMs(a) - this.ejectedUntilMs(b))
       .slice(0, Math.max(0, ejected.length - allowed));
     return vms.filter((vm) => !ejected.includes(vm) || readmitted.includes(vm));
   }
 
-  private ejectedUntil(vm: string): number {
+  private ejectedUntilMs(vm: string): number {
     return this.records.get(vm)?.ejectedUntilMs ?? 0;
   }
 
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -21,13 +21,13 @@
   readonly capacity: number;
   /** Prefixes that it reported as cached; may be outdated or incomplete. */
   readonly cachedPrefixes: readonly string[];
-  /** Own requests included in the report; 0 by default. */
+  /** Requests of this entry that the report includes; 0 by default. */
   readonly ownInReport?: number;
-  /** Time since it became usable; infinite by default. */
+  /** Milliseconds since it became usable; undefined skips the slow start. */
   readonly usableForMs?: number;
 }
 
-/** Requirements of a request for the choice of a target. */
+/** What the choice of a target depends on besides the targets' state. */
 export interface ChoiceQuery {
   readonly service: string;
   /** VMs at which this request has failed already. */
--- a/test/core/routing/load-aware-chooser.test.ts
+++ b/test/core/routing/load-aware-chooser.test.ts
@@ -98,12 +98,12 @@
         const {chooser} = createChooser(seed);
         const query = queryOf();
         const chosen = chooser.choose({query, targets}).extract();
-        const hasRoom = (t: TargetView): boolean =>
+        const hasFreeCapacity = (t: TargetView): boolean =>
           estimateLoad(t) < Math.max(t.capacity, 1);
-        const any = targets.some(
-          (t) => t.usable && t.service === 'drafts' && hasRoom(t),
+        const isAnyFree = targets.some(
+          (t) => t.usable && t.service === 'drafts' && hasFreeCapacity(t),
         );
-        if (any) expect(hasRoom(chosen!)).toBe(true);
+        if (isAnyFree) expect(hasFreeCapacity(chosen!)).toBe(true);
       }),
       {seed: SEED, numRuns: RUNS},
     );
@@ -115,9 +115,9 @@
     {name: 'reports far above capacity', reported: 1_000},
   ])('balances by its own counts under $name', ({reported}) => {
     const {chooser} = createChooser();
-    const own = [0, 0, 0, 0];
+    const ownCounts = [0, 0, 0, 0];
     for (let i = 0; i < 48; i++) {
-      const targets = own.map((ownInFlight, k) =>
+      const targets = ownCounts.map((ownInFlight, k) =>
         viewOf({
           vm: `engine-${k}`,
           ownInFlight,
@@ -126,9 +126,11 @@
         }),
       );
       const chosen = chooser.choose({query: queryOf(), targets}).extract()!;
-      own[Number(chosen.vm.slice('engine-'.length))]!++;
+      ownCounts[Number(chosen.vm.slice('engine-'.length))]!++;
     }
-    expect(Math.max(...own) - Math.min(...own)).toBeLessThanOrEqual(6);
+    expect(Math.max(...ownCounts) - Math.min(...ownCounts)).toBeLessThanOrEqual(
+      6,
+    );
   });
 
   it('prefers a target with the cached prefix, if it is little more loaded', () => {
@@ -150,11 +152,11 @@
   });
 
   it('sends few requests to a recovered target at first', () => {
-    const countFor = (usableForMs: number): number => {
+    const countSentToRecovered = (usableForMs: number): number => {
       const {chooser} = createChooser();
-      const own = [0, 0, 0];
+      const ownCounts = [0, 0, 0];
       for (let i = 0; i < 24; i++) {
-        const targets = own.map((ownInFlight, k) =>
+        const targets = ownCounts.map((ownInFlight, k) =>
           viewOf({
             vm: String(k),
             ownInFlight,
@@ -162,34 +164,34 @@
           }),
         );
         const {vm} = chooser.choose({query: queryOf(), targets}).extract()!;
-        own[Number(vm)]!++;
+        ownCounts[Number(vm)]!++;
       }
-      return own[0]!;
+      return ownCounts[0]!;
     };
-    expect(countFor(0)).toBeLessThanOrEqual(2);
-    expect(countFor(60_000)).toBeGreaterThanOrEqual(6);
+    expect(countSentToRecovered(0)).toBeLessThanOrEqual(2);
+    expect(countSentToRecovered(60_000)).toBeGreaterThanOrEqual(6);
   });
 });
 
 /**
- * Sends calls to three targets, of which one fails each call immediately and
- * the others keep them in flight; returns the number of failed calls.
+ * Sends 200 calls to three targets, one of which fails each call immediately
+ * while the others keep theirs in flight; returns the number of failed calls.
  */
-function sendToFailing(
+function countFailedCalls(
   chooser: TargetChooser,
   outliers: OutlierDetector,
 ): number {
-  const own = [0, 0, 0];
+  const ownCounts = [0, 0, 0];
   let failed = 0;
   for (let i = 0; i < 200; i++) {
-    const targets = own.map((ownInFlight, k) =>
+    const targets = ownCounts.map((ownInFlight, k) =>
       viewOf({vm: String(k), ownInFlight, capacity: 200}),
     );
     const {vm} = chooser.choose({query: queryOf(), targets}).extract()!;
     const isFailing = vm === '0';
     outliers.recordOutcome({vm, failed: isFailing});
     if (isFailing) failed++;
-    else own[Number(vm)]!++;
+    else ownCounts[Number(vm)]!++;
   }
   return failed;
 }
@@ -199,12 +201,12 @@
     const {chooser, outliers} = createChooser();
     const random = new SeededRandom(1);
     const loadOnly = new PowerOfTwoChooser({random});
-    const failedByLoadOnly = sendToFailing(
+    const failedByLoadOnly = countFailedCalls(
       loadOnly,
       new OutlierDetector(createChooser()),
     );
     expect(failedByLoadOnly).toBeGreaterThan(100);
-    expect(sendToFailing(chooser, outliers)).toBeLessThanOrEqual(10);
+    expect(countFailedCalls(chooser, outliers)).toBeLessThanOrEqual(10);
   });
 
   it('never ejects more than half of the targets', () => {
@@ -249,7 +251,7 @@
       fc.property(
         fc.array(changeArb, {maxLength: 80}),
         fc.nat({max: 1_000}),
-        (changes, backMs) => {
+        (changes, ageMs) => {
           const counts = new CountHistory({retentionMs: 1_000});
           const all: Array<{atMs: number; count: number}> = [];
           let nowMs = 0;
@@ -258,7 +260,7 @@
             counts.record({nowMs, count});
             all.push({atMs: nowMs, count});
           }
-          const atMs = nowMs - backMs;
+          const atMs = nowMs - ageMs;
           const expected = all.filter((c) => c.atMs <= atMs).at(-1)?.count ?? 0;
           expect(counts.countAt(atMs)).toBe(expected);
         },
