--- a/src/core/placing/choose-call-target.ts
+++ b/src/core/placing/choose-call-target.ts
@@ -7,7 +7,7 @@
 /** Cost of a target in another data centre, in requests. */
 const REMOTE_DATA_CENTRE_COST = 0.5;
 
-/** Spread of the random tie-breaker, in requests. */
+/** Upper bound of the random cost that breaks ties, in requests. */
 const JITTER = 0.4;
 
 /** Cost of a failure share 1 above the mean of the service, in requests. */
@@ -24,14 +24,15 @@
   readonly targets: readonly Target[];
   /** Data centre of this entry. */
   readonly dataCentre: string;
-  /** Targets at which the call was attempted already. */
+  /** Ids of the targets at which the call was attempted already. */
   readonly tried: ReadonlySet<string>;
   readonly random: RandomSource;
 }
 
 /**
- * Chooses the target with the lowest cost. Meant for many short calls to few
- * targets, from entries that do not coordinate with each other.
+ * Chooses the target with the lowest cost: its estimated requests plus the
+ * costs above. Meant for many short calls to few targets, from entries that do
+ * not coordinate with each other. Returns undefined if all were tried.
  *
  * @example
  * const target = chooseCallTarget({targets, dataCentre, tried, random});
--- a/src/core/placing/choose-engine.ts
+++ b/src/core/placing/choose-engine.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the engines that run a generation and hold a copy of its KV cache.
+ * Chooses the engines that run a generation and keep a copy of its KV cache.
  */
 import type {RandomSource} from '../clock/index.js';
 import type {Target} from '../targets/index.js';
@@ -10,7 +10,7 @@
   relativeSlowness,
 } from './service-baseline.js';
 
-/** Cost of each pending prefill at the engine, in running requests. */
+/** Cost of each running or waiting prefill, in running requests. */
 const PREFILL_COST = 5;
 
 /** Cost of streams twice as slow as the median, in running requests. */
@@ -19,7 +19,7 @@
 /** Cost of a failure share 1 above the mean, in running requests. */
 const FAILURE_COST = 30;
 
-/** Cost of a full KV cache, in running requests. */
+/** Cost of exceeding `KV_CACHE_SHARE`, in running requests. */
 const KV_CACHE_FULL_COST = 100;
 
 /** Share of an engine's KV cache that may be planned for. */
@@ -31,27 +31,27 @@
 /** Cost of an engine that does not respond, in running requests. */
 const PAUSED_COST = 1_000;
 
-/** Spread of the random tie-breaker, in running requests. */
+/** Upper bound of the random cost that breaks ties, in running requests. */
 const JITTER = 1;
 
 /** Input of `chooseEngine` and `shortlistEngines`. */
 export interface EngineQuery {
   readonly targets: readonly Target[];
-  /** Tokens that the generation holds in the KV cache at its end. */
+  /** Tokens of the generation in the KV cache at its end. */
   readonly tokens: number;
   /** Capacity of an engine's KV cache, in tokens. */
   readonly kvCapacityTokens: number;
   /** Ids of targets that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
-  /** Data centres to avoid while another one has engines. */
+  /** Data centres to avoid if another one has engines. */
   readonly avoidedDataCentres?: ReadonlySet<string>;
-  /** Prefer engines from which a message was received recently. */
+  /** Whether to prefer engines from which a message was received recently. */
   readonly preferRecentlySeen?: boolean;
   readonly random: RandomSource;
 }
 
 /**
- * Age of the last message up to which an engine counts as seen, in
+ * Age of an engine's last message up to which it counts as seen recently, in
  * milliseconds.
  */
 const RECENTLY_SEEN_MS = 1_500;
@@ -106,8 +106,9 @@
   cost += target.estimatedPrefills() * PREFILL_COST;
   cost += relativeSlowness(target, baseline) * SLOW_COST;
   cost += excessFailureShare(target, baseline) * FAILURE_COST;
-  const planned = target.plannedTokens() + tokens;
-  if (planned > kvCapacityTokens * KV_CACHE_SHARE) cost += KV_CACHE_FULL_COST;
+  const plannedTokens = target.plannedTokens() + tokens;
+  if (plannedTokens > kvCapacityTokens * KV_CACHE_SHARE)
+    cost += KV_CACHE_FULL_COST;
   if (target.isFull()) cost += FULL_COST;
   if (target.isPaused()) cost += PAUSED_COST;
   if (avoidedDataCentres?.has(target.record.dataCentre))
--- a/src/core/placing/engine-priority.ts
+++ b/src/core/placing/engine-priority.ts
@@ -1,4 +1,4 @@
-/** Priority of a generation at an engine. */
+/** Computes the priority of a generation at an engine. */
 import type {AccountKeys, Route} from '../routes/index.js';
 
 /** Engines accept priorities 0 to 9, of which 0 is the highest. */
@@ -9,7 +9,7 @@
   readonly route: Pick<Route, 'priority'>;
   /** Account of the caller, whose priority overrides the route's. */
   readonly account?: Pick<AccountKeys, 'priority'>;
-  /** Whether the caller has received a part of the output already. */
+  /** Whether the caller has received part of the output already. */
   readonly isResumed: boolean;
 }
 
--- a/src/core/placing/rank-by-fingerprint.ts
+++ b/src/core/placing/rank-by-fingerprint.ts
@@ -1,4 +1,4 @@
-/** Sends requests that may crash targets to different targets. */
+/** Ranks targets so that requests that may crash one get different targets. */
 import {createHash} from 'node:crypto';
 
 import type {Target} from '../targets/index.js';
@@ -6,8 +6,8 @@
 /**
  * Orders targets by a hash of the request's fingerprint and the target's id
  * (rendezvous hashing), so that two requests rarely get the same target first.
- * After several requests were lost together with their target, this separates
- * them: the request that caused the crash then loses the next target alone.
+ * After a target was lost with several requests, they therefore go to different
+ * targets, and the request that caused the crash loses the next target alone.
  *
  * @example
  * const [target] = rankByFingerprint(fingerprint, targets);
--- a/src/core/placing/service-baseline.ts
+++ b/src/core/placing/service-baseline.ts
@@ -5,12 +5,12 @@
 export interface ServiceBaseline {
   /** Median time between events, in milliseconds; undefined if unknown. */
   readonly eventGapMs?: number;
-  /** Mean share of failed responses. */
+  /** Mean of the targets' shares of failed responses. */
   readonly failureShare: number;
 }
 
 /**
- * Computes the baseline of some targets.
+ * Computes the baseline from the targets of a service.
  *
  * @example
  * const baseline = computeBaseline(targets);
@@ -26,8 +26,8 @@
 }
 
 /**
- * By how much a target is slower than the baseline: 0 if it is not, 0.3 if its
- * streams take 1.3 times as long.
+ * By how much a target is slower than the baseline: 0.3 if its streams take 1.3
+ * times as long, 0 if it is not slower or its speed is unknown.
  *
  * @example
  * relativeSlowness(target, baseline); // 0.3
--- a/test/core/placing/engine-priority.test.ts
+++ b/test/core/placing/engine-priority.test.ts
@@ -1,4 +1,4 @@
-/** Priority of generations at an engine. */
+/** Tests the priority of generations at an engine. */
 import {describe, expect, it} from 'vitest';
 
 import {enginePriority} from '../../../src/core/placing/index.js';
--- a/test/core/placing/placing.test.ts
+++ b/test/core/placing/placing.test.ts
@@ -1,4 +1,4 @@
-/** Checks the choice of targets under simulated load. */
+/** Tests the choice of targets, also under simulated load. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock, SeededRandom} from '../../../src/core/clock/index.js';
@@ -32,7 +32,7 @@
   return {clock, targets};
 }
 
-const choice = (
+const createQuery = (
   targets: readonly Target[],
   random = new SeededRandom(SEED),
 ) => ({
@@ -72,15 +72,15 @@
     degrade(targets[1]!);
     for (let seed = 0; seed < 50; seed++) {
       const random = new SeededRandom(seed);
-      expect(chooseEngine(choice(targets, random))).toBe(targets[2]);
+      expect(chooseEngine(createQuery(targets, random))).toBe(targets[2]);
     }
   });
 
-  it('avoids a data centre while another has engines', () => {
+  it('avoids a data centre if another one has engines', () => {
     const {targets} = createTargets(['a', 'b']);
     targets[1]!.begin({tokens: GENERATION_TOKENS});
     const avoidedDataCentres = new Set(['a']);
-    const query = {...choice(targets), avoidedDataCentres};
+    const query = {...createQuery(targets), avoidedDataCentres};
     expect(chooseEngine(query)).toBe(targets[1]);
     expect(chooseEngine({...query, targets: targets.slice(0, 1)})).toBe(
       targets[0],
@@ -94,7 +94,7 @@
     }
     const random = new SeededRandom(SEED);
     const picks = Array.from({length: 3}, () => {
-      const target = chooseEngine(choice(targets, random))!;
+      const target = chooseEngine(createQuery(targets, random))!;
       target.begin({tokens: GENERATION_TOKENS});
       return target.id;
     });
@@ -103,55 +103,65 @@
   });
 
   it('starts prefills sooner than a random choice at two thirds load', () => {
-    const waits = {chosen: playPrompts(true), random: playPrompts(false)};
-    expect(waits.chosen).toBeLessThan(waits.random / 2);
+    const meanWaitMs = {
+      chosen: simulatePrefills(true),
+      random: simulatePrefills(false),
+    };
+    expect(meanWaitMs.chosen).toBeLessThan(meanWaitMs.random / 2);
   });
 });
 
 /**
- * Simulates 600 prefills of one second each on 12 engines, at 8 per second, from
- * four entries that receive reports 200 ms late. Returns the mean wait in
- * milliseconds.
+ * Simulates 600 prefills of one second each on 12 engines, at 8 per second,
+ * from four entries that receive reports 200 ms late. Returns the mean time
+ * until a prefill starts, in milliseconds.
  */
-function playPrompts(usesChoice: boolean): number {
+function simulatePrefills(usesChooser: boolean): number {
   const entries = Array.from({length: 4}, () =>
     createTargets(Array(12).fill('a')),
   );
   const random = new SeededRandom(SEED);
   const freeAtMs = Array<number>(12).fill(0);
   let nowMs = 0;
-  let waitedMs = 0;
+  let totalWaitMs = 0;
   const count = 600;
   for (let i = 0; i < count; i++) {
     const stepMs = -Math.log(1 - random.float()) * 125;
     nowMs += stepMs;
     for (const {clock} of entries) clock.advance(stepMs);
     const {targets} = entries[i % 4]!;
-    const candidates = shortlistEngines(choice(targets, random), 3);
+    const candidates = shortlistEngines(createQuery(targets, random), 3);
     for (const target of candidates) {
       const index = targets.indexOf(target);
       const backlogMs = Math.max(0, freeAtMs[index]! - (nowMs - 200));
-      const unread = Math.ceil(backlogMs / 1_000);
-      const reading = Math.min(1, unread);
+      const pending = Math.ceil(backlogMs / 1_000);
+      const prefilling = Math.min(1, pending);
       target.recordLoad(
-        {running: reading, waiting: unread - reading, prefilling: reading},
+        {
+          running: prefilling,
+          waiting: pending - prefilling,
+          prefilling,
+        },
         200,
       );
     }
     const chosen = chooseEngine({
-      ...choice(targets, random),
+      ...createQuery(targets, random),
       targets: candidates,
     });
-    const index = usesChoice ? targets.indexOf(chosen!) : random.below(12);
+    const index = usesChooser ? targets.indexOf(chosen!) : random.below(12);
     const startMs = Math.max(nowMs, freeAtMs[index]!);
-    waitedMs += startMs - nowMs;
+    totalWaitMs += startMs - nowMs;
     freeAtMs[index] = startMs + 1_000;
   }
-  return waitedMs / count;
+  return totalWaitMs / count;
 }
 
 describe('chooseCallTarget', () => {
-  const query = (targets: readonly Target[], tried: string[] = []) => ({
+  const createCallQuery = (
+    targets: readonly Target[],
+    tried: string[] = [],
+  ) => ({
     targets,
     dataCentre: 'a',
     tried: new Set(tried),
@@ -160,13 +170,17 @@
 
   it('prefers the idle target in its own data centre', () => {
     const {targets} = createTargets(['b', 'a']);
-    expect(chooseCallTarget(query(targets))).toBe(targets[1]);
+    expect(chooseCallTarget(createCallQuery(targets))).toBe(targets[1]);
   });
 
   it('chooses no target twice', () => {
     const {targets} = createTargets(['a', 'b']);
-    expect(chooseCallTarget(query(targets, ['i-0']))).toBe(targets[1]);
-    expect(chooseCallTarget(query(targets, ['i-0', 'i-1']))).toBeUndefined();
+    expect(chooseCallTarget(createCallQuery(targets, ['i-0']))).toBe(
+      targets[1],
+    );
+    expect(
+      chooseCallTarget(createCallQuery(targets, ['i-0', 'i-1'])),
+    ).toBeUndefined();
   });
 
   it('avoids a target with a higher failure share than the others', () => {
@@ -176,6 +190,6 @@
       targets[1]!.recordResponse(i % 10 === 0);
       targets[2]!.recordResponse(i % 10 === 0);
     }
-    expect(chooseCallTarget(query(targets))).not.toBe(targets[0]);
+    expect(chooseCallTarget(createCallQuery(targets))).not.toBe(targets[0]);
   });
 });
--- a/test/core/placing/rank-by-fingerprint.test.ts
+++ b/test/core/placing/rank-by-fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Requests that may crash targets are sent to different targets. */
+/** Tests that requests that may crash targets go to different targets. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
@@ -9,7 +9,7 @@
 const REQUESTS = 200;
 
 /** Probability that two requests get the same target at random. */
-const CHANCE = 1 / TARGETS;
+const COLLISION_PROBABILITY = 1 / TARGETS;
 
 describe('rankByFingerprint', () => {
   const clock = new ManualClock();
@@ -24,7 +24,7 @@
     };
     return new Target({record, clock});
   });
-  const first = (i: number) =>
+  const firstTargetOf = (i: number) =>
     rankByFingerprint(`suspect ${i}`, targets)[0]!.id;
 
   it('returns all targets, in the same order for the same fingerprint', () => {
@@ -36,8 +36,10 @@
 
   it('rarely ranks the same target first for two fingerprints', () => {
     const collisions = Array.from({length: REQUESTS}, (_, i) => i).filter(
-      (i) => first(i) === first(i + REQUESTS),
+      (i) => firstTargetOf(i) === firstTargetOf(i + REQUESTS),
+    );
+    expect(collisions.length / REQUESTS).toBeLessThan(
+      2 * COLLISION_PROBABILITY,
     );
-    expect(collisions.length / REQUESTS).toBeLessThan(2 * CHANCE);
   });
 });
