--- a/src/core/retrying/decide-retry.ts
+++ b/src/core/retrying/decide-retry.ts
@@ -1,4 +1,4 @@
-/** Decides what follows a failed attempt of a call. */
+/** Decides what to do after an attempt of a call. */
 import {ExchangeFailure} from '../edges/direct-target.js';
 import {RefusalReason, RetryReason} from '../errors/refusals.js';
 import {OperationKind} from '../routes/index.js';
@@ -39,12 +39,14 @@
   FAIL = 'give_up',
 }
 
+/** Failures after which the call certainly did not run at the target. */
 const NOT_RUN: ReadonlySet<ExchangeFailure> = new Set([
   ExchangeFailure.NOT_SENT,
   ExchangeFailure.REJECTED,
   ExchangeFailure.WRONG_TARGET,
 ]);
 
+/** Failures after which the chosen target certainly did not get the call. */
 const NOT_RECEIVED: ReadonlySet<ExchangeFailure> = new Set([
   ExchangeFailure.NOT_SENT,
   ExchangeFailure.WRONG_TARGET,
@@ -107,8 +109,9 @@
 }
 
 /**
- * Decides what follows an attempt. An idempotent call is also retried after a
- * failed response; any other call only if the attempt had no effect.
+ * Decides what to do after an attempt. An unsafe call is retried only if it
+ * certainly did not run; any other call also after a failure status, or if it
+ * may have run. Each retry needs another target, an attempt left and budget.
  *
  * @example
  * const decision = decideRetry({operation, result: {status: 500}, ...rest});
@@ -139,8 +142,8 @@
 }
 
 /**
- * Returns the response to a failed call: 503 guarantees that the call did not
- * run, 502 and 504 leave it open.
+ * Returns the response to a failed call. Status 503 guarantees that the call
+ * did not run; after 502 and 504 it may have run.
  *
  * @example
  * toFailureResponse({mayHaveRun: true, isTimedOut: false}).status; // 502
--- a/test/core/retrying/decide-retry.test.ts
+++ b/test/core/retrying/decide-retry.test.ts
@@ -20,7 +20,7 @@
 );
 
 /** Simulates a call whose attempts have the given results. */
-function play(options: {
+function simulateCall(options: {
   operation: OperationKind;
   maxAttempts: number;
   results: readonly AttemptResult[];
@@ -54,7 +54,7 @@
         fc.integer({min: 1, max: 4}),
         fc.array(resultArb, {minLength: 1, maxLength: 8}),
         (operation, maxAttempts, results) => {
-          const {sent, ran, decision, result} = play({
+          const {sent, ran, decision, result} = simulateCall({
             operation,
             maxAttempts,
             results,
@@ -90,7 +90,10 @@
     {mayHaveRun: false, isTimedOut: true, status: 503},
     {mayHaveRun: true, isTimedOut: false, status: 502},
     {mayHaveRun: true, isTimedOut: true, status: 504},
-  ])('$mayHaveRun, $isTimedOut: $status', ({status, ...query}) => {
-    expect(toFailureResponse(query).status).toBe(status);
-  });
+  ])(
+    'returns $status if mayHaveRun is $mayHaveRun and isTimedOut is $isTimedOut',
+    ({status, ...query}) => {
+      expect(toFailureResponse(query).status).toBe(status);
+    },
+  );
 });
