--- a/src/core/targets/target-set.ts
+++ b/src/core/targets/target-set.ts
@@ -6,10 +6,10 @@
 import type {TargetRecord} from './types.js';
 
 /**
- * Keeps one `Target` for each incarnation of a target. A target that is
+ * Keeps a `Target` for the current incarnation of each target. A target that is
  * draining or no longer registered gets no new work. If its registration is
- * missing after an outage of the store, it has a grace period in which it may
- * register again.
+ * missing after an outage of the store, it still gets work for a grace period,
+ * in which it may register again.
  *
  * @example
  * const targets = new TargetSet({clock, onRemoved: (t) => close(t)});
@@ -26,14 +26,14 @@
   constructor(
     private readonly options: {
       clock: Clock;
-      /** Called when a target is removed, drains or was restarted. */
+      /** Called when a target is removed, starts to drain or was restarted. */
       onRemoved: (target: Target) => void;
-      /** Called when a target is paused. */
+      /** Called on each pause of a target with its length in milliseconds. */
       onPaused?: (target: Target, pauseMs: number) => void;
     },
   ) {}
 
-  /** All known targets. */
+  /** All targets, including draining ones. */
   all(): Iterable<Target> {
     return this.targets.values();
   }
@@ -54,24 +54,28 @@
     return found;
   }
 
-  /** Applies a full list; `afterOutage` if the store was unavailable before. */
+  /**
+   * Applies a full list of registrations; `afterOutage` is whether the store
+   * was unavailable before.
+   */
   replaceAll(
     items: ReadonlyArray<SourceItem<TargetRecord>>,
     afterOutage: boolean,
   ): void {
-    const present = new Set<string>();
+    const registeredIds = new Set<string>();
     for (const {name, value} of items) {
       if (value === undefined) continue;
-      present.add(name);
+      registeredIds.add(name);
       this.put(value);
     }
     for (const id of [...this.targets.keys()]) {
-      if (present.has(id)) continue;
+      if (registeredIds.has(id)) continue;
       if (afterOutage) this.markMissing(id);
       else this.remove(id);
     }
   }
 
+  /** Applies changes; removes a target whose registration cannot be decoded. */
   applyChanges(changes: ReadonlyArray<SourceChange<TargetRecord>>): void {
     for (const {name, value, isDeleted} of changes) {
       if (isDeleted || value === undefined) this.remove(name);
@@ -105,13 +109,13 @@
 
   private removeExpired(): void {
     if (this.missingSinceMs.size === 0) return;
-    const dueMs = this.options.clock.now() - REREGISTRATION_GRACE_MS;
+    const latestExpiredMs = this.options.clock.now() - REREGISTRATION_GRACE_MS;
     for (const [id, sinceMs] of [...this.missingSinceMs]) {
-      if (sinceMs <= dueMs) this.remove(id);
+      if (sinceMs <= latestExpiredMs) this.remove(id);
     }
   }
 
-  /** Kept by address, since a restarted target runs on the same machine. */
+  /** Stored by address, since a restarted target runs on the same machine. */
   private rememberEventGap({record, eventGapMs}: Target): void {
     if (eventGapMs === undefined) return;
     if (this.eventGaps.size >= MAX_REMEMBERED_GAPS) this.eventGaps.clear();
--- a/src/core/targets/target.ts
+++ b/src/core/targets/target.ts
@@ -8,7 +8,7 @@
   EVENT_GAP_GROWTH,
   EVENT_GAP_SAMPLES,
   PAUSE_AFTER_FAILURE_MS,
-  PAUSE_AFTER_REJECT_MS,
+  FULL_AFTER_REJECT_MS,
 } from './consts.js';
 import type {TargetRecord} from './types.js';
 
@@ -16,7 +16,7 @@
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
-  /** Running requests in prefill; undefined if not reported. */
+  /** Number of running requests in prefill; undefined if not reported. */
   readonly prefilling?: number;
   /**
    * Tokens in the KV cache that cannot be evicted; undefined if not reported.
@@ -49,6 +49,7 @@
   private readonly clock: Clock;
   private readonly onPaused: (target: Target, pauseMs: number) => void;
   private readonly work = new Set<TargetWork>();
+  /** Tokens of KV cache copies that the target holds for other targets. */
   private kvCopyTokens = 0;
   private reported: ReportedLoad = {running: 0, waiting: 0};
   private reportReceivedAtMs = Number.NEGATIVE_INFINITY;
@@ -57,8 +58,10 @@
   /** Own work in flight when the load was measured. */
   private ownInReport = 0;
   private seenAtMs = Number.NEGATIVE_INFINITY;
+  /** Start of the first pause since the target was last seen. */
   private unavailableFromMs?: number;
   private drainingFromMs?: number;
+  /** Shortest recent mean of `EVENT_GAP_SAMPLES` gaps. */
   private minMeanGapMs?: number;
   private gapSumMs = 0;
   private gapCount = 0;
@@ -86,18 +89,19 @@
     return this.record.id;
   }
 
-  /** Own requests in flight. */
+  /** Number of this entry's requests in flight at the target. */
   get running(): number {
     return this.work.size;
   }
 
-  /** Own requests in prefill. */
+  /** Number of this entry's requests in prefill at the target. */
   get prefilling(): number {
     let count = 0;
     for (const work of this.work) if (work.isPrefilling) count++;
     return count;
   }
 
+  /** Adds work that this entry sends to the target; `end` removes it. */
   begin(options: {tokens: number}): TargetWork {
     const {tokens} = options;
     const work = {tokens, startedAtMs: this.clock.now(), isPrefilling: true};
@@ -109,7 +113,7 @@
     this.work.delete(work);
   }
 
-  /** Adds the copy of a KV cache that this target holds for another one. */
+  /** Adds the copy of a KV cache that the target holds for another target. */
   addKvCopy(tokens: number): void {
     this.kvCopyTokens += tokens;
   }
@@ -153,17 +157,17 @@
     return this.clock.now() - this.seenAtMs;
   }
 
-  /** Milliseconds since the last load report. */
+  /** Milliseconds since the last load report arrived. */
   reportAgeMs(): number {
     return this.clock.now() - this.reportReceivedAtMs;
   }
 
-  /** Estimated requests at the target from all entries. */
+  /** Estimated number of requests at the target from all entries. */
   estimatedRequests(): number {
     return this.othersRequests() + this.work.size;
   }
 
-  /** Estimated prompts in prefill or waiting for it. */
+  /** Estimated number of prompts in prefill or waiting for it. */
   estimatedPrefills(): number {
     if (this.reportAgeMs() > MAX_REPORT_AGE_MS) return this.prefilling;
     const {prefilling = 0, waiting} = this.reported;
@@ -175,7 +179,7 @@
     return prefills;
   }
 
-  /** Tokens in the KV cache, with those that own work will need. */
+  /** Tokens in the KV cache, with those that this entry's work will need. */
   plannedTokens(): number {
     const own = this.ownTokens();
     const {kvUsedTokens} = this.reported;
@@ -214,9 +218,9 @@
     const meanMs = this.gapSumMs / this.gapCount;
     this.gapSumMs = 0;
     this.gapCount = 0;
-    const agedMs =
+    const grownMinMs =
       (this.minMeanGapMs ?? Number.POSITIVE_INFINITY) * EVENT_GAP_GROWTH;
-    this.minMeanGapMs = Math.min(agedMs, meanMs);
+    this.minMeanGapMs = Math.min(grownMinMs, meanMs);
   }
 
   /** Shortest recent mean time between events; undefined if unknown. */
@@ -236,6 +240,7 @@
     return this.recentFailureShare;
   }
 
+  /** Records a valid response, which ends a pause. */
   recordSuccess(): void {
     this.recordSeen();
     this.consecutiveFailures = 0;
@@ -244,7 +249,8 @@
   }
 
   /**
-   * Records that the target did not respond or that its response was invalid.
+   * Records that the target did not respond or that its response was invalid;
+   * pauses the target after `FAILURES_BEFORE_PAUSE` consecutive failures.
    */
   recordFailure(): void {
     this.consecutiveFailures++;
@@ -253,8 +259,8 @@
   }
 
   /**
-   * Gives the target no work for some time, because it does not respond. The
-   * pause doubles each time until it responds.
+   * Pauses the target because it does not respond. Each further pause is twice
+   * as long until it responds.
    */
   pause(): void {
     const pauseMs = PAUSE_AFTER_FAILURE_MS * 2 ** this.consecutivePauses;
@@ -262,14 +268,17 @@
     this.pauseFor(Math.min(pauseMs, LONGEST_PAUSE_MS));
   }
 
-  /** Records that this incarnation ended; a new one will register itself. */
+  /**
+   * Records that this incarnation ended, and pauses it for the longest time; a
+   * new incarnation registers itself.
+   */
   recordIncarnationEnded(): void {
     this.pauseFor(LONGEST_PAUSE_MS);
   }
 
   /** Records that the target rejected a request for lack of capacity. */
   recordRejected(): void {
-    this.fullUntilMs = this.clock.now() + PAUSE_AFTER_REJECT_MS;
+    this.fullUntilMs = this.clock.now() + FULL_AFTER_REJECT_MS;
   }
 
   /**
@@ -280,17 +289,19 @@
     this.record = {...this.record, isDraining: true};
   }
 
-  /** Milliseconds since draining was recorded; undefined if it was not. */
+  /** Milliseconds since `recordDraining`; undefined before it. */
   drainingForMs(): number | undefined {
     return this.drainingFromMs === undefined
       ? undefined
       : this.clock.now() - this.drainingFromMs;
   }
 
+  /** Whether the target should get no work, because it does not respond. */
   isPaused(): boolean {
     return this.clock.now() < this.pausedUntilMs;
   }
 
+  /** Whether the target rejected a request within `FULL_AFTER_REJECT_MS`. */
   isFull(): boolean {
     return this.clock.now() < this.fullUntilMs;
   }
--- a/src/core/targets/types.ts
+++ b/src/core/targets/types.ts
@@ -7,7 +7,7 @@
   /** IP:PORT. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests that it runs concurrently. */
+  /** Number of requests that it can run concurrently. */
   readonly slots: number;
   /** It finishes its work and takes no new work. */
   readonly isDraining: boolean;
--- a/test/core/targets/targets.test.ts
+++ b/test/core/targets/targets.test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-const item = (value?: TargetRecord, name = 'i-1') => ({name, value});
+const sourceItem = (value?: TargetRecord, name = 'i-1') => ({name, value});
 
 describe('TargetSet', () => {
   let clock: ManualClock;
@@ -33,12 +33,12 @@
       clock,
       onRemoved: (target) => removed.push(target.id),
     });
-    targets.replaceAll([item(record())], false);
+    targets.replaceAll([sourceItem(record())], false);
   });
 
-  const usable = () => targets.ofService('s').map((target) => target.id);
+  const usableIds = () => targets.ofService('s').map((target) => target.id);
 
-  const change = (value?: TargetRecord, isDeleted = false) =>
+  const applyChange = (value?: TargetRecord, isDeleted = false) =>
     targets.applyChanges([{name: 'i-1', value, isDeleted}]);
 
   it.each([
@@ -46,15 +46,15 @@
     {name: 'is deleted', value: undefined, isDeleted: true},
     {name: 'can no longer be decoded', value: undefined, isDeleted: false},
   ])('gives no work to a target that $name', ({value, isDeleted}) => {
-    change(value, isDeleted);
-    expect(usable()).toEqual([]);
+    applyChange(value, isDeleted);
+    expect(usableIds()).toEqual([]);
     expect(removed).toEqual(['i-1']);
   });
 
-  it('resets the state of a target that was restarted under its id', () => {
+  it('resets the state of a target that restarts under the same id', () => {
     const [before] = targets.ofService('s');
     before!.begin({tokens: 9});
-    change(record({startedAtMs: 2}));
+    applyChange(record({startedAtMs: 2}));
     const [after] = targets.ofService('s');
     expect(after).not.toBe(before);
     expect(after!.running).toBe(0);
@@ -64,7 +64,7 @@
   it('keeps the event gap of an address over restarts', () => {
     const [before] = targets.ofService('s');
     for (let i = 0; i < 6; i++) before!.recordEventGap(40);
-    change(record({startedAtMs: 2}));
+    applyChange(record({startedAtMs: 2}));
     expect(targets.ofService('s')[0]!.eventGapMs).toBeCloseTo(40);
   });
 
@@ -73,20 +73,20 @@
     {afterOutage: true, waitMs: GRACE_MS - 1, expected: ['i-1']},
     {afterOutage: true, waitMs: GRACE_MS, expected: []},
   ])(
-    'missing, after an outage $afterOutage, for $waitMs ms: $expected',
+    'lists $expected if unregistered for $waitMs ms, after an outage: $afterOutage',
     ({afterOutage, waitMs, expected}) => {
       targets.replaceAll([], afterOutage);
       clock.advance(waitMs);
-      expect(usable()).toEqual(expected);
+      expect(usableIds()).toEqual(expected);
     },
   );
 
   it('keeps a target that registers again in time', () => {
     targets.replaceAll([], true);
     clock.advance(GRACE_MS / 2);
-    change(record());
+    applyChange(record());
     clock.advance(GRACE_MS);
-    expect(usable()).toEqual(['i-1']);
+    expect(usableIds()).toEqual(['i-1']);
   });
 });
 
@@ -118,7 +118,7 @@
     expect(pauses.at(-1)).toBe(600);
   });
 
-  it('counts the work of others by reports and its own immediately', () => {
+  it('counts the work of other entries by reports and its own immediately', () => {
     target.begin({tokens: 1});
     clock.advance(300);
     target.recordLoad({running: 3, waiting: 1, prefilling: 1}, 200);
