--- a/src/core/streams/event-sequence.ts
+++ b/src/core/streams/event-sequence.ts
@@ -6,7 +6,7 @@
   PASS = 'pass',
   /** The caller has received the event already. */
   SKIP = 'skip',
-  /** An earlier event is missing, so the target's stream cannot be used. */
+  /** An event before it is missing, so the target's stream cannot be used. */
   GAP = 'gap',
 }
 
@@ -33,7 +33,7 @@
     return this.last;
   }
 
-  /** Number of events passed on since the start. */
+  /** Number of events that passed the check. */
   get count(): number {
     return this.passedCount;
   }
--- a/src/core/streams/event-splitter.ts
+++ b/src/core/streams/event-splitter.ts
@@ -7,7 +7,7 @@
 export interface RawEvent {
   /** The bytes as received. */
   readonly bytes: Uint8Array;
-  /** Position of the event in its stream; undefined if it has none. */
+  /** Position of the event in its stream; undefined without a numeric id. */
   readonly id?: number;
 }
 
@@ -34,14 +34,20 @@
   }
 
   push(chunk: Uint8Array): RawEvent[] {
-    const view = Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength);
+    const received = Buffer.from(
+      chunk.buffer,
+      chunk.byteOffset,
+      chunk.byteLength,
+    );
     let bytes =
-      this.pending.length === 0 ? view : Buffer.concat([this.pending, view]);
+      this.pending.length === 0
+        ? received
+        : Buffer.concat([this.pending, received]);
     const events: RawEvent[] = [];
     for (;;) {
-      const at = bytes.indexOf(BLANK_LINE);
-      if (at < 0) break;
-      const end = at + BLANK_LINE.length;
+      const index = bytes.indexOf(BLANK_LINE);
+      if (index < 0) break;
+      const end = index + BLANK_LINE.length;
       events.push(this.toEvent(bytes.subarray(0, end)));
       bytes = bytes.subarray(end);
     }
--- a/src/core/streams/min-generation-time.ts
+++ b/src/core/streams/min-generation-time.ts
@@ -1,14 +1,18 @@
 /** Estimates the shortest possible time of a generation. */
 
 /**
- * Factor by which a minimum grows with each new sample, so that it can rise.
+ * Factor by which a minimum grows with each new sample, so that it rises when
+ * generations become slower.
  */
 const MIN_GROWTH_FACTOR = 1.01;
 
-/** Samples before any estimate is made. */
+/** Number of samples before which no generation is refused. */
 const MIN_SAMPLES = 5;
 
-/** Share of the shortest time below which the remaining time is too short. */
+/**
+ * Share of the estimated shortest time; a generation is refused if less than
+ * this remains. Below 1, since the estimate may be too high.
+ */
 const REFUSAL_FACTOR = 0.8;
 
 /** Work that a requested generation needs, as known on its arrival. */
@@ -25,11 +29,11 @@
   readonly promptTokens: number;
   /** Maximum number of events. */
   readonly maxEvents: number;
-  /** Number of events that were sent. */
+  /** Number of events that the target sent. */
   readonly events: number;
-  /** From arrival to the first event, in milliseconds. */
+  /** Time from arrival to the first event, in milliseconds. */
   readonly firstEventMs: number;
-  /** From the first event to the last, in milliseconds. */
+  /** Time from the first event to the last, in milliseconds. */
   readonly streamingMs: number;
 }
 
@@ -60,7 +64,7 @@
     this.eventShare = updateMin(this.eventShare, events / maxEvents);
   }
 
-  /** Shortest time for a generation, in milliseconds; 0 while unknown. */
+  /** Estimated shortest time, in milliseconds; 0 before enough samples. */
   shortestMs(need: GenerationNeed): number {
     if (this.samples < MIN_SAMPLES) return 0;
     const {promptTokens, maxEvents, receivedEvents} = need;
@@ -68,12 +72,12 @@
     return promptTokens * this.msPerToken + events * this.msPerEvent;
   }
 
-  /** Whether a generation cannot finish in the remaining time. */
+  /** Whether a generation cannot finish in the remaining time, `leftMs`. */
   cannotFinish(options: {need: GenerationNeed; leftMs: number}): boolean {
     return options.leftMs < this.shortestMs(options.need) * REFUSAL_FACTOR;
   }
 }
 
-function updateMin(known: number, sample: number): number {
-  return Math.min(known * MIN_GROWTH_FACTOR, sample);
+function updateMin(minimum: number, sample: number): number {
+  return Math.min(minimum * MIN_GROWTH_FACTOR, sample);
 }
--- a/test/core/streams/streams.test.ts
+++ b/test/core/streams/streams.test.ts
@@ -20,18 +20,20 @@
       fc.property(
         fc.integer({min: 1, max: 12}),
         fc.array(fc.integer({min: 1, max: 30}), {maxLength: 40}),
-        (count, cuts) => {
+        (count, chunkSizes) => {
           const ids = Array.from({length: count}, (_, i) => i + 1);
           const bytes = Buffer.from(ids.map(eventText).join(''));
           const splitter = new EventSplitter();
           const found: Array<{id?: number; text: string}> = [];
-          let at = 0;
-          for (const size of [...cuts, bytes.length]) {
-            for (const event of splitter.push(bytes.subarray(at, at + size))) {
+          let offset = 0;
+          for (const size of [...chunkSizes, bytes.length]) {
+            for (const event of splitter.push(
+              bytes.subarray(offset, offset + size),
+            )) {
               const text = Buffer.from(event.bytes).toString();
               found.push({id: event.id, text});
             }
-            at = Math.min(bytes.length, at + size);
+            offset = Math.min(bytes.length, offset + size);
           }
           expect(found).toEqual(ids.map((id) => ({id, text: eventText(id)})));
           expect(splitter.pendingBytes).toBe(0);
@@ -49,7 +51,7 @@
 });
 
 describe('EventSequence', () => {
-  it('passes each event once and in order from several targets', () => {
+  it('passes each event once and in order, from several targets', () => {
     fc.assert(
       fc.property(
         fc.array(
@@ -89,11 +91,14 @@
     {widestGapMs: 100, probeMs: 160, stallMs: 300},
     {widestGapMs: 170, probeMs: 272, stallMs: 425},
     {widestGapMs: 600, probeMs: 455, stallMs: 455},
-  ])('gaps of $widestGapMs ms', ({widestGapMs, probeMs, stallMs}) => {
-    const options = {maxPauseMs: 700, widestGapMs};
-    expect(probeDelayMs(options)).toBeCloseTo(probeMs);
-    expect(stallTimeoutMs(options)).toBeCloseTo(stallMs);
-  });
+  ])(
+    'are $probeMs ms and $stallMs ms for gaps of $widestGapMs ms',
+    ({widestGapMs, probeMs, stallMs}) => {
+      const options = {maxPauseMs: 700, widestGapMs};
+      expect(probeDelayMs(options)).toBeCloseTo(probeMs);
+      expect(stallTimeoutMs(options)).toBeCloseTo(stallMs);
+    },
+  );
 });
 
 describe('MinGenerationTime', () => {
@@ -112,23 +117,23 @@
     return times;
   }
 
-  it('rules out no generation before it has enough samples', () => {
+  it('refuses no generation before it has enough samples', () => {
     expect(createTimes(4).cannotFinish({need, leftMs: 1})).toBe(false);
   });
 
   it.each([
     {name: 'a new generation', receivedEvents: 0, shortestMs: 1_500},
     {
-      name: 'a generation with half of its events received',
+      name: 'a generation with half of its expected events received',
       receivedEvents: 25,
       shortestMs: 1_250,
     },
     {
-      name: 'a generation with possibly all events received',
+      name: 'a generation with more than its expected events received',
       receivedEvents: 60,
       shortestMs: 1_000,
     },
-  ])('$name takes $shortestMs ms', ({receivedEvents, shortestMs}) => {
+  ])('estimates $shortestMs ms for $name', ({receivedEvents, shortestMs}) => {
     const times = createTimes(5);
     expect(times.shortestMs({...need, receivedEvents})).toBeCloseTo(
       shortestMs,
@@ -140,7 +145,10 @@
     {leftMs: 800, cannotFinish: true},
     {leftMs: 1_400, cannotFinish: false},
     {leftMs: 9_000, cannotFinish: false},
-  ])('$leftMs ms left: $cannotFinish', ({leftMs, cannotFinish}) => {
-    expect(createTimes(9).cannotFinish({need, leftMs})).toBe(cannotFinish);
-  });
+  ])(
+    'returns $cannotFinish from cannotFinish if $leftMs ms remain',
+    ({leftMs, cannotFinish}) => {
+      expect(createTimes(9).cannotFinish({need, leftMs})).toBe(cannotFinish);
+    },
+  );
 });
