--- a/src/core/drain/consts.ts
+++ b/src/core/drain/consts.ts
@@ -4,15 +4,18 @@
 export const DRAIN_POLL_MS = 50;
 
 /**
- * An entry refuses new work long enough for load balancers and callers to
- * notice.
+ * Bounds for an entry, which refuses new work long enough for load balancers
+ * and callers to notice.
  */
 export const ENTRY_DRAIN_LIMITS: DrainLimits = {
   minDrainMs: 2_000,
   peerTimeoutMs: 5_000,
 };
 
-/** An agent stays up for claims that were written before it began to drain. */
+/**
+ * Bounds for an agent, which keeps running for claims that were written before
+ * it began to drain.
+ */
 export const AGENT_DRAIN_LIMITS: DrainLimits = {
   minDrainMs: 1_000,
   peerTimeoutMs: 5_000,
--- a/src/core/drain/drain-controller.ts
+++ b/src/core/drain/drain-controller.ts
@@ -18,11 +18,13 @@
 
   constructor(
     private readonly options: {
+      /** Set to true when the drain begins. */
       draining: Cell<boolean>;
       clock: Clock;
       logger: Logger;
       limits: DrainLimits;
       work: DrainWork;
+      /** Called once, when the process may exit. */
       onDrained: () => void;
     },
   ) {}
--- a/src/core/drain/types.ts
+++ b/src/core/drain/types.ts
@@ -6,9 +6,12 @@
   readonly idleForMs: number;
   /** Number of accepted requests that have not ended. */
   readonly running: number;
-  /** Bytes of responses that were not sent yet. */
+  /** Number of bytes of responses that were not sent yet. */
   readonly unsentBytes: number;
-  /** Connected peers that have not confirmed that they send no more work. */
+  /**
+   * Number of connected peers that have not confirmed that they send no more
+   * work.
+   */
   readonly pendingPeers: number;
 }
 
@@ -16,11 +19,14 @@
 export interface DrainLimits {
   /** Least time for which the process refuses new work, in milliseconds. */
   readonly minDrainMs: number;
-  /** Longest wait for peers that do not read or respond, in milliseconds. */
+  /**
+   * Longest wait for peers that do not read or respond, in milliseconds since
+   * the process last had work.
+   */
   readonly peerTimeoutMs: number;
 }
 
-/** What a drain waits for. */
+/** Counts the work that a drain waits for. */
 export interface DrainWork {
   countRunning(): number;
   countUnsentBytes(): number;
--- a/test/core/drain/drain-controller.test.ts
+++ b/test/core/drain/drain-controller.test.ts
@@ -20,14 +20,14 @@
   readonly beginsAgain: boolean;
 }
 
-const STEP = fc.record({
+const stepArb = fc.record({
   running: fc.integer({min: 0, max: 1}),
   unsent: fc.integer({min: 0, max: 1}),
   peers: fc.integer({min: 0, max: 1}),
   beginsAgain: fc.boolean(),
 });
 
-function start(now: {step: Step}) {
+function startDrain(current: {step: Step}) {
   const draining = new Cell(false);
   const clock = new ManualClock();
   const drainedAtMs: number[] = [];
@@ -37,9 +37,9 @@
     logger: SILENT_LOGGER,
     limits: AGENT_DRAIN_LIMITS,
     work: {
-      countRunning: () => now.step.running,
-      countUnsentBytes: () => now.step.unsent,
-      countPendingPeers: () => now.step.peers,
+      countRunning: () => current.step.running,
+      countUnsentBytes: () => current.step.unsent,
+      countPendingPeers: () => current.step.peers,
     },
     onDrained: () => void drainedAtMs.push(clock.now()),
   });
@@ -50,26 +50,29 @@
   it(`drains once, without work and in bounded time (seed ${SEED})`, () => {
     const {minDrainMs, peerTimeoutMs} = AGENT_DRAIN_LIMITS;
     fc.assert(
-      fc.property(fc.array(STEP, {minLength: 1, maxLength: 300}), (steps) => {
-        const now = {step: steps[0]!};
-        const {draining, clock, drainedAtMs, drain} = start(now);
-        drain.begin();
-        expect(draining.get()).toBe(true);
-        let lastStep: Step | undefined;
-        for (const step of steps) {
-          now.step = step;
-          if (step.beginsAgain) drain.begin();
-          clock.advance(STEP_MS);
-          if (drainedAtMs.length > 0) lastStep ??= step;
-        }
-        expect(drainedAtMs.length).toBeLessThanOrEqual(1);
-        if (lastStep !== undefined) expect(lastStep.running).toBe(0);
-        if (drainedAtMs.length === 1)
-          expect(drainedAtMs[0]).toBeGreaterThanOrEqual(minDrainMs);
-        now.step = {running: 0, unsent: 1, peers: 1, beginsAgain: false};
-        clock.advance(minDrainMs + peerTimeoutMs + STEP_MS);
-        expect(drainedAtMs).toHaveLength(1);
-      }),
+      fc.property(
+        fc.array(stepArb, {minLength: 1, maxLength: 300}),
+        (steps) => {
+          const current = {step: steps[0]!};
+          const {draining, clock, drainedAtMs, drain} = startDrain(current);
+          drain.begin();
+          expect(draining.get()).toBe(true);
+          let lastStep: Step | undefined;
+          for (const step of steps) {
+            current.step = step;
+            if (step.beginsAgain) drain.begin();
+            clock.advance(STEP_MS);
+            if (drainedAtMs.length > 0) lastStep ??= step;
+          }
+          expect(drainedAtMs.length).toBeLessThanOrEqual(1);
+          if (lastStep !== undefined) expect(lastStep.running).toBe(0);
+          if (drainedAtMs.length === 1)
+            expect(drainedAtMs[0]).toBeGreaterThanOrEqual(minDrainMs);
+          current.step = {running: 0, unsent: 1, peers: 1, beginsAgain: false};
+          clock.advance(minDrainMs + peerTimeoutMs + STEP_MS);
+          expect(drainedAtMs).toHaveLength(1);
+        },
+      ),
       {seed: SEED},
     );
   });
