--- a/src/core/membership/consts.ts
+++ b/src/core/membership/consts.ts
@@ -21,8 +21,11 @@
   ceilingMs: 5_000,
 };
 
-/** Targets of each service in the subset of an entry. */
+/** Maximum number of targets of each service in the subset of an entry. */
 export const SUBSET_SIZE = 32;
 
-/** Entries that watch each target whether it is in their subset or not. */
+/**
+ * Number of entries that watch each target whether it is in their subset or
+ * not.
+ */
 export const WATCHERS_PER_TARGET = 2;
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -1,4 +1,4 @@
-/** Membership: suspicion of peers and the targets that an entry watches. */
+/** Membership: when a peer is suspected, and which targets an entry watches. */
 export * from './consts.js';
 export * from './silence-timeout.js';
 export * from './rendezvous.js';
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -31,7 +31,7 @@
 
 /**
  * Whether a member is among the first `count` in a key's order. If it is not,
- * this is much cheaper than computing the whole order.
+ * this is much cheaper than `rankByRendezvous`.
  *
  * @example
  * isAmongFirst({key: 'engine-1', member: 'entry-1', members, count: 2});
--- a/src/core/membership/select-subset.ts
+++ b/src/core/membership/select-subset.ts
@@ -14,7 +14,7 @@
 export function selectSubset(options: {
   /** Name of this entry. */
   self: string;
-  /** Names of the other entries; its own may be included. */
+  /** Names of the other entries; `self` may be included. */
   entries: readonly string[];
   targets: readonly SubsetTarget[];
 }): ReadonlySet<string> {
--- a/src/core/membership/silence-timeout.ts
+++ b/src/core/membership/silence-timeout.ts
@@ -12,8 +12,9 @@
  * timeout.timeoutMs(); // 600
  */
 export class SilenceTimeout {
+  /** The last `GAP_SAMPLES` gaps, as a ring buffer. */
   private readonly gaps: number[] = [];
-  private next = 0;
+  private nextIndex = 0;
 
   constructor(private bounds: SuspicionBounds) {}
 
@@ -23,8 +24,8 @@
 
   /** Records the time between two messages, in milliseconds. */
   recordGap(gapMs: number): void {
-    this.gaps[this.next] = gapMs;
-    this.next = (this.next + 1) % GAP_SAMPLES;
+    this.gaps[this.nextIndex] = gapMs;
+    this.nextIndex = (this.nextIndex + 1) % GAP_SAMPLES;
   }
 
   /** Longest time without a message before the peer is suspected. */
--- a/test/core/membership/membership.test.ts
+++ b/test/core/membership/membership.test.ts
@@ -62,9 +62,14 @@
         expect(remaining).toEqual(
           ranked.filter((member) => member !== removed),
         );
-        ranked.forEach((member, at) => {
-          const isFirst = isAmongFirst({key, member, members: all, count: 2});
-          expect(isFirst).toBe(at < 2);
+        ranked.forEach((member, index) => {
+          const isAmongFirstTwo = isAmongFirst({
+            key,
+            member,
+            members: all,
+            count: 2,
+          });
+          expect(isAmongFirstTwo).toBe(index < 2);
         });
       }),
       {seed: SEED},
@@ -86,44 +91,48 @@
     const entries = names('entry', 12);
     fc.assert(
       fc.property(fc.subarray(entries, {minLength: 1}), (visible) => {
-        const watchers = new Map<string, number>();
+        const watcherCounts = new Map<string, number>();
         for (const self of visible) {
           const others = visible.filter((vm) => vm !== self);
           const subset = selectSubset({self, entries: others, targets: all});
-          subset.forEach((vm) => watchers.set(vm, (watchers.get(vm) ?? 0) + 1));
+          subset.forEach((vm) =>
+            watcherCounts.set(vm, (watcherCounts.get(vm) ?? 0) + 1),
+          );
         }
         const least = Math.min(visible.length, WATCHERS_PER_TARGET);
         for (const {vm} of all) {
-          expect(watchers.get(vm) ?? 0).toBeGreaterThanOrEqual(least);
+          expect(watcherCounts.get(vm) ?? 0).toBeGreaterThanOrEqual(least);
         }
       }),
       {seed: SEED, numRuns: 30},
     );
   });
 
-  it('is balanced and changes little when a member is lost', () => {
+  it('balances the subsets and changes them little when a member is lost', () => {
     const all = targets(600);
     const entries = names('entry', 90);
-    const select = (self: string, others: string[], of = all) =>
-      selectSubset({self, entries: others, targets: of});
+    const select = (self: string, others: string[], from = all) =>
+      selectSubset({self, entries: others, targets: from});
     const sizes = entries.map((self) => select(self, entries).size);
-    const covered = (WATCHERS_PER_TARGET * all.length) / entries.length;
-    expect(Math.max(...sizes)).toBeLessThanOrEqual(2 * (SUBSET_SIZE + covered));
+    const meanWatched = (WATCHERS_PER_TARGET * all.length) / entries.length;
+    expect(Math.max(...sizes)).toBeLessThanOrEqual(
+      2 * (SUBSET_SIZE + meanWatched),
+    );
     const remaining = entries.slice(1);
-    let moved = 0;
+    let addedCount = 0;
     for (const self of remaining) {
       const before = select(self, entries);
       const after = select(self, remaining);
       expect([...before].every((vm) => after.has(vm))).toBe(true);
-      moved += after.size - before.size;
+      addedCount += after.size - before.size;
     }
-    // Only the targets that the lost entry covered move, each to one other
-    // entry.
-    expect(moved).toBeLessThanOrEqual(2 * covered);
+    // Each target that the lost entry watched in addition to its subset is now
+    // watched by one more of the other entries.
+    expect(addedCount).toBeLessThanOrEqual(2 * meanWatched);
     const [self] = entries as [string];
     const before = select(self, entries);
     const after = select(self, entries, all.slice(1));
-    const gone = [...before].filter((vm) => !after.has(vm));
-    expect(gone.length).toBeLessThanOrEqual(1);
+    const dropped = [...before].filter((vm) => !after.has(vm));
+    expect(dropped.length).toBeLessThanOrEqual(1);
   });
 });
