--- a/src/core/admission/service-time-estimator.ts
+++ b/src/core/admission/service-time-estimator.ts
@@ -28,9 +28,10 @@
   private samples = 0;
   private meanMs = 0;
   private meanSize = 1;
+  /** Mean deviation from `meanPerUnit`, in milliseconds per unit of size. */
   private deviationPerUnit = 0;
   private shortestPerUnit = 0;
-  private shortestAtMs = 0;
+  private lastSampleAtMs = 0;
 
   add(sample: ServiceTimeSample): void {
     const {heldMs, size, nowMs} = sample;
@@ -82,11 +83,11 @@
     const isFirstSample = this.samples === 1;
     this.shortestPerUnit =
       isFirstSample || perUnit < previous ? perUnit : Math.min(perUnit, raised);
-    this.shortestAtMs = nowMs;
+    this.lastSampleAtMs = nowMs;
   }
 
   private decayedShortest(nowMs: number): number {
-    const sampleAgeMs = nowMs - this.shortestAtMs;
+    const sampleAgeMs = nowMs - this.lastSampleAtMs;
     const halvings = sampleAgeMs / SHORTEST_HALF_LIFE_MS - 1;
     return this.shortestPerUnit * 2 ** -Math.max(0, halvings);
   }
--- a/src/core/placing/engine-priority.ts
+++ b/src/core/placing/engine-priority.ts
@@ -27,6 +27,6 @@
 export function enginePriority(query: EnginePriorityQuery): number {
   const {route, account, isResumed} = query;
   const priority = account?.priority ?? route.priority;
-  const wanted = isResumed ? priority - 1 : priority;
-  return Math.min(LOWEST_PRIORITY, Math.max(0, Math.round(wanted)));
+  const unclamped = isResumed ? priority - 1 : priority;
+  return Math.min(LOWEST_PRIORITY, Math.max(0, Math.round(unclamped)));
 }
--- a/test/core/admission/capacity.test.ts
+++ b/test/core/admission/capacity.test.ts
@@ -27,19 +27,20 @@
 /**
  * Simulates entries that fill their slots at one target in each step, while the
  * load of the other entries is reported to them `LAG_STEPS` steps late; returns
- * the final load of each entry.
+ * the final load of each entry. `wanted` is the load that each entry would have
+ * without a limit.
  */
 function simulateEntries(
   wanted: readonly number[],
   capacity: number,
 ): number[] {
-  let own = wanted.map(() => 0);
+  let loads = wanted.map(() => 0);
   const history: number[][] = [];
   for (let step = 0; step < 200; step++) {
-    history.push(own);
+    history.push(loads);
     const reported = history[Math.max(0, step - LAG_STEPS)]!;
     const total = reported.reduce((a, b) => a + b, 0);
-    own = own.map((ownInFlight, i) => {
+    loads = loads.map((ownInFlight, i) => {
       const view = viewOf({
         capacity,
         ownInFlight,
@@ -54,7 +55,7 @@
       return Math.max(remaining, Math.min(slots, wanted[i]!));
     });
   }
-  return own;
+  return loads;
 }
 
 describe('computeSlots', () => {
--- a/test/core/routing/load-aware-chooser.test.ts
+++ b/test/core/routing/load-aware-chooser.test.ts
@@ -113,7 +113,7 @@
     {name: 'reports without load', reported: 0},
     {name: 'reports of full targets', reported: 16},
     {name: 'reports far above capacity', reported: 1_000},
-  ])('balances by its own counts under $name', ({reported}) => {
+  ])('balances by its own counts despite $name', ({reported}) => {
     const {chooser} = createChooser();
     const ownCounts = [0, 0, 0, 0];
     for (let i = 0; i < 48; i++) {
@@ -133,7 +133,7 @@
     );
   });
 
-  it('prefers a target with the cached prefix, if it is little more loaded', () => {
+  it('prefers a target with the cached prefix if it is only slightly more loaded', () => {
     const {chooser} = createChooser();
     const query = queryOf({prefix: 'p'});
     const cachedPrefixes = ['p'];
