--- a/src/core/admission/service-time-estimator.ts
+++ b/src/core/admission/service-time-estimator.ts
@@ -10,13 +10,13 @@
 export interface ServiceTimeSample {
   /** Time for which the request occupied its slot. */
   readonly heldMs: number;
-  /** Requested tokens of a generation, or 1. */
+  /** Requested tokens of a generation; 1 for a plain call. */
   readonly size: number;
   readonly nowMs: number;
 }
 
 /**
- * Estimates times in proportion to the size of a request, from requests that
+ * Estimates the time of a request in proportion to its size, from requests that
  * have ended. All estimates are 0 before the first sample.
  *
  * @example
@@ -28,9 +28,10 @@
   private samples = 0;
   private meanMs = 0;
   private meanSize = 1;
+  /** Mean deviation from `meanPerUnit`, in milliseconds per unit of size. */
   private deviationPerUnit = 0;
   private shortestPerUnit = 0;
-  private shortestAtMs = 0;
+  private lastSampleAtMs = 0;
 
   add(sample: ServiceTimeSample): void {
     const {heldMs, size, nowMs} = sample;
@@ -44,7 +45,7 @@
     this.updateShortest(perUnit, nowMs);
   }
 
-  /** Mean time for which a request occupies its slot. */
+  /** Mean time for which a request occupies its slot, of any size. */
   meanHeldMs(): number {
     return this.meanMs;
   }
@@ -79,14 +80,14 @@
     // Rises slowly, so that a few slow requests do not cause quick ones to be
     // refused.
     const raised = previous + (perUnit - previous) * SHORTEST_RISE;
-    const first = this.samples === 1;
+    const isFirstSample = this.samples === 1;
     this.shortestPerUnit =
-      first || perUnit < previous ? perUnit : Math.min(perUnit, raised);
-    this.shortestAtMs = nowMs;
+      isFirstSample || perUnit < previous ? perUnit : Math.min(perUnit, raised);
+    this.lastSampleAtMs = nowMs;
   }
 
   private decayedShortest(nowMs: number): number {
-    const sampleAgeMs = nowMs - this.shortestAtMs;
+    const sampleAgeMs = nowMs - this.lastSampleAtMs;
     const halvings = sampleAgeMs / SHORTEST_HALF_LIFE_MS - 1;
     return this.shortestPerUnit * 2 ** -Math.max(0, halvings);
   }
--- a/src/core/placing/engine-priority.ts
+++ b/src/core/placing/engine-priority.ts
@@ -1,4 +1,4 @@
-/** Priority of a generation at an engine. */
+/** Computes the priority of a generation at an engine. */
 import type {AccountKeys, Route} from '../routes/index.js';
 
 /** Engines accept priorities 0 to 9, of which 0 is the highest. */
@@ -9,7 +9,7 @@
   readonly route: Pick<Route, 'priority'>;
   /** Account of the caller, whose priority overrides the route's. */
   readonly account?: Pick<AccountKeys, 'priority'>;
-  /** Whether the caller has received a part of the output already. */
+  /** Whether the caller has received part of the output already. */
   readonly isResumed: boolean;
 }
 
@@ -27,6 +27,6 @@
 export function enginePriority(query: EnginePriorityQuery): number {
   const {route, account, isResumed} = query;
   const priority = account?.priority ?? route.priority;
-  const wanted = isResumed ? priority - 1 : priority;
-  return Math.min(LOWEST_PRIORITY, Math.max(0, Math.round(wanted)));
+  const unclamped = isResumed ? priority - 1 : priority;
+  return Math.min(LOWEST_PRIORITY, Math.max(0, Math.round(unclamped)));
 }
