--- a/src/core/protocol/peer-connection.ts
+++ b/src/core/protocol/peer-connection.ts
@@ -130,7 +130,7 @@
   private handleHello(message: Message): void {
     if (message.type !== MessageType.HELLO) {
       const detail = `the first message is ${message.type}, not hello`;
-      this.closeWith(transportError(TransportErrorKind.BAD_GREETING, detail));
+      this.closeWith(transportError(TransportErrorKind.BAD_HELLO, detail));
       return;
     }
     if (message.protocol !== PROTOCOL_VERSION) {
@@ -159,5 +159,5 @@
 
 function helloTimeoutError(): TransportError {
   const detail = `no hello within ${HELLO_TIMEOUT_MS} ms`;
-  return transportError(TransportErrorKind.GREETING_TIMEOUT, detail);
+  return transportError(TransportErrorKind.HELLO_TIMEOUT, detail);
 }
--- a/test/processes/edges-peers.test.ts
+++ b/test/processes/edges-peers.test.ts
@@ -96,7 +96,7 @@
   {
     name: 'a command before the greeting',
     bytes: encodeFrame(CANCEL),
-    kind: TransportErrorKind.BAD_GREETING,
+    kind: TransportErrorKind.BAD_HELLO,
   },
   {
     name: 'another protocol version',
@@ -116,12 +116,12 @@
   {
     name: 'no data',
     bytes: Buffer.alloc(0),
-    kind: TransportErrorKind.GREETING_TIMEOUT,
+    kind: TransportErrorKind.HELLO_TIMEOUT,
   },
   {
     name: 'half a frame',
     bytes: Buffer.concat([lengthPrefix(1_000), Buffer.alloc(10)]),
-    kind: TransportErrorKind.GREETING_TIMEOUT,
+    kind: TransportErrorKind.HELLO_TIMEOUT,
   },
 ];
 
