--- a/src/core/protocol/frame-codec.ts
+++ b/src/core/protocol/frame-codec.ts
@@ -57,7 +57,9 @@
     const length = this.pending.readUInt32BE(0);
     if (length > MAX_FRAME_BYTES) {
       const detail = `${length} bytes, at most ${MAX_FRAME_BYTES}`;
-      return err(transportError(TransportErrorKind.FRAME_TOO_LARGE, detail));
+      return err(
+        createTransportError(TransportErrorKind.FRAME_TOO_LARGE, detail),
+      );
     }
     const end = LENGTH_BYTES + length;
     if (this.pending.length < end) return ok(undefined);
@@ -67,8 +69,13 @@
   }
 }
 
-/** Builds an error of the transport layer. */
-export function transportError(
+/**
+ * Creates an error of the transport layer.
+ *
+ * @example
+ * createTransportError(TransportErrorKind.CLOSED, 'stopped');
+ */
+export function createTransportError(
   kind: TransportErrorKind,
   detail: string,
 ): TransportError {
@@ -80,12 +87,12 @@
   if (value.isErr()) return err(value.error);
   const type = messageTypeOf(value.value);
   if (type === undefined) {
-    return err(badMessage('unknown message type'));
+    return err(createBadMessageError('unknown message type'));
   }
   return MESSAGE_CODECS[type]
     .decode(value.value)
     .caseOf<Result<Message, TransportError>>({
-      Left: (detail) => err(badMessage(detail)),
+      Left: (detail) => err(createBadMessageError(detail)),
       Right: (message) => ok(message),
     });
 }
@@ -95,7 +102,7 @@
     return ok(CBOR.decode(body) as unknown);
   } catch (e) {
     const detail = e instanceof Error ? e.message : String(e);
-    return err(transportError(TransportErrorKind.BAD_CBOR, detail));
+    return err(createTransportError(TransportErrorKind.BAD_CBOR, detail));
   }
 }
 
@@ -105,6 +112,6 @@
   return MESSAGE_TYPES.has(type) ? (type as MessageType) : undefined;
 }
 
-function badMessage(detail: string): TransportError {
-  return transportError(TransportErrorKind.BAD_MESSAGE, detail);
+function createBadMessageError(detail: string): TransportError {
+  return createTransportError(TransportErrorKind.BAD_MESSAGE, detail);
 }
--- a/src/core/protocol/peer-connection.ts
+++ b/src/core/protocol/peer-connection.ts
@@ -7,7 +7,7 @@
   MAX_SEND_BUFFER_BYTES,
   PROTOCOL_VERSION,
 } from './consts.js';
-import {encodeFrame, FrameReader, transportError} from './frame-codec.js';
+import {encodeFrame, FrameReader, createTransportError} from './frame-codec.js';
 import type {HelloMessage, Message} from './messages.js';
 import {MessageType} from './messages.js';
 import type {TransportError} from './types.js';
@@ -49,11 +49,11 @@
     socket.setNoDelay(true);
     socket.on('data', (chunk) => this.receive(chunk));
     socket.on('drain', () => this.options.listener.onDrain());
-    socket.on('error', (cause) => this.closeWith(closedError(cause)));
-    socket.on('close', () => this.closeWith(closedError(undefined)));
+    socket.on('error', (cause) => this.closeWith(createClosedError(cause)));
+    socket.on('close', () => this.closeWith(createClosedError(undefined)));
     this.helloTimer = clock.schedule({
       delayMs: HELLO_TIMEOUT_MS,
-      run: () => this.closeWith(helloTimeoutError()),
+      run: () => this.closeWith(createHelloTimeoutError()),
     });
     this.send(hello);
   }
@@ -70,7 +70,9 @@
     const hasBufferSpace = this.options.socket.write(frame);
     if (this.options.socket.writableLength > MAX_SEND_BUFFER_BYTES) {
       const detail = 'the peer reads too slowly';
-      this.closeWith(transportError(TransportErrorKind.PEER_TOO_SLOW, detail));
+      this.closeWith(
+        createTransportError(TransportErrorKind.PEER_TOO_SLOW, detail),
+      );
     }
     return hasBufferSpace;
   }
@@ -106,7 +108,7 @@
 
   /** Closes the connection immediately; buffered messages are lost. */
   destroy(detail: string): void {
-    this.closeWith(transportError(TransportErrorKind.CLOSED, detail));
+    this.closeWith(createTransportError(TransportErrorKind.CLOSED, detail));
   }
 
   private receive(chunk: Buffer): void {
@@ -130,12 +132,16 @@
   private handleHello(message: Message): void {
     if (message.type !== MessageType.HELLO) {
       const detail = `the first message is ${message.type}, not hello`;
-      this.closeWith(transportError(TransportErrorKind.BAD_HELLO, detail));
+      this.closeWith(
+        createTransportError(TransportErrorKind.BAD_HELLO, detail),
+      );
       return;
     }
     if (message.protocol !== PROTOCOL_VERSION) {
       const detail = `protocol version ${message.protocol}, expected ${PROTOCOL_VERSION}`;
-      this.closeWith(transportError(TransportErrorKind.WRONG_PROTOCOL, detail));
+      this.closeWith(
+        createTransportError(TransportErrorKind.WRONG_PROTOCOL, detail),
+      );
       return;
     }
     this.helloTimer.cancel();
@@ -152,12 +158,12 @@
   }
 }
 
-function closedError(cause: Error | undefined): TransportError {
+function createClosedError(cause: Error | undefined): TransportError {
   const detail = cause?.message ?? 'closed by the peer';
-  return transportError(TransportErrorKind.CLOSED, detail);
+  return createTransportError(TransportErrorKind.CLOSED, detail);
 }
 
-function helloTimeoutError(): TransportError {
+function createHelloTimeoutError(): TransportError {
   const detail = `no hello within ${HELLO_TIMEOUT_MS} ms`;
-  return transportError(TransportErrorKind.HELLO_TIMEOUT, detail);
+  return createTransportError(TransportErrorKind.HELLO_TIMEOUT, detail);
 }
--- a/src/core/protocol/peer-server.ts
+++ b/src/core/protocol/peer-server.ts
@@ -5,7 +5,7 @@
 import {okAsync, ResultAsync} from 'neverthrow';
 
 import type {Clock} from '../clock/index.js';
-import {transportError} from './frame-codec.js';
+import {createTransportError} from './frame-codec.js';
 import type {HelloMessage} from './messages.js';
 import type {ConnectionListener} from './peer-connection.js';
 import {PeerConnection} from './peer-connection.js';
@@ -45,7 +45,7 @@
       });
     });
     return ResultAsync.fromPromise(listening, (cause) =>
-      transportError(TransportErrorKind.CONNECT_FAILED, String(cause)),
+      createTransportError(TransportErrorKind.CONNECT_FAILED, String(cause)),
     );
   }
 
