--- a/src/core/protocol/consts.ts
+++ b/src/core/protocol/consts.ts
@@ -4,13 +4,19 @@
 /** Size of the big-endian length prefix of a frame, in bytes. */
 export const LENGTH_BYTES = 4;
 
-/** Largest frame body in bytes; fits a request body and its output so far. */
+/**
+ * Maximum size of a frame body, in bytes; large enough for a request together
+ * with the output generated so far.
+ */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
 /** Time within which a connection must send HELLO, in milliseconds. */
 export const HELLO_TIMEOUT_MS = 2_000;
 
-/** Unread bytes beyond which the connection to a peer is closed. */
+/**
+ * Maximum size of the send buffer of a connection, in bytes. Beyond it, the peer
+ * reads too slowly and the connection is closed.
+ */
 export const MAX_SEND_BUFFER_BYTES = 32 * 1024 * 1024;
 
 /** Time allowed for a TCP connect, in milliseconds. */
--- a/src/core/protocol/frame-codec.ts
+++ b/src/core/protocol/frame-codec.ts
@@ -56,7 +56,7 @@
     if (this.pending.length < LENGTH_BYTES) return ok(undefined);
     const length = this.pending.readUInt32BE(0);
     if (length > MAX_FRAME_BYTES) {
-      const detail = `${length} bytes, at most ${MAX_FRAME_BYTES}`;
+      const detail = `frame body of ${length} bytes exceeds ${MAX_FRAME_BYTES} bytes`;
       return err(
         createTransportError(TransportErrorKind.FRAME_TOO_LARGE, detail),
       );
--- a/src/core/protocol/messages.ts
+++ b/src/core/protocol/messages.ts
@@ -73,15 +73,22 @@
 /** Periodic status report of a process. */
 export const HEARTBEAT = Codec.interface({
   type: exactly(MessageType.HEARTBEAT),
+  /** Number of heartbeats sent earlier on the same connection. */
   sequence: number,
   phase: enumeration(TargetPhase),
+  /** Whether the target is draining. */
   leaving: boolean,
+  /** Number of requests that the agent is running at its target. */
   running: number,
+  /** Number of requests queued at the target, as the target reports it. */
   waiting: number,
+  /** Number of requests that the target can run concurrently. */
   capacity: number,
   /** Id of the target's process; empty if it has none. */
   targetInstance: string,
+  /** Fingerprints of prompt prefixes in the target's cache. */
   cachedPrefixes: array(string),
+  /** Version of the active configuration; 0 for none. */
   configVersion: number,
 });
 
@@ -115,7 +122,10 @@
   deadlineMs: number,
   /** Ids of engine crashes during which this request was running. */
   crashes: optional(array(string)),
-  /** Whether it may run together with another request of the same crash. */
+  /**
+   * Whether it may run at the same engine as another request that was running
+   * during the same crash.
+   */
   mayShare: optional(boolean),
 });
 
@@ -170,7 +180,7 @@
   texts: array(string),
 });
 
-/** Agent to entry: the output is complete and has `length` tokens. */
+/** Agent to entry: the output is complete; `length` is its number of tokens. */
 export const END = Codec.interface({
   type: exactly(MessageType.END),
   attemptId: string,
@@ -214,6 +224,10 @@
   clientAccount: string,
   /** Idempotency key; empty for an idempotent call. */
   key: string,
+  /**
+   * Fingerprint of the client account and the content; a retry under the same
+   * key must have the same fingerprint.
+   */
   fingerprint: string,
   /** Agent incarnation given in the claim; any other incarnation refuses. */
   incarnation: string,
@@ -221,6 +235,7 @@
   path: string,
   headers: array(HEADER_FIELD),
   body: byteString,
+  /** Time remaining for the response, in milliseconds. */
   deadlineMs: number,
   /** When the key was claimed, in ms since the epoch; 0 without a key. */
   claimedAtMs: number,
@@ -235,34 +250,42 @@
   body: byteString,
 });
 
-/** Entry to agent: query the state of a key, optionally barring it for good. */
+/**
+ * Entry to agent: query the state of an idempotency key. With `promiseNever`,
+ * a key that was not admitted is refused from then on.
+ */
 export const ASK_KEY = Codec.interface({
   type: exactly(MessageType.ASK_KEY),
   callId: string,
   clientAccount: string,
   key: string,
   fingerprint: string,
-  /** If the key was not admitted, never admit it. */
+  /** Whether the agent must never admit the key if it has not admitted it yet. */
   promiseNever: boolean,
   /** How long to wait for a running call to end, in milliseconds. */
   waitMs: number,
 });
 
-/** State of a key at an agent. */
+/** State of an idempotency key at an agent. */
 export enum KeyPhase {
+  /** The agent has no record of the key. */
   UNSEEN = 'unseen',
+  /** The agent did not run the call and will never admit the key. */
   PROMISED_NEVER = 'promised_never',
+  /** The call is running at the target. */
   RUNNING = 'running',
+  /** The target has returned a complete response. */
   DONE = 'done',
   /** Sent to the target, which returned no complete response. */
   UNCERTAIN = 'uncertain',
 }
 
-/** Response to ASK_KEY; when DONE, the outcome follows as REPLY. */
+/** Response to ASK_KEY; if the key is DONE, a REPLY is sent instead. */
 export const KEY_STATE = Codec.interface({
   type: exactly(MessageType.KEY_STATE),
   callId: string,
   phase: enumeration(KeyPhase),
+  /** Incarnation of the agent that responds. */
   incarnation: string,
 });
 
@@ -282,7 +305,10 @@
   ageMs: number,
 });
 
-/** Any process to the sender of its configuration: the active version. */
+/**
+ * Any process to a peer from which it receives the configuration: the version
+ * that is active in the sending process.
+ */
 export const CONFIG_REPORT = Codec.interface({
   type: exactly(MessageType.CONFIG_REPORT),
   vm: string,
--- a/src/core/protocol/peer-client.ts
+++ b/src/core/protocol/peer-client.ts
@@ -20,7 +20,13 @@
   readonly port: number;
 }
 
-/** A connection that is reestablished with backoff after it closes. */
+/**
+ * A connection to one peer that is reestablished with backoff after it closes.
+ *
+ * @example
+ * const client = new PeerClient({peer, hello, clock, random, listener});
+ * client.start();
+ */
 export class PeerClient {
   private connection: PeerConnection | undefined;
   private retryTimer: TimerHandle | undefined;
--- a/src/core/protocol/peer-connection.ts
+++ b/src/core/protocol/peer-connection.ts
@@ -27,6 +27,10 @@
 /**
  * Sends and receives messages over a socket. Each side sends HELLO first; a
  * malformed frame closes only this connection.
+ *
+ * @example
+ * const connection = new PeerConnection({socket, hello, clock, listener});
+ * connection.send({type: MessageType.CANCEL, attemptId: 'a1'});
  */
 export class PeerConnection {
   private readonly reader = new FrameReader();
--- a/src/core/protocol/peer-server.ts
+++ b/src/core/protocol/peer-server.ts
@@ -12,12 +12,21 @@
 import type {TransportError} from './types.js';
 import {TransportErrorKind} from './types.js';
 
-/** Creates the listener of a new connection. */
+/**
+ * Creates the listener of a new connection. The connection is created after its
+ * listener, so `connection` may be called only once the connection has events.
+ */
 export type ListenerFactory = (
   connection: () => PeerConnection,
 ) => ConnectionListener;
 
-/** Listens for peers and creates a PeerConnection for each. */
+/**
+ * Listens for peers and creates a PeerConnection for each.
+ *
+ * @example
+ * const server = new PeerServer({hello, clock, createListener});
+ * await server.listen({address: '127.0.0.1', port: 0});
+ */
 export class PeerServer {
   private readonly server: Server;
   private readonly connections = new Set<PeerConnection>();
--- a/test/core/protocol/frame-codec.test.ts
+++ b/test/core/protocol/frame-codec.test.ts
@@ -66,24 +66,24 @@
       ids: fc.array(fc.nat()),
       texts: fc.array(fc.string({unit: 'binary'})),
     });
-    const check = (messages: Message[], cuts: number[]): void => {
+    const checkChunks = (messages: Message[], cuts: number[]): void => {
       const bytes = Buffer.concat(messages.map(encodeFrame));
       const reader = new FrameReader();
-      const seen: Message[] = [];
+      const received: Message[] = [];
       let start = 0;
       const ends = cuts.map((cut) => cut % (bytes.length + 1));
       for (const end of [...ends.sort((a, b) => a - b), bytes.length]) {
         const chunk = bytes.subarray(start, end);
-        seen.push(...reader.push(chunk)._unsafeUnwrap());
+        received.push(...reader.push(chunk)._unsafeUnwrap());
         start = end;
       }
-      expect(seen).toEqual(messages);
+      expect(received).toEqual(messages);
     };
     fc.assert(
       fc.property(
         fc.array(messageArb, {maxLength: 5}),
         fc.array(fc.nat(), {maxLength: 8}),
-        check,
+        checkChunks,
       ),
       {seed: SEED},
     );
