--- a/src/core/config/distribution/elect-watchers.ts
+++ b/src/core/config/distribution/elect-watchers.ts
@@ -29,7 +29,7 @@
 /**
  * Selects the peers from which an entry receives the configuration: the
  * watchers of its data centre and an entry of another data centre. Each entry
- * ranks the remote entries by its own key, which spreads the load over them.
+ * ranks the remote entries by its own name, which spreads the load over them.
  *
  * @example
  * selectConfigPeers({self: {vm: 'entry-1', dataCentre: 'waw'}, members});
--- a/src/core/config/distribution/types.ts
+++ b/src/core/config/distribution/types.ts
@@ -7,11 +7,14 @@
 
 /** Next step after receiving a version from a peer. */
 export enum ExchangeStep {
-  /** It is newer and has a value: store it. */
+  /** The peer's version is newer and has a value: store it. */
   TAKE = 'take',
-  /** It is newer but has no value: report the own version to request it. */
+  /**
+   * The peer's version is newer but has no value: report the local version, to
+   * which the peer responds with the value.
+   */
   ASK = 'ask',
-  /** It is older: send the own version with its value. */
+  /** The peer's version is older: send the local version with its value. */
   SEND = 'send',
   /** Both have the same version. */
   AGREE = 'agree',
--- a/src/core/config/rules.ts
+++ b/src/core/config/rules.ts
@@ -91,7 +91,10 @@
   }
 }
 
-/** Checks that there is at least one item. */
+/**
+ * Checks that there is at least one item; a deployment without services could
+ * not serve any request.
+ */
 export function checkNotEmpty(
   items: readonly object[],
   ctx: RuleContext,
--- a/src/core/config/types.ts
+++ b/src/core/config/types.ts
@@ -6,7 +6,15 @@
  * What a deployment optimizes for when it recovers from the loss of a target.
  */
 export enum RecoveryGoal {
+  /**
+   * Short interruptions: suspects losses sooner, hedges attempts and reserves
+   * capacity for resumes.
+   */
   LATENCY = 'latency',
+  /**
+   * Little additional work: does not hedge, and resumes where the prompt is
+   * cached.
+   */
   RESOURCES = 'resources',
 }
 
@@ -43,7 +51,7 @@
   readonly name: string;
   /** SHA-256 of the account's bearer key, in hexadecimal. */
   readonly keySha256: string;
-  /** Share under contention, relative to the other accounts. */
+  /** Share of the capacity under contention, relative to other accounts. */
   readonly weight: number;
   /** Maximum number of concurrent requests over all entries. */
   readonly maxConcurrent: number;
@@ -53,9 +61,9 @@
 export interface LimitsConfig {
   /** Largest request body, in bytes. */
   readonly bodyBytes: number;
-  /** Time for a caller to send its body, in milliseconds. */
+  /** Time within which a caller must send its body, in milliseconds. */
   readonly bodyTimeoutMs: number;
-  /** Largest `max_tokens`. */
+  /** Largest `max_tokens` of a request. */
   readonly maxTokens: number;
   /** Maximum number of requests queued at one entry. */
   readonly queueLength: number;
@@ -91,8 +99,8 @@
 /** The accepted configuration as it is stored in the platform. */
 export interface StoredConfig {
   /**
-   * Id of one write: after a lost response, a read shows whether it took
-   * effect.
+   * Random id of the write. If the response to the write is lost, a read of the
+   * nonce shows whether the write took effect.
    */
   readonly nonce: string;
   /** Name of the operator who applied the document. */
@@ -102,9 +110,9 @@
 
 /** Why a configuration cannot be used. */
 export enum ConfigErrorKind {
-  /** It has problems. */
+  /** The configuration has problems. */
   INVALID = 'invalid',
-  /** It has no overlay for the site. */
+  /** The configuration has no overlay for the site. */
   UNKNOWN_SITE = 'unknown_site',
 }
 
--- a/test/core/config/distribution.test.ts
+++ b/test/core/config/distribution.test.ts
@@ -18,14 +18,14 @@
 const DELIVERY = fc.record({
   from: fc.integer({min: PLATFORM, max: PROCESSES - 1}),
   to: fc.integer({min: 0, max: PROCESSES - 1}),
-  /** Deliver only the version, without the value. */
-  named: fc.boolean(),
-  /** Deliver the update sent this many updates before the newest. */
-  stale: fc.nat({max: 20}),
-  /** The platform accepts a new version first. */
-  accepts: fc.boolean(),
-  /** The receiver restarts first, without a configuration. */
-  restarts: fc.boolean(),
+  /** Whether only the version is delivered, without the value. */
+  isVersionOnly: fc.boolean(),
+  /** Delivers the update sent this many updates before the newest. */
+  updatesBack: fc.nat({max: 20}),
+  /** Whether the platform accepts a new version first. */
+  hasNewVersion: fc.boolean(),
+  /** Whether the receiver restarts first, without a configuration. */
+  isReceiverRestarted: fc.boolean(),
 });
 
 describe('ConfigHolder', () => {
@@ -39,9 +39,16 @@
         const highest = holders.map(() => 0);
         const sent: ConfigUpdate[] = [{version: 0, value: null}];
         let accepted = 0;
-        for (const {from, to, named, stale, accepts, restarts} of deliveries) {
-          if (accepts) accepted++;
-          if (restarts) {
+        for (const {
+          from,
+          to,
+          isVersionOnly,
+          updatesBack,
+          hasNewVersion,
+          isReceiverRestarted,
+        } of deliveries) {
+          if (hasNewVersion) accepted++;
+          if (isReceiverRestarted) {
             holders[to] = new ConfigHolder();
             highest[to] = 0;
           }
@@ -50,8 +57,10 @@
               ? {version: accepted, value: `v${accepted}`}
               : holders[from]!.latest;
           sent.push(currentUpdate);
-          const sentUpdate = sent[Math.max(0, sent.length - 1 - stale)]!;
-          const update = named ? {...sentUpdate, value: null} : sentUpdate;
+          const sentUpdate = sent[Math.max(0, sent.length - 1 - updatesBack)]!;
+          const update = isVersionOnly
+            ? {...sentUpdate, value: null}
+            : sentUpdate;
           const before = holders[to]!.version;
           holders[to]!.offer(update);
           if (update.value !== null) {
