--- a/src/core/yaml-check/format.ts
+++ b/src/core/yaml-check/format.ts
@@ -9,12 +9,23 @@
 /** Maximum length of a scalar quoted in a problem, in characters. */
 const QUOTE_LENGTH = 60;
 
-/** Formats a path for a problem. */
+/**
+ * Formats a path for a problem.
+ *
+ * @example
+ * formatPath(['services', 'drafts', 'models', 0]);
+ * // services.drafts.models.0
+ */
 export function formatPath(path: readonly PathSegment[]): string {
   return path.join('.');
 }
 
-/** Describes a node as the `found` part of a problem. */
+/**
+ * Describes a node as the `found` part of a problem.
+ *
+ * @example
+ * describeNode({kind: NodeKind.LIST, position, items: []}); // a list
+ */
 export function describeNode(node: SourceNode): string {
   switch (node.kind) {
     case NodeKind.MAP:
@@ -30,12 +41,17 @@
   if (typeof value !== 'string') {
     return String(value);
   }
-  const cut = value.length > QUOTE_LENGTH;
-  const shown = cut ? `${value.slice(0, QUOTE_LENGTH)}…` : value;
+  const isTooLong = value.length > QUOTE_LENGTH;
+  const shown = isTooLong ? `${value.slice(0, QUOTE_LENGTH)}…` : value;
   return JSON.stringify(shown);
 }
 
-/** Creates a problem at a position and path. */
+/**
+ * Creates a problem at a position and path.
+ *
+ * @example
+ * createProblem({position, path: ['a'], expected: 'a map', found: 'a list'});
+ */
 export function createProblem(options: {
   position: SourcePosition;
   path: readonly PathSegment[];
@@ -61,7 +77,12 @@
   return `${at}: expected ${expected}, found ${found}`;
 }
 
-/** Removes duplicate problems. */
+/**
+ * Removes duplicate problems.
+ *
+ * @example
+ * uniqueProblems([problem, problem]); // [problem]
+ */
 export function uniqueProblems(problems: readonly Problem[]): Problem[] {
   const byText = new Map(
     problems.map((problem) => [formatProblem(problem), problem]),
--- a/src/core/yaml-check/nearest-key.ts
+++ b/src/core/yaml-check/nearest-key.ts
@@ -14,6 +14,7 @@
   known: readonly string[],
 ): Maybe<string> {
   let best: Maybe<string> = Nothing;
+  // As many edits as characters would turn the key into any other short key.
   let bestEdits = Math.min(MAX_EDITS, key.length - 1) + 1;
   for (const candidate of known) {
     const edits = countEdits(key.toLowerCase(), candidate.toLowerCase());
--- a/src/core/yaml-check/nodes.ts
+++ b/src/core/yaml-check/nodes.ts
@@ -8,7 +8,12 @@
 } from './types.js';
 import {NodeKind} from './types.js';
 
-/** Creates a map node without removed keys. */
+/**
+ * Creates a map node without removed keys.
+ *
+ * @example
+ * createMapNode({position, entries: [['a', {keyPosition, node}]]});
+ */
 export function createMapNode(options: {
   position: SourcePosition;
   entries: Iterable<readonly [string, MapEntry]>;
@@ -59,7 +64,12 @@
   }
 }
 
-/** Returns the plain JSON value of a node. */
+/**
+ * Returns the plain JSON value of a node.
+ *
+ * @example
+ * loadYaml({file, text: 'a: 1'}).map(toPlainValue); // ok({a: 1})
+ */
 export function toPlainValue(node: SourceNode): unknown {
   switch (node.kind) {
     case NodeKind.SCALAR:
@@ -76,7 +86,12 @@
   }
 }
 
-/** Returns the position of the deepest part of `path` that exists. */
+/**
+ * Returns the position of the deepest part of `path` that exists.
+ *
+ * @example
+ * const {line, column} = findPosition(node, ['services', 'drafts']);
+ */
 export function findPosition(
   node: SourceNode,
   path: readonly PathSegment[],
--- a/src/core/yaml-check/schemas/list-schema.ts
+++ b/src/core/yaml-check/schemas/list-schema.ts
@@ -2,7 +2,12 @@
 import {NodeKind} from '../types.js';
 import {reportMismatch} from './report.js';
 
-/** Accepts lists whose items all match one schema. */
+/**
+ * Accepts lists whose items all match one schema.
+ *
+ * @example
+ * const schema = new ListSchema(new StringSchema());
+ */
 export class ListSchema<T> implements Schema<readonly T[]> {
   readonly description = 'a list';
 
--- a/src/core/yaml-check/schemas/named-map-schema.ts
+++ b/src/core/yaml-check/schemas/named-map-schema.ts
@@ -15,7 +15,12 @@
 /** Format of a name, which is used in URLs, counters and object names. */
 const NAME = /^[a-z0-9][a-z0-9._-]{0,62}$/;
 
-/** Accepts maps from arbitrary names to items that match one schema. */
+/**
+ * Accepts maps from arbitrary names to items that match one schema.
+ *
+ * @example
+ * const schema = new NamedMapSchema({item: SERVICE, rules: [checkNotEmpty]});
+ */
 export class NamedMapSchema<T extends object> implements Schema<
   readonly Named<T>[]
 > {
--- a/src/core/yaml-check/schemas/object-schema.ts
+++ b/src/core/yaml-check/schemas/object-schema.ts
@@ -28,17 +28,32 @@
  */
 export type ObjectRule<T> = (value: Partial<T>, ctx: RuleContext) => void;
 
-/** Declares a required field. */
+/**
+ * Declares a required field.
+ *
+ * @example
+ * const fields = {name: requiredField(new StringSchema())};
+ */
 export function requiredField<T>(schema: Schema<T>): Field<T> {
   return {schema, isRequired: true};
 }
 
-/** Declares an optional field. */
+/**
+ * Declares an optional field.
+ *
+ * @example
+ * const fields = {name: optionalField(new StringSchema())};
+ */
 export function optionalField<T>(schema: Schema<T>): Field<T | undefined> {
   return {schema, isRequired: false};
 }
 
-/** Declares an optional field with a default value. */
+/**
+ * Declares an optional field with a default value.
+ *
+ * @example
+ * const fields = {isEnabled: defaultField(new BooleanSchema(), false)};
+ */
 export function defaultField<T>(
   schema: Schema<T>,
   fallback: NoInfer<T>,
--- a/src/core/yaml-check/schemas/scalar-schemas.ts
+++ b/src/core/yaml-check/schemas/scalar-schemas.ts
@@ -3,7 +3,15 @@
 import {NodeKind} from '../types.js';
 import {reportMismatch} from './report.js';
 
-/** Accepts non-empty strings, or strings of one format. */
+/**
+ * Accepts non-empty strings, or strings of one format.
+ *
+ * @example
+ * const schema = new StringSchema({
+ *   description: 'an upper-case letter',
+ *   accepts: (value) => /^[A-Z]$/.test(value),
+ * });
+ */
 export class StringSchema implements Schema<string> {
   readonly description: string;
   private readonly accepts: (value: string) => boolean;
@@ -30,7 +38,12 @@
   }
 }
 
-/** Accepts `true` and `false`. */
+/**
+ * Accepts `true` and `false`.
+ *
+ * @example
+ * const schema = new BooleanSchema();
+ */
 export class BooleanSchema implements Schema<boolean> {
   readonly description = 'true or false';
 
@@ -42,14 +55,19 @@
   }
 }
 
-/** Bounds of a number and its unit. */
+/** Inclusive bounds of a number, and its unit as shown in problems. */
 export interface NumberRange {
   readonly min: number;
   readonly max: number;
   readonly unit?: string;
 }
 
-/** Accepts numbers in a range. */
+/**
+ * Accepts numbers in a range.
+ *
+ * @example
+ * const schema = new NumberSchema({min: 0, max: 1});
+ */
 export class NumberSchema implements Schema<number> {
   readonly description: string;
 
@@ -74,7 +92,12 @@
   }
 }
 
-/** Accepts integers in a range. */
+/**
+ * Accepts integers in a range.
+ *
+ * @example
+ * const schema = new IntegerSchema({min: 0, max: 10_000, unit: 'bytes'});
+ */
 export class IntegerSchema extends NumberSchema {
   constructor(range: NumberRange) {
     super(range, 'an integer');
@@ -85,7 +108,12 @@
   }
 }
 
-/** Accepts the values of one enum. */
+/**
+ * Accepts the values of one enum.
+ *
+ * @example
+ * const schema = new EnumSchema(PriorityClass);
+ */
 export class EnumSchema<T extends string> implements Schema<T> {
   readonly description: string;
   private readonly values: readonly T[];
