--- a/src/core/settings/direct-settings.ts
+++ b/src/core/settings/direct-settings.ts
@@ -2,6 +2,7 @@
 
 /** An address on which a process listens. */
 export interface ListenAddress {
+  /** IP address or host name. */
   readonly host: string;
   readonly port: number;
 }
@@ -10,6 +11,7 @@
 export interface RetryBudgetSettings {
   /** Number of retries allowed per request. */
   readonly ratio: number;
+  /** Length of the window to which the ratio and the slack apply. */
   readonly windowMs: number;
   /** Number of retries per window that are allowed in addition to the ratio. */
   readonly slack: number;
@@ -22,8 +24,11 @@
   /** IP address of this VM. */
   readonly address: string;
   readonly dataCentre: string;
+  /** Address on which callers connect. */
   readonly callers: ListenAddress;
+  /** Address of the readiness probe. */
   readonly readiness: ListenAddress;
+  /** Base URL of the platform's store. */
   readonly storeUrl: string;
   /** Grace period between the signal to stop and the forced exit. */
   readonly shutdownGraceMs: number;
--- a/src/core/settings/load-override.ts
+++ b/src/core/settings/load-override.ts
@@ -19,6 +19,7 @@
   /** Index of the override, from 0. */
   index: number;
 }): Result<SourceNode, Problem[]> {
+  // In problems of overrides, the line is the number of the override.
   const position = {file: OVERRIDE_FILE, line: options.index + 1, column: 1};
   const groups = OVERRIDE.exec(options.text)?.groups;
   if (groups === undefined) {
--- a/src/core/settings/schema.ts
+++ b/src/core/settings/schema.ts
@@ -16,6 +16,7 @@
 import type {DaemonSettings, ListenSettings, TargetSettings} from './types.js';
 import {ProcessRole, TargetKind} from './types.js';
 
+/** Settings that contain an address on which the process listens. */
 const LISTENERS = ['peers', 'operators', 'callers'] as const;
 
 const HTTP_URL = new StringSchema({
--- a/src/core/settings/types.ts
+++ b/src/core/settings/types.ts
@@ -36,6 +36,7 @@
 /** All settings of a process. */
 export interface DaemonSettings {
   readonly role: ProcessRole;
+  /** Name of this VM. */
   readonly vm: string;
   readonly dataCentre: string;
   /** Name of the site, which selects the configuration overlay. */
