--- a/src/core/edges/callers.ts
+++ b/src/core/edges/callers.ts
@@ -9,7 +9,7 @@
 /** Header with the time allowed for the complete response, in milliseconds. */
 export const DEADLINE_HEADER = 'x-deadline-ms';
 
-/** Header with the position from which a caller resumes. */
+/** Header with the id of the last event received, after which to resume. */
 export const LAST_EVENT_ID_HEADER = 'last-event-id';
 
 /** Header with the key under which a call runs at most once. */
@@ -40,6 +40,10 @@
   readonly body: Uint8Array;
   /** Value of `Idempotency-Key`; empty when absent. */
   readonly idempotencyKey: string;
+  /**
+   * Time allowed for the complete response; undefined for the service's
+   * default.
+   */
   readonly deadlineMs?: number;
   /** Aborted when the caller disconnects. */
   readonly signal?: AbortSignal;
--- a/src/core/edges/direct-caller.ts
+++ b/src/core/edges/direct-caller.ts
@@ -13,17 +13,23 @@
   /** Identifies this attempt; a retry by the caller has another id. */
   readonly attemptId: string;
   readonly method: string;
+  /** Value of the `Host` header; empty when absent. */
   readonly host: string;
   /** Path and query, unmodified. */
   readonly path: string;
   /** Headers to forward, unmodified. */
   readonly headers: readonly HeaderField[];
   readonly body: Uint8Array;
-  /** Time for which the caller waits, counted from `receivedMs`. */
+  /**
+   * Time for which the caller waits, counted from `receivedMs`, in
+   * milliseconds; undefined if the caller sets no limit.
+   */
   readonly deadlineMs?: number;
   /** When the head of the request was read, on the monotonic clock. */
   readonly receivedMs: number;
+  /** Bearer key of the client account. */
   readonly key?: string;
+  /** Size of the generation; undefined if the caller declared none. */
   readonly generation?: GenerationSize;
   /** Id of the last event that the caller received in an earlier attempt. */
   readonly lastEventId?: string;
--- a/src/core/edges/direct-target.ts
+++ b/src/core/edges/direct-target.ts
@@ -33,6 +33,7 @@
    * the end of the connection does.
    */
   readonly isSelfDelimited: boolean;
+  /** Load report in the headers; undefined if there is none. */
   readonly load?: ReportedLoad;
 }
 
@@ -56,6 +57,7 @@
   readonly body: Uint8Array;
   /** Time remaining for the response, in milliseconds. */
   readonly leftMs: number;
+  /** Name of the caller's client account. */
   readonly clientAccount?: string;
   /** 0 to 9; 0 is the most urgent. */
   readonly priority?: number;
@@ -71,9 +73,15 @@
 
 /** Identifies a copy of the KV cache of a generation. */
 export interface KvCopyReference {
-  /** Address of the target that made or holds the copy. */
+  /**
+   * Address of the target that holds the copy, if `copyTo` requested it;
+   * otherwise, of the target that made it.
+   */
   readonly address: string;
-  /** Id of the generation, or of the copy. */
+  /**
+   * Attempt id of the generation, if `copyTo` requested the copy; otherwise, the
+   * id returned by `copyKvCache`.
+   */
   readonly id: string;
 }
 
@@ -92,7 +100,10 @@
     req: TargetRequest;
     listener: ExchangeListener;
   }): Exchange;
-  /** Requests the load report of a target; fails if there is none in time. */
+  /**
+   * Requests the load report of a target; fails if it does not arrive within
+   * `timeoutMs`.
+   */
   queryLoad(
     target: TargetRecord,
     timeoutMs: number,
@@ -103,6 +114,7 @@
    */
   probeHealth(options: {
     target: TargetRecord;
+    /** Path of the health check. */
     path: string;
     timeoutMs: number;
   }): ResultAsync<string, string>;
--- a/src/core/edges/engine-driver.ts
+++ b/src/core/edges/engine-driver.ts
@@ -26,7 +26,9 @@
 
 /** Why an engine ended the output. */
 export enum FinishReason {
+  /** The model ended its output or produced a stop string. */
   STOP = 'stop',
+  /** The output has `maxTokens` tokens. */
   LENGTH = 'length',
 }
 
@@ -44,6 +46,7 @@
   readonly prompt: string;
   /** Maximum number of output tokens, over all attempts. */
   readonly maxTokens: number;
+  /** Strings that end the output. */
   readonly stop: readonly string[];
   readonly temperature: number;
   /** Higher values are scheduled first. */
@@ -68,8 +71,11 @@
 
 /** Status reported by an engine; lags behind its actual state. */
 export interface EngineReport {
+  /** Number of requests that are running. */
   readonly running: number;
+  /** Number of queued requests. */
   readonly waiting: number;
+  /** Number of requests that can run concurrently. */
   readonly capacity: number;
   /** Id of the engine process; changes when it restarts. */
   readonly instance: string;
@@ -88,7 +94,9 @@
 /** A command to an engine, guarded by a fencing number. */
 export interface EngineCommand {
   readonly kind: EngineCommandKind;
+  /** What is loaded or set, such as the name of a model. */
   readonly argument: string;
+  /** Refused if the engine has already accepted a higher number. */
   readonly fencing: number;
 }
 
--- a/src/core/edges/object-store.ts
+++ b/src/core/edges/object-store.ts
@@ -64,17 +64,25 @@
   create(
     options: ObjectKey & {value: unknown},
   ): ResultAsync<StoredObject, StoreError>;
-  /** Replaces an object if it still has `expectedVersion`. */
+  /**
+   * Replaces an object if it still has `expectedVersion`; fails with CONFLICT
+   * otherwise.
+   */
   update(
     options: ObjectKey & {value: unknown; expectedVersion: number},
   ): ResultAsync<StoredObject, StoreError>;
-  /** Deletes an object if it still has `expectedVersion`. */
+  /**
+   * Deletes an object if it still has `expectedVersion`; fails with CONFLICT
+   * otherwise.
+   */
   remove(
     options: ObjectKey & {expectedVersion: number},
   ): ResultAsync<void, StoreError>;
+  /** Returns an object, or Nothing if it does not exist. */
   read(key: ObjectKey): ResultAsync<Maybe<StoredObject>, StoreError>;
   list(options: {
     kind: ObjectKind;
+    /** Lists only objects whose name starts with this; by default, all. */
     prefix?: string;
   }): ResultAsync<StoredObject[], StoreError>;
   /**
--- a/src/core/edges/operators.ts
+++ b/src/core/edges/operators.ts
@@ -15,7 +15,7 @@
   readonly configAgeMs: number;
   /** Number of requests in progress. */
   readonly running: number;
-  /** Peers of the process, as far as its role reports them. */
+  /** Targets to which an entry can send work; empty for an agent. */
   readonly peers: readonly PeerStatus[];
   /** Processes that receive the configuration from this one. */
   readonly subscribers: readonly PeerStatus[];
@@ -25,6 +25,7 @@
 export interface PeerStatus {
   readonly vm: string;
   readonly dataCentre: string;
+  /** `usable`, `unusable` or `leaving` for a target; else `subscriber`. */
   readonly state: string;
   readonly configVersion: number;
 }
--- a/src/core/edges/service-driver.ts
+++ b/src/core/edges/service-driver.ts
@@ -27,7 +27,9 @@
 
 /** Status reported by a plain service; lags behind its actual state. */
 export interface ServiceReport {
+  /** Number of requests that are running. */
   readonly running: number;
+  /** Number of requests that can run concurrently. */
   readonly capacity: number;
 }
 
