--- a/src/core/errors/catalogue.ts
+++ b/src/core/errors/catalogue.ts
@@ -10,7 +10,7 @@
   hint: 'Correct the request; the detail names the fault.',
 } as const satisfies ErrorData;
 
-/** The request line and headers exceed what a process reads. */
+/** The request line and headers are longer than the limit. */
 export const HEADERS_TOO_LARGE = {
   name: 'headers_too_large',
   title: 'Headers too large',
@@ -26,7 +26,7 @@
   hint: 'Send the request again over a faster connection.',
 } as const satisfies ErrorData;
 
-/** The body exceeds limits.bodyBytes. */
+/** The body is longer than `limits.bodyBytes`. */
 export const BODY_TOO_LARGE = {
   name: 'body_too_large',
   title: 'Body too large',
@@ -34,7 +34,7 @@
   hint: 'Send a shorter body or raise the limit.',
 } as const satisfies ErrorData;
 
-/** The body did not arrive within limits.bodyTimeoutMs. */
+/** The body did not arrive within `limits.bodyTimeoutMs`. */
 export const BODY_TOO_SLOW = {
   name: 'body_too_slow',
   title: 'Body too slow',
@@ -58,7 +58,10 @@
   hint: 'Check the path or the model against the configuration.',
 } as const satisfies ErrorData;
 
-/** Last-Event-ID was not written by this deployment or belongs to another request. */
+/**
+ * `Last-Event-ID` is not an event id of this deployment, or belongs to another
+ * request.
+ */
 export const BAD_EVENT_ID = {
   name: 'bad_event_id',
   title: 'Bad event id',
@@ -67,7 +70,7 @@
   hint: 'Send the id of the last event exactly as it was received.',
 } as const satisfies ErrorData;
 
-/** The service is not idempotent and the request has no Idempotency-Key. */
+/** The service is not idempotent, and the request has no `Idempotency-Key`. */
 export const KEY_MISSING = {
   name: 'key_missing',
   title: 'Idempotency key missing',
@@ -76,7 +79,7 @@
   hint: 'Send a key that is unique to this piece of work.',
 } as const satisfies ErrorData;
 
-/** The Idempotency-Key has a wrong form. */
+/** The `Idempotency-Key` is malformed. */
 export const KEY_INVALID = {
   name: 'key_invalid',
   title: 'Idempotency key invalid',
@@ -84,7 +87,7 @@
   hint: 'Use printable ASCII characters within the documented length.',
 } as const satisfies ErrorData;
 
-/** The Idempotency-Key was used before with another request. */
+/** The `Idempotency-Key` was used before with another request. */
 export const KEY_REUSED = {
   name: 'key_reused',
   title: 'Idempotency key reused',
@@ -117,7 +120,7 @@
   hint: 'Come back after Retry-After.',
 } as const satisfies ErrorData;
 
-/** The client account has as many requests at once as it may. */
+/** The client account has reached its limit of concurrent requests. */
 export const ACCOUNT_LIMIT = {
   name: 'account_limit',
   title: 'Account limit reached',
@@ -125,7 +128,7 @@
   hint: 'Wait for one of them to finish or raise maxConcurrent.',
 } as const satisfies ErrorData;
 
-/** No target of the service can take the request now. */
+/** No target of the service accepts the request at the moment. */
 export const NO_TARGET = {
   name: 'no_target',
   title: 'No target',
@@ -133,7 +136,7 @@
   hint: 'Come back after Retry-After; check the targets with status.',
 } as const satisfies ErrorData;
 
-/** This process is shutting down and takes no new work. */
+/** This process is shutting down and accepts no new requests. */
 export const LEAVING = {
   name: 'leaving',
   title: 'Leaving',
@@ -158,7 +161,7 @@
   hint: 'Come back after Retry-After.',
 } as const satisfies ErrorData;
 
-/** The claim on this booking was voided before anything was sent. */
+/** The claim of the booking was voided before the call was sent. */
 export const CLAIM_VOIDED = {
   name: 'claim_voided',
   title: 'Claim voided',
@@ -166,7 +169,7 @@
   hint: 'Repeat the booking under a new key; it did not run.',
 } as const satisfies ErrorData;
 
-/** Whether the claim on this booking was written is not known yet. */
+/** It is not known yet whether the claim of the booking was written. */
 export const CLAIM_UNCERTAIN = {
   name: 'claim_uncertain',
   title: 'Claim uncertain',
@@ -174,7 +177,7 @@
   hint: 'Repeat the booking with the same key.',
 } as const satisfies ErrorData;
 
-/** The booking was sent and its outcome cannot be learned. */
+/** The call of the booking was sent, and its outcome cannot be determined. */
 export const OUTCOME_UNKNOWN = {
   name: 'outcome_unknown',
   title: 'Outcome unknown',
@@ -190,7 +193,7 @@
   hint: 'See `ran`; repeat the request if it did not run.',
 } as const satisfies ErrorData;
 
-/** The target ran the request and answered with more than can be passed on. */
+/** The target ran the request, but its response is too large to forward. */
 export const RESPONSE_TOO_LARGE = {
   name: 'response_too_large',
   title: 'Response too large',
@@ -199,7 +202,7 @@
   hint: 'Ask the service for less at a time; do not repeat the request as it is.',
 } as const satisfies ErrorData;
 
-/** The service has used up its retries for the moment. */
+/** The retry budget of the service is used up. */
 export const RETRY_BUDGET_SPENT = {
   name: 'retry_budget_spent',
   title: 'Retry budget spent',
@@ -207,7 +210,10 @@
   hint: 'Come back after Retry-After.',
 } as const satisfies ErrorData;
 
-/** Targets that ran this request crashed, so it is refused for good. */
+/**
+ * The request is quarantined, because targets that ran it crashed; retries are
+ * refused too.
+ */
 export const POISON = {
   name: 'poison',
   title: 'Request quarantined',
@@ -215,7 +221,7 @@
   hint: 'Change the request; do not repeat it as it is.',
 } as const satisfies ErrorData;
 
-/** The caller went away while its request waited in the queue. */
+/** The caller disconnected while its request was queued. */
 export const CALLER_GONE = {
   name: 'caller_gone',
   title: 'Caller gone',
@@ -223,7 +229,7 @@
   hint: 'Wait for the answer, or send the request again.',
 } as const satisfies ErrorData;
 
-/** The answer so far is gone and cannot be continued. */
+/** The output so far was lost, so the stream cannot be resumed. */
 export const ANSWER_LOST = {
   name: 'answer_lost',
   title: 'Answer lost',
@@ -271,7 +277,7 @@
   hint: 'Add overlays/<site>.yaml or correct `site` in the settings.',
 } as const satisfies ErrorData;
 
-/** Another operator changed the accepted configuration. */
+/** Another operator changed the accepted configuration in the meantime. */
 export const CONFIG_CONFLICT = {
   name: 'config_conflict',
   title: 'Configuration conflict',
@@ -279,7 +285,7 @@
   hint: 'Read the difference, take it in, and apply again.',
 } as const satisfies ErrorData;
 
-/** The store did not say whether the configuration was accepted. */
+/** The response to the write was lost: it may have taken effect. */
 export const CONFIG_WRITE_UNKNOWN = {
   name: 'config_write_unknown',
   title: 'Write outcome unknown',
@@ -287,7 +293,7 @@
   hint: 'Apply again when the store answers; a repeat does no harm.',
 } as const satisfies ErrorData;
 
-/** The object store did not answer; nothing was written. */
+/** The object store cannot be reached; nothing was written. */
 export const STORE_UNREACHABLE = {
   name: 'store_unreachable',
   title: 'Store unreachable',
@@ -295,7 +301,7 @@
   hint: 'Try again when the store answers.',
 } as const satisfies ErrorData;
 
-/** No entry gave a whole answer before the deadline. */
+/** No entry returned a complete response before the deadline. */
 export const ENTRY_UNREACHABLE = {
   name: 'entry_unreachable',
   title: 'Entry unreachable',
@@ -303,7 +309,7 @@
   hint: 'Check the entry addresses or allow more time.',
 } as const satisfies ErrorData;
 
-/** The entry answered with something that cannot be understood. */
+/** The response of the entry is malformed. */
 export const ENTRY_MALFORMED = {
   name: 'entry_malformed',
   title: 'Malformed answer',
@@ -311,7 +317,7 @@
   hint: 'Check that the address is that of an entry.',
 } as const satisfies ErrorData;
 
-/** A process did not answer at its operators address. */
+/** A process does not respond at its address for operators. */
 export const PROCESS_UNREACHABLE = {
   name: 'process_unreachable',
   title: 'Process unreachable',
@@ -319,7 +325,7 @@
   hint: 'Check the address and whether the process runs.',
 } as const satisfies ErrorData;
 
-/** The process was still there when the time was up. */
+/** The process was still running after the time allowed for draining. */
 export const DRAIN_UNFINISHED = {
   name: 'drain_unfinished',
   title: 'Drain unfinished',
--- a/src/core/errors/refusals.ts
+++ b/src/core/errors/refusals.ts
@@ -7,7 +7,7 @@
   UNKNOWN = 'unknown',
 }
 
-/** Reasons for a refusal; each has its own counter. */
+/** Reasons for a refusal; each has its own counter and catalogue entry. */
 export enum RefusalReason {
   BAD_REQUEST = 'bad_request',
   HEADERS_TOO_LARGE = 'headers_too_large',
@@ -41,9 +41,13 @@
 
 /** Why a request was retried; each reason has its own counter. */
 export enum RetryReason {
+  /** The engine failed, or what it sent was malformed. */
   ENGINE_DIED = 'engine_died',
+  /** The engine produced no output for too long. */
   ENGINE_STALLED = 'engine_stalled',
+  /** The agent sent nothing for too long, although it is connected. */
   AGENT_SILENT = 'agent_silent',
+  /** The connection to the agent is closed. */
   AGENT_GONE = 'agent_gone',
   /** The end of output reported by an engine contradicts the request. */
   END_EARLY = 'end_early',
@@ -53,14 +57,21 @@
   END_UNCONFIRMED = 'end_unconfirmed',
   /** A second attempt, concurrent with one whose agent sends nothing. */
   HEDGED = 'hedged',
+  /** The target is draining, so the generation moves to another one. */
   TARGET_LEAVING = 'target_leaving',
+  /** The target refused the request without running it. */
   TARGET_REFUSED = 'target_refused',
   /** Another target runs at the address now; the request did not run. */
   TARGET_REPLACED = 'target_replaced',
+  /** The request never reached the target. */
   NOT_SENT = 'not_sent',
+  /** No response arrived within the time allowed for the attempt. */
   CALL_SLOW = 'call_slow',
+  /** The call was sent, but no complete response was received. */
   CALL_LOST = 'call_lost',
+  /** Another process changed the claim of a booking at the same time. */
   STORE_CONFLICT = 'store_conflict',
+  /** The response to a write of a claim was lost, so it is written again. */
   STORE_ANSWER_LOST = 'store_answer_lost',
 }
 
@@ -68,6 +79,7 @@
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly ran: Executed;
+  /** Why this request was refused, as shown to the caller. */
   readonly detail: string;
   /**
    * Time after which to retry, in milliseconds; absent if a retry cannot help.
--- a/src/core/errors/types.ts
+++ b/src/core/errors/types.ts
@@ -32,6 +32,7 @@
 export interface LayerError<L extends Layer, K extends string> {
   readonly layer: L;
   readonly kind: K;
+  /** What happened, in words. */
   readonly detail: string;
   readonly cause?: LayerError<Layer, string>;
 }
