--- a/src/core/sync/consts.ts
+++ b/src/core/sync/consts.ts
@@ -5,8 +5,8 @@
 export const MAX_BACKOFF_MS = 700;
 
 /**
- * Longest delay of changes to a waiting client by a store that discards its
- * history, in milliseconds.
+ * Maximum time for which a store that discards its history may withhold changes
+ * from waiting clients, in milliseconds.
  */
 export const MAX_CHANGE_DELAY_MS = 1_000;
 
--- a/src/core/sync/follower.ts
+++ b/src/core/sync/follower.ts
@@ -18,10 +18,13 @@
 
 /** Receives the objects and changes that a follower reads. */
 export interface FollowerListener<T> {
-  /** All objects; `afterOutage`: the store failed since the last snapshot. */
+  /**
+   * Called with all objects. `afterOutage` is true if a call to the store has
+   * failed since the last snapshot, other than for a lost history.
+   */
   onSnapshot(items: ReadonlyArray<SourceItem<T>>, afterOutage: boolean): void;
   onChanges(changes: ReadonlyArray<SourceChange<T>>): void;
-  /** The objects received so far were complete at the time confirmed. */
+  /** The objects received so far were complete at `confirmation.atMs`. */
   onConfirmed(confirmation: Confirmation): void;
   onError(err: SourceError): void;
 }
@@ -105,8 +108,10 @@
       const {changes, revision} = response.value;
       since = revision;
       if (changes.length > 0) listener.onChanges(changes);
-      const waited = clock.now() - startedMs >= waitMs;
-      const isQuiet = changes.length === 0 && waited;
+      // The store may have withheld changes at the end of an idle wait, so the
+      // wait confirms the state only until MAX_CHANGE_DELAY_MS before its end.
+      const hasTimedOut = clock.now() - startedMs >= waitMs;
+      const isQuiet = changes.length === 0 && hasTimedOut;
       const coveredMs = Math.max(0, waitMs - MAX_CHANGE_DELAY_MS);
       const atMs = isQuiet ? startedMs + coveredMs : startedMs;
       listener.onConfirmed({atMs, startedMs});
@@ -138,6 +143,7 @@
   private backOff(): Promise<void> {
     const {random} = this.options;
     const limitMs = MIN_BACKOFF_MS * 2 ** this.failures;
+    // Bounds the exponent; the delay has reached its maximum before.
     this.failures = Math.min(this.failures + 1, 10);
     const delayMs =
       Math.min(limitMs, MAX_BACKOFF_MS) * (0.5 + random.float() / 2);
--- a/src/core/sync/key-trust.ts
+++ b/src/core/sync/key-trust.ts
@@ -1,18 +1,22 @@
 /** Decides whether the cached keys of client accounts may still be accepted. */
 import type {Clock} from '../clock/index.js';
 
-/** Share of the revocation bound for which cached keys are accepted. */
+/**
+ * Share of the revocation bound for which cached keys are accepted; the rest is
+ * a safety margin.
+ */
 const TRUSTED_SHARE = 0.96;
 
 /**
  * Difference between the progress of the monotonic clock and of the time of
- * day beyond which the machine was suspended or its clock was stepped.
+ * day, in milliseconds, beyond which the machine was suspended or its time of
+ * day was set.
  */
 const CLOCK_TOLERANCE_MS = 150;
 
 /**
- * A call that starts in the same tick in which a suspension ends is not
- * trusted.
+ * Resolution of the monotonic clock, in milliseconds. A call that starts in the
+ * same tick in which a suspension ends is not trusted.
  */
 const CLOCK_RESOLUTION_MS = 1;
 
@@ -25,10 +29,11 @@
 }
 
 /**
- * Keys may be revoked at any time, so cached keys are accepted only for a
- * bounded time after the store last confirmed the configuration. The monotonic
- * clock does not advance while the machine is suspended, so its progress is
- * compared with the time of day: if they differ, a new confirmation is needed.
+ * Tracks whether cached keys of client accounts may still be accepted. Keys may
+ * be revoked at any time, so cached keys are accepted only for a bounded time
+ * after the store last confirmed the configuration. The monotonic clock does
+ * not advance while the machine is suspended, so its progress is compared with
+ * the time of day: if they differ, a new confirmation is needed.
  *
  * @example
  * const trust = new KeyTrust({clock, boundMs: 5_000});
@@ -39,13 +44,16 @@
   private confirmedMs = Number.NEGATIVE_INFINITY;
   /** Calls that started before this time confirm nothing. */
   private rejectBeforeMs = Number.NEGATIVE_INFINITY;
+  /** Time of day minus monotonic time, at the last confirmation or jump. */
   private wallOffsetMs: number;
   private boundMs?: number;
 
   constructor(
     private readonly options: {
       clock: Clock;
-      /** Bound on the time to a revocation; undefined if there is none. */
+      /**
+       * Time within which a revoked key must be refused; undefined for no bound.
+       */
       boundMs?: number;
       /** Called when a new confirmation is needed. */
       onDistrusted?: () => void;
--- a/test/core/sync/follower.test.ts
+++ b/test/core/sync/follower.test.ts
@@ -12,8 +12,9 @@
 import {Follower} from '../../../src/core/sync/index.js';
 
 const WAIT_MS = 1_500;
-const PACE_MS = 700;
+const MIN_INTERVAL_MS = 700;
 
+/** A scripted response to a wait for changes. */
 type Step =
   | {readonly waitMs: number; readonly changes: readonly string[]}
   | {readonly fails: SourceErrorKind};
@@ -69,7 +70,7 @@
     clock,
     random: new SeededRandom(1),
     waitMs: WAIT_MS,
-    minIntervalMs: PACE_MS,
+    minIntervalMs: MIN_INTERVAL_MS,
     listener: {
       onSnapshot: (items, afterOutage) => {
         values.push(...items.map((item) => item.value!));
@@ -103,10 +104,12 @@
       {waitMs: 5, changes: ['b']},
     ]);
     const waits = calls.filter(({call}) => call.startsWith('wait'));
-    expect(waits[1]!.atMs - waits[0]!.atMs).toBeGreaterThanOrEqual(PACE_MS);
+    expect(waits[1]!.atMs - waits[0]!.atMs).toBeGreaterThanOrEqual(
+      MIN_INTERVAL_MS,
+    );
   });
 
-  it('confirms less than the end of an idle wait, as changes may be delayed', async () => {
+  it('confirms an idle wait only until a second before its end, as changes may be delayed', async () => {
     const {confirmed} = await runFollower([{waitMs: WAIT_MS, changes: []}]);
     expect(confirmed[1]).toBe(WAIT_MS - 1_000);
   });
--- a/test/core/sync/key-trust.test.ts
+++ b/test/core/sync/key-trust.test.ts
@@ -9,14 +9,14 @@
 
 /** A clock whose monotonic time does not advance during a suspension. */
 class SuspendableClock extends ManualClock {
-  private wallMs = 0;
+  private suspendedMs = 0;
 
   override wallNow(): number {
-    return this.now() + this.wallMs;
+    return this.now() + this.suspendedMs;
   }
 
   suspend(ms: number): void {
-    this.wallMs += ms;
+    this.suspendedMs += ms;
   }
 }
 
@@ -25,10 +25,10 @@
   | {readonly kind: 'run'; readonly ms: number}
   | {readonly kind: 'suspend'; readonly ms: number}
   /** Calls the store; a suspension may happen before the response. */
-  | {readonly kind: 'ask'}
-  | {readonly kind: 'answer'}
+  | {readonly kind: 'call'}
+  | {readonly kind: 'response'}
   /** Checks whether cached keys are trusted. */
-  | {readonly kind: 'look'};
+  | {readonly kind: 'check'};
 
 const stepArb: fc.Arbitrary<Step> = fc.oneof(
   fc.record({
@@ -39,7 +39,7 @@
     kind: fc.constant('suspend' as const),
     ms: fc.integer({min: 200, max: 8_000}),
   }),
-  fc.record({kind: fc.constantFrom('ask', 'answer', 'look')}),
+  fc.record({kind: fc.constantFrom('call', 'response', 'check')}),
 );
 
 describe('KeyTrust', () => {
@@ -53,17 +53,17 @@
         for (const step of steps) {
           if (step.kind === 'run') clock.advance(step.ms);
           if (step.kind === 'suspend') clock.suspend(step.ms);
-          if (step.kind === 'ask') {
+          if (step.kind === 'call') {
             pendingCall = {startedMs: clock.now(), realMs: clock.wallNow()};
           }
-          if (step.kind === 'answer' && pendingCall !== undefined) {
+          if (step.kind === 'response' && pendingCall !== undefined) {
             const {startedMs, realMs} = pendingCall;
             trust.confirm({atMs: startedMs, startedMs});
             confirmedMs = Math.max(confirmedMs, realMs);
             pendingCall = undefined;
           }
           const ageMs = clock.wallNow() - confirmedMs;
-          const isChecked = step.kind === 'look' || step.kind === 'answer';
+          const isChecked = step.kind === 'check' || step.kind === 'response';
           if (isChecked && trust.isTrusted()) {
             expect(ageMs).toBeLessThanOrEqual(BOUND_MS);
           }
@@ -91,17 +91,27 @@
   });
 
   it.each([
-    {name: 'before any confirmation', confirmed: false, afterMs: 0, is: false},
-    {name: 'just confirmed', confirmed: true, afterMs: 0, is: true},
-    {name: 'within the bound', confirmed: true, afterMs: 4_500, is: true},
-    {name: 'at the bound', confirmed: true, afterMs: 5_000, is: false},
-  ])('$name: $is', ({confirmed, afterMs, is}) => {
+    {
+      name: 'before any confirmation',
+      confirmed: false,
+      afterMs: 0,
+      expected: false,
+    },
+    {
+      name: 'just after a confirmation',
+      confirmed: true,
+      afterMs: 0,
+      expected: true,
+    },
+    {name: 'within the bound', confirmed: true, afterMs: 4_500, expected: true},
+    {name: 'at the bound', confirmed: true, afterMs: 5_000, expected: false},
+  ])('isTrusted returns $expected $name', ({confirmed, afterMs, expected}) => {
     const clock = new ManualClock();
     const trust = new KeyTrust({clock, boundMs: BOUND_MS});
     const nowMs = clock.now();
     if (confirmed) trust.confirm({atMs: nowMs, startedMs: nowMs});
     clock.advance(afterMs);
-    expect(trust.isTrusted()).toBe(is);
+    expect(trust.isTrusted()).toBe(expected);
   });
 
   it('always trusts keys if there is no bound on revocation', () => {
