--- a/src/core/clock/manual-clock.ts
+++ b/src/core/clock/manual-clock.ts
@@ -2,6 +2,7 @@
 
 interface PendingTimer {
   dueMs: number;
+  /** Number of timers created earlier; orders timers that are due together. */
   readonly order: number;
   readonly periodMs?: number;
   readonly run: () => void;
--- a/src/core/clock/random.ts
+++ b/src/core/clock/random.ts
@@ -7,7 +7,12 @@
 const ID_BYTES = 8;
 const UINT32_RANGE = 2 ** 32;
 
-/** Random numbers of the operating system and the JavaScript engine. */
+/**
+ * Random numbers of the operating system and the JavaScript engine.
+ *
+ * @example
+ * new SystemRandom().id(); // '9c41d07be2a35f68'
+ */
 export class SystemRandom implements RandomSource {
   float(): number {
     return Math.random();
--- a/src/core/clock/system-clock.ts
+++ b/src/core/clock/system-clock.ts
@@ -1,6 +1,11 @@
 import type {Clock, TimerHandle} from './types.js';
 
-/** The system clock. */
+/**
+ * The clock and the timers of Node.js.
+ *
+ * @example
+ * const timer = new SystemClock().schedule({delayMs: 5, run: poll});
+ */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
