--- a/src/core/logs/bounded-sink.ts
+++ b/src/core/logs/bounded-sink.ts
@@ -15,7 +15,7 @@
 
 const MS_PER_S = 1_000;
 
-/** Delay before a write that would have blocked is retried. */
+/** Delay before a write that would have blocked is retried, in milliseconds. */
 const RETRY_MS = 50;
 
 /** Writes bytes to a file descriptor, like `fs.write`. */
@@ -86,22 +86,22 @@
     this.isWriting = true;
     const batch = Buffer.concat(this.pending);
     this.pending = [];
-    this.writeRest(batch);
+    this.writeRemaining(batch);
   }
 
-  private writeRest(rest: Buffer): void {
+  private writeRemaining(remaining: Buffer): void {
     const {fd, writeBytes = writeToFile} = this.options;
-    writeBytes(fd, rest, (err, written) => {
+    writeBytes(fd, remaining, (err, written) => {
       if (err?.code === 'EAGAIN') {
-        this.retryLater(rest);
+        this.retryLater(remaining);
         return;
       }
       // The batch cannot be delivered, for example to a closed pipe: drop it.
-      const done = err === null ? written : rest.length;
+      const consumedBytes = err === null ? written : remaining.length;
       if (err !== null) this.options.onDropped();
-      this.pendingBytes -= done;
-      if (done < rest.length) {
-        this.writeRest(rest.subarray(done));
+      this.pendingBytes -= consumedBytes;
+      if (consumedBytes < remaining.length) {
+        this.writeRemaining(remaining.subarray(consumedBytes));
         return;
       }
       this.isWriting = false;
@@ -109,8 +109,8 @@
     });
   }
 
-  private retryLater(rest: Buffer): void {
-    const run = () => this.writeRest(rest);
+  private retryLater(remaining: Buffer): void {
+    const run = () => this.writeRemaining(remaining);
     this.options.clock.schedule({delayMs: RETRY_MS, run});
   }
 }
--- a/test/core/logs.test.ts
+++ b/test/core/logs.test.ts
@@ -26,7 +26,7 @@
 }
 
 describe('BoundedSink', () => {
-  function start() {
+  function createTestLogger() {
     const clock = new ManualClock();
     const reader = new StoppedReader();
     let dropped = 0;
@@ -41,7 +41,7 @@
   }
 
   it('writes one JSON line for each message, in order', () => {
-    const {reader, logger} = start();
+    const {reader, logger} = createTestLogger();
     reader.start();
     logger.info('one', {id: 'a'});
     logger.warn('two');
@@ -54,7 +54,7 @@
   });
 
   it('does not block when the reader stops, and counts dropped lines', () => {
-    const {clock, reader, logger, dropped} = start();
+    const {clock, reader, logger, dropped} = createTestLogger();
     const detail = 'x'.repeat(1_000);
     for (let i = 0; i < 2_000; i++) {
       clock.advance(10);
@@ -67,7 +67,7 @@
   });
 
   it('limits the rate of lines', () => {
-    const {reader, logger, dropped} = start();
+    const {reader, logger, dropped} = createTestLogger();
     reader.start();
     for (let i = 0; i < 1_000; i++) logger.info('burst');
     expect(dropped()).toBe(400);
