--- a/src/core/metrics/metrics.ts
+++ b/src/core/metrics/metrics.ts
@@ -66,7 +66,7 @@
     for (const label of labels) this.count(name, {label, by: 0});
   }
 
-  /** Sets a gauge. */
+  /** Sets a gauge, which is created when it is first set. */
   setGauge(options: {name: string; value: number}): void {
     let gauge = this.gauges.get(options.name);
     if (gauge === undefined) {
@@ -80,8 +80,8 @@
   /** Records a latency in milliseconds. */
   observe(options: {name: LatencyName; ms: number}): void {
     const us = Math.round(options.ms * US_PER_MS);
-    const bounded = Math.min(Math.max(us, 1), HISTOGRAM_MAX_US);
-    this.histograms.get(options.name)?.recordValue(bounded);
+    const boundedUs = Math.min(Math.max(us, 1), HISTOGRAM_MAX_US);
+    this.histograms.get(options.name)?.recordValue(boundedUs);
   }
 
   /** All metrics in the Prometheus text format. */
--- a/src/core/metrics/types.ts
+++ b/src/core/metrics/types.ts
@@ -1,7 +1,10 @@
 /** Latencies that a process measures. */
 export enum LatencyName {
+  /** From the start of a request until its first token. */
   FIRST_TOKEN = 'first_token_seconds',
+  /** Between two successive messages with tokens of a running attempt. */
   TOKEN_GAP = 'token_gap_seconds',
+  /** From the last token of a lost attempt until the first that follows it. */
   RESUME = 'resume_seconds',
   /** From the last token until the loss was detected. */
   RESUME_DETECTION = 'resume_detection_seconds',
@@ -9,7 +12,9 @@
   RESUME_PLACEMENT = 'resume_placement_seconds',
   /** From the selection until the first token of that target. */
   RESUME_FIRST_TOKEN = 'resume_first_token_seconds',
+  /** Duration of the write that creates the claim of a booking. */
   BOOKING_CLAIM = 'booking_claim_seconds',
+  /** From the receipt of a call to a plain service until its response. */
   PLAIN_CALL = 'plain_call_seconds',
   /** From the last event of a lost target to the first of its replacement. */
   STREAM_RESUME = 'stream_resume_seconds',
@@ -17,22 +22,32 @@
 
 /** Counters other than those of refusals and retries. */
 export enum CounterName {
+  /** Closed connections between processes, by `TransportErrorKind`. */
   CONNECTIONS_CLOSED = 'connections_closed_total',
   TOKENS_RELAYED = 'tokens_relayed_total',
+  /** Messages with tokens that were ignored, such as those already received. */
   TOKENS_DROPPED = 'tokens_dropped_total',
   ATTEMPTS_STARTED = 'attempts_started_total',
+  /** Attempts that were cancelled because no entry read their output. */
   ATTEMPTS_ORPHANED = 'attempts_orphaned_total',
+  /** Calls to the object store, by operation. */
   STORE_CALLS = 'store_calls_total',
+  /** Failed calls to the object store, by `StoreErrorKind`. */
   STORE_ERRORS = 'store_errors_total',
+  /** Targets that were suspected because their agents were silent. */
   TARGETS_SUSPECTED = 'targets_suspected_total',
   REQUESTS = 'requests_total',
   HEARTBEATS = 'heartbeats_total',
   PEER_BYTES = 'peer_bytes_total',
+  /** Refused bookings, by the evidence on whether they ran. */
   BOOKING_EVIDENCE = 'booking_evidence_total',
+  /** Outcomes of bookings that were written to the store. */
   OUTCOMES_RECORDED = 'outcomes_recorded_total',
+  /** Outcomes that were too large or too many, or rejected by the store. */
   OUTCOMES_DROPPED = 'outcomes_dropped_total',
   CONFIG_CHANGES = 'config_changes_total',
   /** Targets lost while they ran requests, by cause. */
   TARGET_LOSSES = 'target_losses_total',
+  /** Log lines, or batches of them, that were not written. */
   LOG_LINES_DROPPED = 'log_lines_dropped_total',
 }
