--- a/src/core/timeline/build-timeline.ts
+++ b/src/core/timeline/build-timeline.ts
@@ -17,7 +17,7 @@
   REQUEST = 'request',
   /** The line concerns a target to which the request was sent. */
   TARGET = 'target',
-  /** The line concerns the state of the entry itself at that time. */
+  /** The line concerns the entry itself, such as its reads of the store. */
   ENTRY_STATE = 'belief',
 }
 
@@ -27,7 +27,10 @@
   readonly line: LogLine;
 }
 
-/** Time before and after the request's own lines in which other lines count. */
+/**
+ * Time before the first and after the last line of the request within which
+ * other lines are related to it.
+ */
 const CONTEXT_MS = 3_000;
 
 /** Fields that contain the id of a target. */
@@ -94,11 +97,11 @@
  * const line = parseLogLine('{"message":"started","vm":"entry-1", ...}');
  */
 export function parseLogLine(text: string): LogLine | undefined {
-  const at = text.indexOf('{');
-  if (at < 0) return undefined;
+  const jsonStart = text.indexOf('{');
+  if (jsonStart < 0) return undefined;
   let value: unknown;
   try {
-    value = JSON.parse(text.slice(at));
+    value = JSON.parse(text.slice(jsonStart));
   } catch {
     // The log may contain lines of other programs.
     return undefined;
@@ -108,10 +111,10 @@
     string,
     unknown
   >;
-  const isLine =
+  const isLogLine =
     typeof timestamp === 'string' &&
     typeof level === 'string' &&
     typeof message === 'string' &&
     typeof vm === 'string';
-  return isLine ? {timestamp, level, message, vm, fields} : undefined;
+  return isLogLine ? {timestamp, level, message, vm, fields} : undefined;
 }
--- a/test/core/errors/catalogue.test.ts
+++ b/test/core/errors/catalogue.test.ts
@@ -3,9 +3,12 @@
 import {RefusalReason, REFUSALS} from '../../../src/core/errors/index.js';
 
 describe('REFUSALS', () => {
-  it.each(Object.values(RefusalReason))('names %s as its reason', (reason) => {
-    const {data, status} = REFUSALS[reason];
-    expect(data.name).toBe(reason);
-    expect(status).toBeGreaterThanOrEqual(400);
-  });
+  it.each(Object.values(RefusalReason))(
+    'has an entry named %s with an error status',
+    (reason) => {
+      const {data, status} = REFUSALS[reason];
+      expect(data.name).toBe(reason);
+      expect(status).toBeGreaterThanOrEqual(400);
+    },
+  );
 });
--- a/test/core/timeline/build-timeline.test.ts
+++ b/test/core/timeline/build-timeline.test.ts
@@ -7,7 +7,7 @@
   buildTimeline,
 } from '../../../src/core/timeline/index.js';
 
-function line(options: {
+function createLine(options: {
   atS: number;
   message: string;
   vm?: string;
@@ -19,26 +19,50 @@
 }
 
 const LINES = [
-  line({atS: 20, message: 'refused', fields: {id: 'a', reason: 'x'}}),
-  line({atS: 19, message: 'try failed', fields: {id: 'a', target: 'i-1'}}),
-  line({atS: 18, message: 'target does not answer', fields: {target: 'i-1'}}),
-  line({atS: 18, message: 'target does not answer', fields: {target: 'i-2'}}),
-  line({atS: 18.5, message: 'store lost', fields: {what: 'targets'}}),
-  line({atS: 18, message: 'store lost', vm: 'entry-2'}),
-  line({atS: 5, message: 'started'}),
-  line({atS: 19, message: 'refused', fields: {id: 'b'}}),
+  createLine({
+    atS: 20,
+    message: 'request refused at admission',
+    fields: {id: 'a', reason: 'x'},
+  }),
+  createLine({
+    atS: 19,
+    message: 'call attempt failed',
+    fields: {id: 'a', target: 'i-1'},
+  }),
+  createLine({
+    atS: 18,
+    message: 'target does not respond to probe',
+    fields: {target: 'i-1'},
+  }),
+  createLine({
+    atS: 18,
+    message: 'target does not respond to probe',
+    fields: {target: 'i-2'},
+  }),
+  createLine({
+    atS: 18.5,
+    message: 'store reads fail',
+    fields: {what: 'targets'},
+  }),
+  createLine({atS: 18, message: 'store reads fail', vm: 'entry-2'}),
+  createLine({atS: 5, message: 'started'}),
+  createLine({
+    atS: 19,
+    message: 'request refused at admission',
+    fields: {id: 'b'},
+  }),
 ];
 
 describe('buildTimeline', () => {
   it('returns lines of the request, its targets and its entry, in order', () => {
     const timeline = buildTimeline({lines: LINES, id: 'a'});
     expect(
-      timeline.map(({relation, line: l}) => [relation, l.message]),
+      timeline.map(({relation, line}) => [relation, line.message]),
     ).toEqual([
-      [Relation.TARGET, 'target does not answer'],
-      [Relation.ENTRY_STATE, 'store lost'],
-      [Relation.REQUEST, 'try failed'],
-      [Relation.REQUEST, 'refused'],
+      [Relation.TARGET, 'target does not respond to probe'],
+      [Relation.ENTRY_STATE, 'store reads fail'],
+      [Relation.REQUEST, 'call attempt failed'],
+      [Relation.REQUEST, 'request refused at admission'],
     ]);
   });
 
@@ -52,12 +76,12 @@
     '{"timestamp":"t","level":"info","message":"m","vm":"v","id":"a"}';
 
   it.each([
-    {name: 'a line', text: json, id: 'a'},
-    {name: 'a line after a prefix', text: `12.5 edge ${json}`, id: 'a'},
+    {name: 'a log line', text: json, id: 'a'},
+    {name: 'a log line after a prefix', text: `12.5 edge ${json}`, id: 'a'},
     {name: 'other text', text: 'Node.js v20', id: undefined},
     {name: 'malformed JSON', text: '{"timestamp":', id: undefined},
     {name: 'other JSON', text: '{"level":"info"}', id: undefined},
-  ])('reads $name', ({text, id}) => {
+  ])('parses $name', ({text, id}) => {
     expect(parseLogLine(text)?.fields['id']).toBe(id);
   });
 });
