--- a/src/core/protocol/messages.ts
+++ b/src/core/protocol/messages.ts
@@ -19,7 +19,7 @@
 import {Executed, RefusalReason, RetryReason} from '../errors/refusals.js';
 import {byteString} from './byte-codec.js';
 
-/** Types of messages. */
+/** Value of the `type` field of a message, which selects its Codec. */
 export enum MessageType {
   HELLO = 'hello',
   HEARTBEAT = 'heartbeat',
@@ -70,7 +70,7 @@
   DOWN = 'down',
 }
 
-/** Periodic status report of a process. */
+/** Agent to entry: periodic status report of the agent and its target. */
 export const HEARTBEAT = Codec.interface({
   type: exactly(MessageType.HEARTBEAT),
   /** Number of heartbeats sent earlier on the same connection. */
@@ -130,7 +130,7 @@
 });
 
 /**
- * Entry to agent or entry: send an attempt's journal, starting at a position.
+ * Entry to agent or entry: send an attempt's output, starting at a position.
  */
 export const ATTACH = Codec.interface({
   type: exactly(MessageType.ATTACH),
@@ -295,7 +295,7 @@
  */
 export const LEAVE = Codec.interface({type: exactly(MessageType.LEAVE)});
 
-/** Any process to any: an accepted configuration. */
+/** Any process to any other: an accepted version of the configuration. */
 export const CONFIG = Codec.interface({
   type: exactly(MessageType.CONFIG),
   version: number,
