--- a/src/core/protocol/peer-server.ts
+++ b/src/core/protocol/peer-server.ts
@@ -5,19 +5,28 @@
 import {okAsync, ResultAsync} from 'neverthrow';
 
 import type {Clock} from '../clock/index.js';
-import {transportError} from './frame-codec.js';
+import {createTransportError} from './frame-codec.js';
 import type {HelloMessage} from './messages.js';
 import type {ConnectionListener} from './peer-connection.js';
 import {PeerConnection} from './peer-connection.js';
 import type {TransportError} from './types.js';
 import {TransportErrorKind} from './types.js';
 
-/** Creates the listener of a new connection. */
+/**
+ * Creates the listener of a new connection. The connection is created after its
+ * listener, so `connection` may be called only once the connection has events.
+ */
 export type ListenerFactory = (
   connection: () => PeerConnection,
 ) => ConnectionListener;
 
-/** Listens for peers and creates a PeerConnection for each. */
+/**
+ * Listens for peers and creates a PeerConnection for each.
+ *
+ * @example
+ * const server = new PeerServer({hello, clock, createListener});
+ * await server.listen({address: '127.0.0.1', port: 0});
+ */
 export class PeerServer {
   private readonly server: Server;
   private readonly connections = new Set<PeerConnection>();
@@ -45,7 +54,7 @@
       });
     });
     return ResultAsync.fromPromise(listening, (cause) =>
-      transportError(TransportErrorKind.CONNECT_FAILED, String(cause)),
+      createTransportError(TransportErrorKind.CONNECT_FAILED, String(cause)),
     );
   }
 
