--- a/src/entry/load-controller.ts
+++ b/src/entry/capacity-controller.ts
@@ -14,10 +14,10 @@
 import type {EntryBoard} from './entry-board.js';
 
 /** Period at which the share is computed, in milliseconds. */
-export const LOAD_PERIOD_MS = 100;
+export const CAPACITY_PERIOD_MS = 100;
 
-/** Writes the entry's load to the board from the views and the VM list. */
-export class LoadController {
+/** Computes the share periodically from the targets' views and the VM list. */
+export class CapacityController {
   private timer: TimerHandle | undefined;
 
   constructor(
@@ -30,7 +30,7 @@
 
   open(): void {
     this.timer = this.options.clock.repeat({
-      periodMs: LOAD_PERIOD_MS,
+      periodMs: CAPACITY_PERIOD_MS,
       run: () => this.refresh(),
     });
   }
@@ -44,17 +44,17 @@
     const cfg = board.config.get().extract()?.cfg;
     if (cfg === undefined) return;
     const vms = board.vms.get();
-    board.load.set(resolveLoad({cfg, vms, views: views()}));
+    board.capacity.set(computeEntryCapacity({cfg, vms, views: views()}));
   }
 }
 
 /**
- * Computes an entry's slots for each service.
+ * Computes this entry's slots at the targets of each service.
  *
  * @example
- * resolveLoad({cfg, vms, views});
+ * computeEntryCapacity({cfg, vms, views});
  */
-export function resolveLoad(options: {
+export function computeEntryCapacity(options: {
   cfg: Pick<SiteConfig, 'services' | 'recovery'>;
   vms: readonly VmRecord[];
   views: readonly TargetView[];
@@ -72,7 +72,7 @@
         (vm) => vm.service === service.name,
       ).length;
       const resumeShare = resumeShareOf({service, recovery});
-      return resolveService({
+      return computeServiceSlots({
         service,
         views: serviceViews,
         listedTargets,
@@ -83,7 +83,7 @@
   };
 }
 
-function resolveService(options: {
+function computeServiceSlots(options: {
   service: ServiceConfig;
   views: readonly TargetView[];
   listedTargets: number;
@@ -91,11 +91,12 @@
   resumeShare: number;
 }): ServiceSlots {
   const {service, views, listedTargets, liveEntries, resumeShare} = options;
-  // If each entry watches a subset of the targets, fewer entries share each.
+  // If each entry watches a subset of the targets, fewer entries share each
+  // target.
   const watchedShare =
     listedTargets === 0 ? 1 : Math.min(1, views.length / listedTargets);
-  const sharers = Math.max(1, liveEntries * watchedShare);
-  const slots = computeSlots({views, entryCount: sharers});
+  const entriesPerTarget = Math.max(1, liveEntries * watchedShare);
+  const slots = computeSlots({views, entryCount: entriesPerTarget});
   const resumeSlots = Math.floor(slots * resumeShare);
   return {service: service.name, slots, resumeSlots};
 }
--- a/src/entry/entry-board.ts
+++ b/src/entry/entry-board.ts
@@ -21,5 +21,5 @@
   readonly vms = new Cell<readonly VmRecord[]>([]);
   readonly draining = new Cell(false);
   /** This entry's share of the targets' capacity. */
-  readonly load = new Cell<EntryCapacity>({liveEntries: 1, services: []});
+  readonly capacity = new Cell<EntryCapacity>({liveEntries: 1, services: []});
 }
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -39,7 +39,7 @@
 import {QuarantineSync} from './generation/quarantine-sync.js';
 import {GenerationService} from './generation/generation-service.js';
 import {OwnVmWatch} from './links/own-vm-watch.js';
-import {LoadController} from './load-controller.js';
+import {CapacityController} from './capacity-controller.js';
 import {PeerSession} from './links/peer-session.js';
 import {PlainService} from './calls/plain-service.js';
 import {VmDirectory} from './links/vm-directory.js';
@@ -69,7 +69,7 @@
   private readonly server: PeerServer;
   private readonly directory: VmDirectory;
   private readonly links: AgentLinks;
-  private readonly loadController: LoadController;
+  private readonly capacityController: CapacityController;
   private readonly generations: GenerationService;
   private readonly dispatcher: RequestDispatcher;
   private readonly config: ConfigController;
@@ -97,7 +97,7 @@
     });
     const {config} = this;
     this.links = new AgentLinks({...options, board, hello, config});
-    this.loadController = new LoadController({
+    this.capacityController = new CapacityController({
       ...options,
       board,
       views: () => this.links.views(),
@@ -119,7 +119,9 @@
       vm: options.settings.vm,
       onVmLeaving: () => this.drain(),
     }).open();
-    this.board.load.subscribe((load) => this.admission.resize(load));
+    this.board.capacity.subscribe((capacity) =>
+      this.admission.resize(capacity),
+    );
     this.board.config.subscribe((active) => {
       active.ifJust(({cfg}) => this.admission.configure(cfg));
     });
@@ -134,7 +136,7 @@
   start(): ResultAsync<number, TransportError> {
     this.links.open();
     this.directory.open();
-    this.loadController.open();
+    this.capacityController.open();
     this.generations.open();
     this.config.open();
     this.quarantineSync.open();
@@ -145,7 +147,7 @@
     this.config.close();
     this.quarantineSync.close();
     this.generations.close();
-    this.loadController.close();
+    this.capacityController.close();
     this.links.close();
     this.directory.close();
     this.server.close();
