--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -26,8 +26,8 @@
 import {MAX_KEYS} from './consts.js';
 import {ConfigReceiver} from './config-receiver.js';
 import {DrainPeers} from './drain-peers.js';
-import type {TargetProbe} from './engine-monitor.js';
-import {EngineMonitor} from './engine-monitor.js';
+import type {TargetProbe} from './target-monitor.js';
+import {TargetMonitor} from './target-monitor.js';
 import type {SessionDeps} from './entry-session.js';
 import {EntrySession} from './entry-session.js';
 import {KeyTable} from './key-table.js';
@@ -59,7 +59,7 @@
   private readonly recorder: OutcomeRecorder;
   private readonly attempts: AttemptTable | undefined;
   private readonly calls: CallRunner | undefined;
-  private readonly monitor: EngineMonitor;
+  private readonly monitor: TargetMonitor;
   private readonly server: PeerServer;
   private readonly peers = new DrainPeers({
     onDrainRequested: () => this.drain(),
@@ -75,7 +75,7 @@
     });
     this.attempts = this.createAttempts();
     this.calls = this.createCalls();
-    this.monitor = new EngineMonitor({
+    this.monitor = new TargetMonitor({
       board: this.board,
       clock: options.clock,
       probe: createProbe(options.drivers),
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -62,7 +62,7 @@
 
   /** Attempts that still produce tokens. */
   countRunning(): number {
-    return this.running().length;
+    return this.findRunning().length;
   }
 
   /** Time of the last token of any attempt; -Infinity if there was none. */
@@ -86,7 +86,7 @@
     }
     const crashes = request.crashes ?? [];
     if (request.mayShare === true) return undefined;
-    if (!sharesNoCrash({crashes, others: this.suspects()})) {
+    if (!sharesNoCrash({crashes, others: this.findSuspects()})) {
       const detail = 'another request of the same crash runs here';
       return createRefusal(RefusalReason.NO_TARGET, detail);
     }
@@ -106,7 +106,7 @@
       resumeFrom: request.resumeFrom,
       sink: this.createSink(attempt),
     });
-    attempt.run(stream);
+    attempt.attachStream(stream);
     return attempt;
   }
 
@@ -141,22 +141,22 @@
     const kind = isCrash ? DriverErrorKind.LOST : DriverErrorKind.TIMEOUT;
     const detail = `the engine is ${phase}`;
     const id = this.options.random.id();
-    const causes = isCrash ? findCrashCauses(this.suspects()) : [];
-    for (const attempt of this.running()) {
+    const causes = isCrash ? findCrashCauses(this.findSuspects()) : [];
+    for (const attempt of this.findRunning()) {
       const isCause = causes.includes(attempt.request.attemptId);
       const crash = isCrash ? {id, isCause} : undefined;
       attempt.fail({layer: Layer.DRIVER, kind, detail}, crash);
     }
   }
 
-  private running(): Attempt[] {
+  private findRunning(): Attempt[] {
     return [...this.attempts.values()].filter(
       (attempt) => attempt.journal.state === LogState.RUNNING,
     );
   }
 
-  private suspects(): Suspect[] {
-    return this.running().map(({request}) => ({
+  private findSuspects(): Suspect[] {
+    return this.findRunning().map(({request}) => ({
       id: request.attemptId,
       crashes: request.crashes ?? [],
     }));
--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -55,7 +55,7 @@
     return this.readerCount > 0 ? 0 : this.clock.now() - this.unreadSinceMs;
   }
 
-  run(stream: EngineStream): void {
+  attachStream(stream: EngineStream): void {
     this.stream = stream;
   }
 
--- a/src/agent/engine-monitor.ts
+++ b/src/agent/target-monitor.ts
@@ -22,7 +22,7 @@
 }
 
 /** Probes the target periodically. */
-export class EngineMonitor {
+export class TargetMonitor {
   private timer: TimerHandle | undefined;
   private failures = 0;
   private probing = false;
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -5,7 +5,7 @@
 import {AgentBoard} from '../../src/agent/agent-board.js';
 import type {TargetReport} from '../../src/agent/agent-board.js';
 import {AttemptTable} from '../../src/agent/attempt-table.js';
-import {EngineMonitor} from '../../src/agent/engine-monitor.js';
+import {TargetMonitor} from '../../src/agent/target-monitor.js';
 import {ManualClock, SeededRandom} from '../../src/core/clock/index.js';
 import type {DriverError, EngineSink} from '../../src/core/edges/index.js';
 import {DriverErrorKind} from '../../src/core/edges/index.js';
@@ -53,14 +53,14 @@
   let probes: Array<(error: DriverErrorKind | undefined) => void>;
   let sinks: EngineSink[];
   let table: AttemptTable;
-  let monitor: EngineMonitor;
+  let monitor: TargetMonitor;
 
   beforeEach(async () => {
     clock = new ManualClock();
     probes = [];
     sinks = [];
     const board = new AgentBoard();
-    monitor = new EngineMonitor({
+    monitor = new TargetMonitor({
       board,
       clock,
       logger: SILENT_LOGGER,
