--- a/src/entry/calls/agent-call.ts
+++ b/src/entry/calls/agent-call.ts
@@ -27,6 +27,7 @@
 /** An error of a call to an agent. */
 export interface CallError {
   readonly kind: CallErrorKind;
+  /** Defined if the kind is REFUSED. */
   readonly refusal?: Refusal;
 }
 
--- a/src/entry/calls/booking-agents.ts
+++ b/src/entry/calls/booking-agents.ts
@@ -1,4 +1,4 @@
-/** Calls and key queries of one booking. */
+/** Sends the calls and key queries of one booking to agents. */
 import type {
   AgentId,
   AgentResult,
@@ -15,14 +15,17 @@
 import {createCall} from './plain-request.js';
 import type {PlainCallDeps} from './plain-service.js';
 
-/** Sends a booking to an agent, and queries the state of its key. */
+/** Chooses the agent of a booking, calls it and queries the booking's key. */
 export class BookingAgents {
   constructor(
     private readonly request: ResolvedPlain,
     private readonly deps: PlainCallDeps,
   ) {}
 
-  /** Chooses the target of a new claim; never the VM `except`. */
+  /**
+   * Chooses the target of a new claim; never on the VM `except`. Returns
+   * undefined if no target is usable.
+   */
   choose(except: string | undefined): AgentId | undefined {
     const {chooser, links, dataCentre} = this.deps;
     const service = this.request.service.name;
@@ -33,39 +36,41 @@
     return {vm: target.vm, incarnation: target.incarnation};
   }
 
+  /** Sends the call if the agent's incarnation is still the claimed one. */
   async call(options: {
-    place: AgentId;
+    agent: AgentId;
     claimedAtMs: CallEffect['claimedAtMs'];
     timeoutMs: number;
   }): Promise<AgentResult> {
-    const {place, claimedAtMs, timeoutMs} = options;
+    const {agent, claimedAtMs, timeoutMs} = options;
     const {links, random, clock} = this.deps;
-    const link = links.find(place.vm);
-    if (link === undefined || !hasIncarnation(link, place)) {
+    const link = links.find(agent.vm);
+    if (link === undefined || !hasIncarnation(link, agent)) {
       return {kind: AgentResultKind.NOT_SENT};
     }
     const call = createCall({
       request: this.request,
       callId: random.id(),
       key: this.request.req.idempotencyKey,
-      incarnation: place.incarnation,
+      incarnation: agent.incarnation,
       deadlineMs: timeoutMs,
     });
     const message = {...call, claimedAtMs};
     const result = await callAgent({link, message, timeoutMs, clock});
-    return result.match((value) => toAgentResult(value, place), toErrorResult);
+    return result.match((value) => toAgentResult(value, agent), toErrorResult);
   }
 
+  /** Queries the state of the key; GONE if the incarnation has ended. */
   async queryKey(options: {
-    place: AgentId;
+    agent: AgentId;
     timeoutMs: number;
   }): Promise<AgentResult> {
-    const {place, timeoutMs} = options;
+    const {agent, timeoutMs} = options;
     const {links, random, clock} = this.deps;
-    const link = links.find(place.vm);
+    const link = links.find(agent.vm);
     if (link === undefined) return {kind: AgentResultKind.GONE};
     if (!link.isConnected()) return {kind: AgentResultKind.NOT_SENT};
-    if (!hasIncarnation(link, place)) return {kind: AgentResultKind.GONE};
+    if (!hasIncarnation(link, agent)) return {kind: AgentResultKind.GONE};
     const waitMs = Math.max(0, timeoutMs - KEY_QUERY_RESPONSE_MARGIN_MS);
     const message = {
       type: MessageType.ASK_KEY as const,
@@ -77,18 +82,18 @@
       waitMs,
     };
     const result = await callAgent({link, message, timeoutMs, clock});
-    return result.match((value) => toAgentResult(value, place), toErrorResult);
+    return result.match((value) => toAgentResult(value, agent), toErrorResult);
   }
 }
 
-function hasIncarnation(link: AgentLink, place: AgentId): boolean {
-  return link.view().incarnation === place.incarnation;
+function hasIncarnation(link: AgentLink, agent: AgentId): boolean {
+  return link.view().incarnation === agent.incarnation;
 }
 
-function toAgentResult(result: AgentCallResult, place: AgentId): AgentResult {
+function toAgentResult(result: AgentCallResult, agent: AgentId): AgentResult {
   const {response, keyPhase, incarnation} = result;
   if (response !== undefined) return {kind: AgentResultKind.RESPONSE, response};
-  if (incarnation !== place.incarnation) return {kind: AgentResultKind.GONE};
+  if (incarnation !== agent.incarnation) return {kind: AgentResultKind.GONE};
   return {kind: PHASE_RESULTS[keyPhase!]};
 }
 
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -45,7 +45,7 @@
 import type {PlainCallDeps} from './plain-service.js';
 import {isFirstUse} from './key-uncertainty.js';
 
-/** What bookings use of their entry. */
+/** Dependencies of a booking. */
 export interface BookingDeps {
   readonly callDeps: PlainCallDeps;
   readonly claims: ClaimStore;
@@ -55,7 +55,7 @@
 
 type BookingResult = Result<PlainResponse, Refusal>;
 
-/** Holds a booking's state and resolves its result once. */
+/** Keeps a booking's state and resolves its result once. */
 export class BookingRun {
   private state: BookingState;
   private readonly claimName: string;
@@ -80,7 +80,7 @@
     this.agents = new BookingAgents(request, options.callDeps);
   }
 
-  /** Settles at the deadline at the latest. */
+  /** Runs the booking; resolves at the deadline at the latest. */
   run(): Promise<BookingResult> {
     const {clock} = this.options.callDeps;
     return new Promise((resolve) => {
@@ -107,7 +107,10 @@
     if (effect !== undefined) this.perform(effect);
   }
 
-  /** Read again at each step, as this process may have been paused. */
+  /**
+   * Reads the clock and the target again at each step, as this process may have
+   * been paused since the last one.
+   */
   private readContext(event: BookingEvent): StepContext {
     const {random, clock} = this.options.callDeps;
     return {
@@ -118,7 +121,10 @@
     };
   }
 
-  /** The first target is free; each further one takes a retry of the budget. */
+  /**
+   * Chooses a target if the next step needs one. The first is free; each
+   * further one takes a retry from the service's budget.
+   */
   private chooseTarget(event: BookingEvent): AgentId | undefined {
     const {request, options} = this;
     const budget = options.callDeps.retryBudgets.forService(request.service);
@@ -153,9 +159,9 @@
     }
   }
 
-  private async create({claim, isRetry: again}: CreateEffect): Promise<void> {
+  private async create({claim, isRetry}: CreateEffect): Promise<void> {
     const {callDeps, claims} = this.options;
-    await this.waitBeforeRetry(again);
+    await this.waitBeforeRetry(isRetry);
     const startedAtMs = callDeps.clock.now();
     const result = await claims.create({name: this.claimName, claim});
     const ms = callDeps.clock.now() - startedAtMs;
@@ -163,12 +169,8 @@
     this.handleWrite(result);
   }
 
-  private async swap({
-    expected,
-    claim,
-    isRetry: again,
-  }: SwapEffect): Promise<void> {
-    await this.waitBeforeRetry(again);
+  private async swap({expected, claim, isRetry}: SwapEffect): Promise<void> {
+    await this.waitBeforeRetry(isRetry);
     const {claimName: name} = this;
     const result = await this.options.claims.swap({name, expected, claim});
     if (result.outcome === WriteOutcome.CONFLICT) {
@@ -187,9 +189,9 @@
     this.handleEvent({kind: EventKind.WRITE, result});
   }
 
-  private async call({agent: place, claimedAtMs}: CallEffect): Promise<void> {
+  private async call({agent, claimedAtMs}: CallEffect): Promise<void> {
     const timeoutMs = this.leftMs();
-    const result = await this.agents.call({place, claimedAtMs, timeoutMs});
+    const result = await this.agents.call({agent, claimedAtMs, timeoutMs});
     this.handleEvent({kind: EventKind.AGENT, result});
   }
 
@@ -197,9 +199,9 @@
     effect: Extract<BookingEffect, {kind: EffectKind.QUERY}>,
   ): Promise<void> {
     if (effect.isRetry) await this.waitBeforeKeyQuery();
-    const {agent: place} = effect;
+    const {agent} = effect;
     const result = await this.agents.queryKey({
-      place,
+      agent,
       timeoutMs: this.leftMs(),
     });
     this.handleEvent({kind: EventKind.AGENT, result});
@@ -233,10 +235,10 @@
   }
 
   private createRefusal(evidence: Evidence): Refusal {
-    const {ran, reason, detail, retryLater: comeBack} = decideRan(evidence);
+    const {ran, reason, detail, retryLater} = decideRan(evidence);
     const label = evidence.kind;
     this.options.callDeps.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
-    const retryAfterMs = comeBack ? RETRY_AFTER_MS : undefined;
+    const retryAfterMs = retryLater ? RETRY_AFTER_MS : undefined;
     return {ran, reason, detail, retryAfterMs};
   }
 
--- a/src/entry/calls/booking-service.ts
+++ b/src/entry/calls/booking-service.ts
@@ -1,4 +1,4 @@
-/** Calls that run at most once: claimed in the object store, then sent. */
+/** Serves bookings: calls that are claimed in the object store, then sent. */
 import {ResultAsync} from 'neverthrow';
 
 import type {PlainResponse} from '../../core/edges/index.js';
@@ -7,7 +7,7 @@
 import {BookingRun} from './booking-run.js';
 import type {ResolvedPlain} from './plain-request.js';
 
-/** Runs each booking to its one result. */
+/** Runs each booking at most once and returns its outcome to all retries. */
 export class BookingService {
   constructor(private readonly options: BookingDeps) {}
 
--- a/src/entry/calls/key-uncertainty.ts
+++ b/src/entry/calls/key-uncertainty.ts
@@ -1,10 +1,10 @@
-/** Refusals of bookings whose key was not looked up. */
+/** Corrects refusals of bookings whose idempotency key was not looked up. */
 import type {RequestHead} from '../../core/edges/index.js';
 import type {Refusal} from '../../core/errors/index.js';
 import {Executed, RefusalReason} from '../../core/errors/index.js';
 import {FIRST_USE_HEADER} from '../consts.js';
 
-/** Reasons decided without a look-up of the key's earlier requests. */
+/** Reasons for which a request is refused before its key is looked up. */
 const PRE_LOOKUP_REASONS: ReadonlySet<RefusalReason> = new Set([
   RefusalReason.LEAVING,
   RefusalReason.NOT_READY,
@@ -28,7 +28,7 @@
  * run and the key was not looked up.
  *
  * @example
- * return applyKeyUncertainty(req, {reason, ran: Ran.NO, detail});
+ * return applyKeyUncertainty(req, {reason, ran: Executed.NO, detail});
  */
 export function applyKeyUncertainty(
   req: RequestHead,
--- a/src/entry/calls/plain-request.ts
+++ b/src/entry/calls/plain-request.ts
@@ -1,3 +1,4 @@
+/** Plain requests, and the messages that send them to agents. */
 import type {
   ClientAccountConfig,
   ServiceConfig,
@@ -11,12 +12,13 @@
   readonly req: PlainReq;
   readonly clientAccount: ClientAccountConfig;
   readonly service: ServiceConfig;
+  /** Fingerprint of the client account and the content of the request. */
   readonly fingerprint: string;
   /** On the monotonic clock of this process. */
   readonly deadlineAtMs: number;
 }
 
-/** Creates the message that an agent runs as a call. */
+/** Creates the message that asks an agent to run a call. */
 export function createCall(options: {
   request: ResolvedPlain;
   callId: string;
--- a/src/entry/calls/plain-service.ts
+++ b/src/entry/calls/plain-service.ts
@@ -24,10 +24,10 @@
 /** Maximum attempts of one call. */
 const MAX_ATTEMPTS = 3;
 
-/** Lowest status that counts as a failure of the target itself. */
-const SERVER_ERROR = 500;
+/** Lowest HTTP status that counts as a failure of the target itself. */
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** What plain calls use of their entry. */
+/** Dependencies of plain calls. */
 export interface PlainCallDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -39,7 +39,10 @@
   readonly dataCentre: string;
 }
 
-/** Sends a call, and retries it at other targets if its target fails. */
+/**
+ * Sends a call, and retries it at other targets if its target fails. Each
+ * attempt may use an equal share of the time that is left.
+ */
 export class PlainService {
   constructor(private readonly deps: PlainCallDeps) {}
 
@@ -116,7 +119,7 @@
     result: Result<AgentCallResult, CallError>,
   ): void {
     const status = result.isOk() ? (result.value.response?.status ?? 0) : 0;
-    const failed = result.isErr() || status >= SERVER_ERROR;
+    const failed = result.isErr() || status >= MIN_SERVER_ERROR_STATUS;
     this.deps.failures.recordOutcome({vm, failed});
   }
 
