--- a/src/entry/config/config-activator.ts
+++ b/src/entry/config/config-activator.ts
@@ -12,7 +12,7 @@
 import type {EntryBoard} from '../entry-board.js';
 
 /**
- * Holds the highest version and writes it to the board. A version received
+ * Keeps the highest version and writes it to the board. A version received
  * from a peer is activated only after the platform has responded, or after
  * `INITIAL_PEER_WAIT_MS`, in which several peers can send theirs.
  */
--- a/src/entry/config/config-controller.ts
+++ b/src/entry/config/config-controller.ts
@@ -1,4 +1,4 @@
-/** Connects the components that distribute the configuration to an entry. */
+/** Connects the components that distribute and activate the configuration. */
 import type {Clock, RandomSource} from '../../core/clock/index.js';
 import type {
   ConfigMember,
--- a/src/entry/config/config-election.ts
+++ b/src/entry/config/config-election.ts
@@ -1,4 +1,4 @@
-/** Decides whether this entry watches the platform and which peers it uses. */
+/** Elects the entries that watch the platform, and this entry's peers. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import type {ConfigMember} from '../../core/config/distribution/index.js';
 import {
@@ -19,7 +19,10 @@
 } from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** Periodically elects from the VM list and the peers that are not silent. */
+/**
+ * Repeats the election periodically and when the VM list changes. Silent peers
+ * are excluded from it.
+ */
 export class ConfigElection {
   private timer: TimerHandle | undefined;
   private electedAtMs = 0;
@@ -74,7 +77,10 @@
     peers.setPeers(others.filter(({name}) => chosen.has(name)));
   }
 
-  /** Reads from the platform itself if no watcher confirmed recently. */
+  /**
+   * Reads from the platform itself if no watcher has confirmed the version
+   * recently. The random delay spreads the reads of several entries.
+   */
   private readIfStale(): void {
     const {activator, source, random} = this.options;
     if (activator.ageMs() < CONFIG_STALE_MS) return;
--- a/src/entry/config/config-exchange.ts
+++ b/src/entry/config/config-exchange.ts
@@ -1,4 +1,4 @@
-/** Exchanges configurations, and reports of their versions, between entries. */
+/** Exchanges the configuration with other entries. */
 import type {Clock, TimerHandle} from '../../core/clock/index.js';
 import {ExchangeStep} from '../../core/config/distribution/index.js';
 import type {PeerStatus} from '../../core/edges/index.js';
@@ -18,9 +18,14 @@
   send(message: Message): boolean;
 }
 
-/** Announces this entry's version and responds to those of peers. */
+/**
+ * Announces this entry's version to its subscribers, reports it to its
+ * publishers and responds to the versions that peers send.
+ */
 export class ConfigExchange {
+  /** Peers that receive the configuration from here, with their last report. */
   private readonly subscribers = new Map<ConfigPeer, ConfigReportMessage>();
+  /** Peers from which this entry receives the configuration. */
   private readonly publishers = new Set<ConfigPeer>();
   private timer: TimerHandle | undefined;
 
@@ -74,7 +79,7 @@
     if (step === ExchangeStep.ASK) peer.send(this.createReport());
   }
 
-  /** What the subscribers last reported. */
+  /** Returns the versions that the subscribers last reported. */
   subscriberStatuses(): PeerStatus[] {
     return [...this.subscribers.values()].map((report) => ({
       vm: report.vm,
@@ -112,6 +117,7 @@
     return {type: MessageType.CONFIG, version, value, ageMs};
   }
 
+  /** Creates a message with the version but without the value. */
   private createAnnouncement(): ConfigMessage {
     return {...this.createConfig(), value: null};
   }
--- a/src/entry/config/config-peers.ts
+++ b/src/entry/config/config-peers.ts
@@ -16,7 +16,7 @@
 /** Keeps links to a set of peers and detects which of them are silent. */
 export class ConfigPeers {
   private readonly links = new Map<string, PeerLink>();
-  /** When a peer was last found silent; it is retried later. */
+  /** When a peer was last found silent, by VM name. */
   private readonly silentAtMs = new Map<string, number>();
 
   constructor(
@@ -32,7 +32,7 @@
     for (const {client} of this.links.values()) client.stop();
   }
 
-  /** Peers that were silent within the last `withinMs`. */
+  /** Returns the VMs of peers that were found silent in the last `withinMs`. */
   findSilent(withinMs: number): ReadonlySet<string> {
     const nowMs = this.options.clock.now();
     for (const [vm, {lastReceivedAtMs}] of this.links) {
@@ -66,18 +66,18 @@
   }
 
   private add(record: VmRecord): void {
-    const {exchange, ...rest} = this.options;
+    const {exchange, ...clientOptions} = this.options;
     const peer = {address: record.address, port: record.peerPort};
     const client: PeerClient = new PeerClient({
-      ...rest,
+      ...clientOptions,
       peer,
       listener: {
         onReady: () => {
-          link.lastReceivedAtMs = rest.clock.now();
+          link.lastReceivedAtMs = clientOptions.clock.now();
           exchange.subscribeTo(client);
         },
         onMessage: (message: Message) => {
-          link.lastReceivedAtMs = rest.clock.now();
+          link.lastReceivedAtMs = clientOptions.clock.now();
           if (message.type !== MessageType.CONFIG) return;
           exchange.handleConfig(message, client);
         },
@@ -85,7 +85,11 @@
         onClose: () => exchange.unsubscribeFrom(client),
       },
     });
-    const link: PeerLink = {record, client, lastReceivedAtMs: rest.clock.now()};
+    const link: PeerLink = {
+      record,
+      client,
+      lastReceivedAtMs: clientOptions.clock.now(),
+    };
     this.links.set(record.name, link);
     client.start();
   }
--- a/src/entry/config/config-source.ts
+++ b/src/entry/config/config-source.ts
@@ -1,4 +1,4 @@
-/** Gets the configuration from the platform, by a watch or by single reads. */
+/** Receives the configuration from the platform by a watch or single reads. */
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
 import {CONFIG_OBJECT} from '../../core/config/index.js';
 import type {ObjectStore, WatchHandle} from '../../core/edges/index.js';
@@ -33,7 +33,7 @@
     return this.options.clock.now() - this.readAtMs;
   }
 
-  /** Starts or stops the watch. */
+  /** Starts the watch, with a read before it, or stops the watch. */
   setWatching(watching: boolean): void {
     if (watching === this.watching) return;
     this.watching = watching;
