--- a/src/entry/capacity-controller.ts
+++ b/src/entry/capacity-controller.ts
@@ -104,7 +104,7 @@
 /**
  * Share of the slots that is reserved for resumes. Plain calls are never
  * resumed. A deployment that optimizes for resources leaves no engine idle,
- * so there a resume takes the next free slot.
+ * so it reserves none and a resume takes the next free slot.
  */
 function resumeShareOf(options: {
   service: ServiceConfig;
--- a/src/entry/entry-process.ts
+++ b/src/entry/entry-process.ts
@@ -53,9 +53,9 @@
   readonly logger: Logger;
   readonly store: ObjectStore;
   readonly vmList: VmList;
-  /** Counts responses that are not fully sent to their callers. */
+  /** Counts responses that have not been fully sent to their callers. */
   readonly countPendingResponses: () => number;
-  /** Called when a drain has ended and all work is done. */
+  /** Called when a drain has ended, so that the process can exit. */
   readonly onDrained: () => void;
 }
 
@@ -127,7 +127,7 @@
     });
   }
 
-  /** Handles the requests of callers. */
+  /** Handles the requests of this entry's callers. */
   get callerHandler(): CallerHandler {
     return this.dispatcher;
   }
--- a/src/entry/request-dispatcher.ts
+++ b/src/entry/request-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Serves callers' requests, from the check of the key to the response. */
+/** Serves callers' requests, from authentication to the response. */
 import {createHash} from 'node:crypto';
 
 import type {Result} from 'neverthrow';
@@ -35,7 +35,7 @@
 import type {PlainService} from './calls/plain-service.js';
 import {applyKeyUncertainty} from './calls/key-uncertainty.js';
 
-const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
+const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
 /** Dependencies of the dispatcher. */
 export interface RequestDispatcherOptions {
@@ -59,7 +59,7 @@
 
   constructor(private readonly options: RequestDispatcherOptions) {}
 
-  /** Counts plain calls without a response yet. */
+  /** Returns the number of plain calls and bookings without a response yet. */
   countRunning(): number {
     return this.inFlight;
   }
@@ -131,7 +131,10 @@
     return result;
   }
 
-  /** A retried booking gets its first outcome even if no target is usable. */
+  /**
+   * Handles a call that was not admitted. A booking is run even if no target is
+   * usable: if it is a retry, its caller receives the first outcome.
+   */
   private async handleNoTicket(
     request: ResolvedPlain,
     refusal: Refusal,
@@ -198,7 +201,7 @@
       const detail = `there is no service "${req.service}"`;
       return err(createRefusal(RefusalReason.UNKNOWN_SERVICE, detail));
     }
-    const keyRefusal = checkKey(service, req.idempotencyKey);
+    const keyRefusal = checkIdempotencyKey(service, req.idempotencyKey);
     if (keyRefusal !== undefined) return err(keyRefusal);
     const fingerprint = fingerprintOf({
       clientAccount: clientAccount.name,
@@ -224,13 +227,16 @@
     : TicketOutcome.FAILED;
 }
 
-function checkKey(service: ServiceConfig, key: string): Refusal | undefined {
+function checkIdempotencyKey(
+  service: ServiceConfig,
+  key: string,
+): Refusal | undefined {
   if (service.idempotent) return undefined;
   if (key === '') {
     const detail = 'this service needs an Idempotency-Key';
     return createRefusal(RefusalReason.KEY_MISSING, detail);
   }
-  if (KEY_PATTERN.test(key)) return undefined;
+  if (IDEMPOTENCY_KEY_PATTERN.test(key)) return undefined;
   const detail = 'the Idempotency-Key is 1 to 128 visible ASCII characters';
   return createRefusal(RefusalReason.KEY_INVALID, detail);
 }
