--- a/src/entry/links/agent-link.ts
+++ b/src/entry/links/agent-link.ts
@@ -44,30 +44,34 @@
   private readonly handlers = new Map<string, LinkHandler>();
   private incarnation = '';
   private heartbeat: HeartbeatMessage | undefined;
+  /** When the last message arrived; reset after a pause of this process. */
   private lastReceivedAtMs: number;
   /**
-   * When the link became busy. Idle agents send less often, so silence from
-   * before that does not count against a busy one.
+   * When the link last became busy. Idle agents send less often, so silence
+   * from before that does not count once the link is busy.
    */
   private busySinceMs = 0;
-  private suspected = false;
-  private unlisted = false;
-  private leaveSent = false;
+  private isSuspected = false;
+  private isUnlisted = false;
+  private hasSentLeave = false;
   private readonly busyGaps = new SilenceTimeout(
     BUSY_BOUNDS[RecoveryGoal.LATENCY],
   );
   private readonly idleGaps = new SilenceTimeout(IDLE_BOUNDS);
+  /** Version that is to be sent at `configDueAtMs`. */
   private scheduledConfigVersion = 0;
   private configDueAtMs = 0;
-  /** Incarnation that was connected while the VM list had its VM as live. */
+  /** Incarnation that was connected while the VM list showed its VM as LIVE. */
   private listedLiveIncarnation = '';
-  private hedgeNotified = false;
+  private hasNotifiedHedge = false;
   /** Attempts to cancel once the agent has reconnected. */
   private readonly pendingCancels = new Set<string>();
   private readonly ownCounts = new CountHistory({
     retentionMs: COUNT_RETENTION_MS,
   });
-  private ownAtReport = 0;
+  /** Own requests included in the last heartbeat. */
+  private ownInReport = 0;
+  /** Undefined while the target is not usable. */
   private usableSinceMs: number | undefined;
 
   constructor(
@@ -103,16 +107,16 @@
     this.busyGaps.setBounds(BUSY_BOUNDS[goal]);
   }
 
-  /** Applies the target's present record in the VM list. */
+  /** Applies the target's current record in the VM list. */
   updateRecord(record: VmRecord): void {
     this.record = record;
-    this.unlisted = false;
+    this.isUnlisted = false;
     this.applyListedState();
   }
 
   /** Records that the VM list no longer has this target. */
   markUnlisted(): void {
-    this.unlisted = true;
+    this.isUnlisted = true;
   }
 
   /** Version that the agent holds; 0 for none. */
@@ -127,8 +131,8 @@
     const nowMs = clock.now();
     const latest = config.latest();
     if (this.scheduledConfigVersion !== latest.version) {
-      // Several entries may be about to send it and one is enough, so the
-      // delay is random.
+      // Several entries may be about to send the value and one is enough, so
+      // the delay is random: the later ones find that the agent has it.
       this.scheduledConfigVersion = latest.version;
       this.configDueAtMs = nowMs + random.below(AGENT_CONFIG_JITTER_MS);
     }
@@ -150,13 +154,13 @@
     return this.handlers.size > 0;
   }
 
-  /** Returns the present state of the target as this entry sees it. */
+  /** Returns the current state of the target as this entry sees it. */
   view(): TargetView {
     const {name, dataCentre, service} = this.record;
     const heartbeat = this.heartbeat;
     const draining = this.isDraining();
     const healthy = heartbeat?.phase === TargetPhase.HEALTHY;
-    const connected = this.client.isReady() && !this.suspected;
+    const connected = this.client.isReady() && !this.isSuspected;
     const usable = connected && healthy && !draining;
     return {
       vm: name,
@@ -170,14 +174,14 @@
       waiting: heartbeat?.waiting ?? 0,
       capacity: heartbeat?.capacity ?? 0,
       cachedPrefixes: heartbeat?.cachedPrefixes ?? [],
-      ownInReport: this.ownAtReport,
+      ownInReport: this.ownInReport,
       usableForMs: this.updateUsableForMs(usable),
     };
   }
 
   /** Whether the agent is connected and not suspected to have failed. */
   isConnected(): boolean {
-    return this.client.isReady() && !this.suspected;
+    return this.client.isReady() && !this.isSuspected;
   }
 
   /**
@@ -196,7 +200,10 @@
     return true;
   }
 
-  /** Sends a message that needs no response. */
+  /**
+   * Sends a message that needs no response. If the agent is not connected, a
+   * CANCEL is sent after it has reconnected; other messages are dropped.
+   */
   send(message: Message): void {
     if (this.client.isReady()) {
       this.client.send(message);
@@ -215,21 +222,21 @@
 
   /** Marks the agent as suspected if it has been silent for too long. */
   checkSilence(policy: RecoveryPolicy): void {
-    if (!this.client.isReady() || this.suspected) return;
+    if (!this.client.isReady() || this.isSuspected) return;
     const busy = this.handlers.size > 0;
     const silentMs = this.silentForMs(busy);
     const allowedMs = (busy ? this.busyGaps : this.idleGaps).timeoutMs();
     if (busy) this.notifyHedgeDue(silentMs, allowedMs * policy.hedgeShare);
     if (silentMs <= allowedMs) return;
-    this.suspected = true;
+    this.isSuspected = true;
     this.options.metrics.count(CounterName.TARGETS_SUSPECTED);
     this.failAll(RetryReason.AGENT_SILENT);
   }
 
   /** Notifies the handlers once per silence that a hedged attempt is due. */
   private notifyHedgeDue(silentMs: number, hedgeAfterMs: number): void {
-    if (this.hedgeNotified || silentMs < hedgeAfterMs) return;
-    this.hedgeNotified = true;
+    if (this.hasNotifiedHedge || silentMs < hedgeAfterMs) return;
+    this.hasNotifiedHedge = true;
     for (const handler of [...this.handlers.values()]) handler.onHedgeDue?.();
   }
 
@@ -248,13 +255,13 @@
   onReady(hello: HelloMessage): void {
     this.incarnation = hello.incarnation;
     this.lastReceivedAtMs = this.options.clock.now();
-    this.suspected = false;
-    this.hedgeNotified = false;
+    this.isSuspected = false;
+    this.hasNotifiedHedge = false;
     for (const attemptId of this.pendingCancels) {
       this.client.send({type: MessageType.CANCEL, attemptId});
     }
     this.pendingCancels.clear();
-    this.leaveSent = false;
+    this.hasSentLeave = false;
     this.configDueAtMs = this.options.clock.now();
     this.applyListedState();
   }
@@ -291,14 +298,14 @@
     }
   }
 
-  /** Records a message, which clears a suspicion, and the gap before it. */
+  /** Records that a message arrived, and the gap before it. */
   private recordReceived(): void {
     const nowMs = this.options.clock.now();
     const busy = this.handlers.size > 0;
     (busy ? this.busyGaps : this.idleGaps).recordGap(this.silentForMs(busy));
     this.lastReceivedAtMs = nowMs;
-    this.suspected = false;
-    this.hedgeNotified = false;
+    this.isSuspected = false;
+    this.hasNotifiedHedge = false;
   }
 
   onDrain(): void {
@@ -317,7 +324,7 @@
     const wasDraining = this.heartbeat?.leaving ?? false;
     this.heartbeat = heartbeat;
     const nowMs = this.options.clock.now();
-    this.ownAtReport = this.ownCounts.countAt(nowMs - REPORT_ROUND_TRIP_MS);
+    this.ownInReport = this.ownCounts.countAt(nowMs - REPORT_ROUND_TRIP_MS);
     this.options.metrics.count(CounterName.HEARTBEATS);
     if (heartbeat.leaving) this.sendLeave();
     if (!heartbeat.leaving || wasDraining) return;
@@ -325,14 +332,14 @@
   }
 
   private isDraining(): boolean {
-    const listed = this.record.state === VmState.LIVE && !this.unlisted;
+    const listed = this.record.state === VmState.LIVE && !this.isUnlisted;
     return !listed || (this.heartbeat?.leaving ?? false);
   }
 
   /**
-   * Sends LEAVE to the agent if the VM list has its VM as leaving. The list
+   * Sends LEAVE to the agent if the VM list shows its VM as LEAVING. The list
    * lags, so that record may refer to an earlier process of the VM: only an
-   * incarnation that was connected while its VM was live receives LEAVE.
+   * incarnation that was connected while its VM was LIVE receives LEAVE.
    */
   private applyListedState(): void {
     if (!this.client.isReady()) return;
@@ -343,10 +350,10 @@
     if (this.listedLiveIncarnation === this.incarnation) this.sendLeave();
   }
 
-  /** Promises the agent, once per connection, that no new work follows. */
+  /** Confirms to the agent, once per connection, that no new work follows. */
   private sendLeave(): void {
-    if (this.leaveSent) return;
-    this.leaveSent = true;
+    if (this.hasSentLeave) return;
+    this.hasSentLeave = true;
     this.client.send({type: MessageType.LEAVE});
   }
 
@@ -355,7 +362,7 @@
     this.ownCounts.record({nowMs, count: this.handlers.size});
   }
 
-  /** Updates and returns the time since the target became usable; else 0. */
+  /** Returns for how long the target has been usable; 0 while it is not. */
   private updateUsableForMs(usable: boolean): number {
     const nowMs = this.options.clock.now();
     if (!usable) this.usableSinceMs = undefined;
@@ -370,6 +377,7 @@
     return handler;
   }
 
+  /** Fails all attempts and calls in flight. */
   private failAll(reason: RetryReason): void {
     const handlers = [...this.handlers.values()];
     this.handlers.clear();
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -1,4 +1,4 @@
-/** Keeps a link to each target of the VM list. */
+/** Keeps the links of this entry to the agents of targets. */
 import type {Maybe} from 'purify-ts';
 
 import type {Clock, RandomSource, TimerHandle} from '../../core/clock/index.js';
@@ -17,11 +17,16 @@
 import {PAUSE_DETECTION_MS, LINK_PIN_MS, SILENCE_CHECK_MS} from '../consts.js';
 import type {EntryBoard} from '../entry-board.js';
 
-/** Updates the links from the VM list and checks each of them for silence. */
+/**
+ * Updates the links from the VM list and checks each of them for silence. An
+ * entry has links to a subset of the targets, and to others while it needs
+ * them.
+ */
 export class AgentLinks {
   private readonly links = new Map<string, AgentLink>();
   /** Links to former addresses of a VM, kept until their work has ended. */
   private readonly retired = new Set<AgentLink>();
+  /** Until when links outside the subset are kept, by VM name. */
   private readonly pinnedUntilMs = new Map<string, number>();
   private readonly timers: TimerHandle[] = [];
   private checkedAtMs = 0;
@@ -59,11 +64,15 @@
     for (const link of this.retired) link.stop();
   }
 
+  /**
+   * Returns the link to a target. For a target outside the subset, it is opened
+   * and may not be connected yet; undefined if the VM list lacks the target.
+   */
   find(vm: string): AgentLink | undefined {
     return this.links.get(vm) ?? this.pin(vm);
   }
 
-  /** The states of the targets, for the status document. */
+  /** Returns the states of the targets, for the status document. */
   statuses(): PeerStatus[] {
     return [...this.links.values()].map((link) => {
       const view = link.view();
@@ -73,12 +82,12 @@
     });
   }
 
-  /** The views of all targets. */
+  /** Returns the views of all targets with a link. */
   views(): TargetView[] {
     return [...this.links.values()].map((link) => link.view());
   }
 
-  /** The recovery policy of the active configuration. */
+  /** Returns the recovery policy of the active configuration. */
   policy(): RecoveryPolicy {
     return resolveRecoveryPolicy(
       this.recoveryGoal().orDefault(RecoveryGoal.LATENCY),
@@ -100,7 +109,7 @@
     }
     for (const [name, link] of this.links) {
       if (names.has(name)) continue;
-      // Its running work may finish, but it receives no new work.
+      // While it is connected, its work may finish but it receives no new work.
       link.markUnlisted();
       if (link.isConnected()) continue;
       link.stop();
@@ -137,7 +146,10 @@
     this.links.delete(vm);
   }
 
-  /** Opens a link outside the subset, to a target with a claim or an output. */
+  /**
+   * Opens a link to a target outside the subset, named by a claim or an event
+   * ID, and keeps it for `LINK_PIN_MS`.
+   */
   private pin(vm: string): AgentLink | undefined {
     const record = this.options.board.vms
       .get()
--- a/src/entry/links/link-handler.ts
+++ b/src/entry/links/link-handler.ts
@@ -1,4 +1,4 @@
-/** Callbacks of a link to an agent, and the configuration it exchanges. */
+/** Callbacks of a link to an agent, and the configuration that it sends. */
 import type {ConfigUpdate} from '../../core/config/distribution/index.js';
 import type {RetryReason} from '../../core/errors/index.js';
 import type {
@@ -31,7 +31,10 @@
 
 /** The configuration that an entry exchanges with its agents. */
 export interface AgentConfigSource {
+  /** The highest version that this entry holds. */
   latest(): ConfigUpdate;
+  /** Time since the platform last confirmed it, in milliseconds. */
   ageMs(): number;
+  /** Handles the version that an agent sent. */
   receiveFromAgent(update: ConfigUpdate, ageMs: number): void;
 }
--- a/src/entry/links/own-vm-watch.ts
+++ b/src/entry/links/own-vm-watch.ts
@@ -1,4 +1,4 @@
-/** Starts the drain of an entry when the VM list has its VM as leaving. */
+/** Starts the drain of an entry when the VM list shows its VM as LEAVING. */
 import type {VmRecord} from '../../core/edges/index.js';
 import {VmState} from '../../core/edges/index.js';
 import type {EntryBoard} from '../entry-board.js';
@@ -6,7 +6,7 @@
 /**
  * Watches the record of the entry's own VM. The list lags and may still show
  * an earlier process of the same VM, so the drain starts only if the VM was
- * listed as live before in this process's lifetime.
+ * listed as LIVE before in this process's lifetime.
  */
 export class OwnVmWatch {
   private wasLive = false;
