--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -28,7 +28,7 @@
 /** Period at which unread outputs are removed, in milliseconds. */
 export const OUTPUT_SWEEP_PERIOD_MS = 1_000;
 
-/** Maximum tokens that a reader returns in one part. */
+/** Maximum number of tokens that a reader returns in one part. */
 export const MAX_TOKENS_PER_PART = 256;
 
 /** Retry delay that refusals send to callers, in milliseconds. */
@@ -40,7 +40,7 @@
  */
 export const CONFIG_RETRY_MS = 500;
 
-/** Maximum cancellations that a link keeps for a disconnected agent. */
+/** Maximum number of cancellations kept for a disconnected agent. */
 export const MAX_PENDING_CANCELS = 1_000;
 
 /** Bounds of the wait before a key query is retried, in milliseconds. */
--- a/src/entry/generation/attempt-history.ts
+++ b/src/entry/generation/attempt-history.ts
@@ -3,17 +3,18 @@
 import {MAX_ATTEMPTS_WITHOUT_PROGRESS} from '../consts.js';
 import {SUSPECT_SHARING_DELAY_MS} from './consts.js';
 
-/** Records which targets lost or refused attempts, and the crashes. */
+/** Records which targets lost or refused attempts, and the engine crashes. */
 export class AttemptHistory {
   /** Targets on which attempts were lost. */
   readonly lostOn: string[] = [];
   /** Targets that refused since the last token or wait. */
   refusedBy: string[] = [];
-  /** IDs of engine crashes whose cause is not known yet. */
+  /** IDs of engine crashes that ended an attempt, with no known cause yet. */
   crashes: string[] = [];
   /** Whether an attempt was admitted and then lost. */
   hasLostAttempt = false;
   private withoutProgressCount = 0;
+  /** When an attempt was first refused after a crash; undefined if never. */
   private refusedAsSuspectSinceMs: number | undefined;
 
   constructor(private readonly options: {now: () => number}) {}
@@ -55,8 +56,9 @@
   }
 
   /**
-   * Whether the attempt may run beside another request involved in a crash:
-   * its first refusal after a crash is `SUSPECT_SHARING_DELAY_MS` ago.
+   * Whether the next attempt may run beside another request involved in the
+   * same crash: its first refusal after a crash is at least
+   * `SUSPECT_SHARING_DELAY_MS` ago.
    */
   mayShare(): boolean {
     if (this.refusedAsSuspectSinceMs === undefined) return false;
--- a/src/entry/generation/attempt-link.ts
+++ b/src/entry/generation/attempt-link.ts
@@ -2,7 +2,7 @@
 import type {Message} from '../../core/protocol/index.js';
 import type {LinkHandler} from '../links/link-handler.js';
 
-/** A link that serves one or many attempts. */
+/** A link that carries the messages of one or several attempts. */
 export interface AttemptLink {
   readonly vm: string;
   /** Sends the first message; returns false if nothing was sent. */
--- a/src/entry/generation/attempt-messages.ts
+++ b/src/entry/generation/attempt-messages.ts
@@ -47,12 +47,12 @@
   };
 }
 
-/** Joins the two columns of a message into tokens. */
+/** Combines the token IDs and texts of a message into tokens. */
 export function readTokens({ids, texts}: TokensMessage): Token[] {
   return ids.map((id, i) => ({id, text: texts[i] ?? ''}));
 }
 
-/** Drops an attempt's later messages and cancels it at its agent. */
+/** Cancels an attempt at its agent; its later messages are dropped. */
 export function cancelAttempt({link, location}: OpenAttempt): void {
   const {attemptId} = location;
   link.release(attemptId);
--- a/src/entry/generation/choose-target.ts
+++ b/src/entry/generation/choose-target.ts
@@ -11,7 +11,7 @@
   readonly service: string;
   readonly dataCentre: string;
   readonly prompt: string;
-  /** Targets on which attempts were lost; reused only if no other is left. */
+  /** Targets on which attempts were lost; chosen only if no other is usable. */
   readonly lostOn: readonly string[];
   /** Targets that refused recently; never chosen. */
   readonly refusedBy: readonly string[];
@@ -27,7 +27,7 @@
   readonly policy: RecoveryPolicy;
 }
 
-/** Creates the options of a choice from the present state of a run. */
+/** Creates the options of a choice from the current state of a run. */
 export function createChoice(options: {
   task: GenerationTask;
   deps: GenerationDeps;
@@ -67,16 +67,17 @@
       .extract();
   const excluded = [...lostOn, ...refusedBy];
   if (policy.prefersCached && query.isResume) {
-    const cached = targets.filter((t) => isIdleWith(t, prefix));
+    const cached = targets.filter((t) => isIdleWithCachedPrefix(t, prefix));
     const found = choose(excluded, cached);
     if (found !== undefined) return found;
   }
-  // If all targets were tried, reuse one on which an attempt was lost.
+  // If no untried target is usable, one that lost an attempt is reused.
   return choose(excluded, targets) ?? choose(refusedBy, targets);
 }
 
 /**
- * Chooses an idle, untried target for a hedged attempt.
+ * Chooses an idle, untried target for a hedged attempt; undefined if there is
+ * none.
  *
  * @example
  * chooseIdleTarget({query, targets, chooser, policy});
@@ -92,7 +93,7 @@
   return tried ? undefined : found;
 }
 
-function isIdleWith(target: TargetView, prefix: string): boolean {
+function isIdleWithCachedPrefix(target: TargetView, prefix: string): boolean {
   return target.cachedPrefixes.includes(prefix) && isIdle(target);
 }
 
--- a/src/entry/generation/consts.ts
+++ b/src/entry/generation/consts.ts
@@ -1,13 +1,16 @@
-/** Silence after which a read from another entry fails, in milliseconds. */
+/**
+ * Silence after which reading an output from another entry fails, in
+ * milliseconds.
+ */
 export const REMOTE_OUTPUT_TIMEOUT_MS = 800;
 
-/** Keepalive period of an entry that sends an output, in milliseconds. */
+/** Keepalive period while an output is sent to another entry, in ms. */
 export const OUTPUT_KEEPALIVE_MS = 100;
 
-/** Most tokens in one message between entries. */
+/** Maximum number of tokens in one message between entries. */
 export const MAX_TOKENS_PER_MESSAGE = 1_024;
 
-/** Wait before moving off a draining target is retried, in milliseconds. */
+/** Wait before a move off a draining target is retried, in milliseconds. */
 export const MIGRATION_RETRY_MS = 250;
 
 /**
@@ -19,5 +22,8 @@
 /** Share of its capacity below which a target counts as idle. */
 export const IDLE_SHARE = 0.5;
 
-/** Wait before the quarantine is listed again, in milliseconds. */
+/**
+ * Wait after a failure before the quarantine is listed again or a record is
+ * written again, in milliseconds.
+ */
 export const QUARANTINE_RETRY_MS = 1_000;
--- a/src/entry/generation/generation-run.ts
+++ b/src/entry/generation/generation-run.ts
@@ -50,10 +50,12 @@
   private current: OpenAttempt | undefined;
   /** A second attempt beside a silent one; the first to respond is kept. */
   private hedge: OpenAttempt | undefined;
+  /** Sources of the output so far that have not been tried yet. */
   private sources: OutputSource[] = [];
   private readonly assembly: Assembly;
   private readonly history: AttemptHistory;
-  private started = false;
+  /** Whether part of the generation may have run. */
+  private mayHaveRun = false;
   private retryTimer: TimerHandle | undefined;
   private readonly deadlineTimer: TimerHandle;
   private readonly meter: TokenMeter;
@@ -73,13 +75,13 @@
     this.outcomes = new TargetOutcomes(deps.failures);
     this.deadlineTimer = clock.schedule({
       delayMs: Math.max(0, task.deadlineAtMs - clock.now()),
-      run: () => this.fail(refusals.deadlineExceeded(this.started)),
+      run: () => this.fail(refusals.deadlineExceeded(this.mayHaveRun)),
     });
   }
 
   /** Starts the first attempt, or the next one after a loss. */
   start(): void {
-    if (this.isEnded() || this.finishIfKnown()) return;
+    if (this.isEnded() || this.finishIfComplete()) return;
     const target = chooseTarget(this.createChoice());
     const attempt = target && this.createAttempt(target);
     if (attempt === undefined) {
@@ -92,13 +94,13 @@
       this.handleLost(attemptId, RetryReason.AGENT_GONE);
   }
 
-  /** Resumes an output that others hold, from the first usable source. */
+  /** Resumes an output from the first usable source, or else starts over. */
   resumeFrom(sources: readonly OutputSource[]): void {
     this.sources = [...sources];
     this.attachToNextSource();
   }
 
-  /** Cancels the attempts of an output that is no longer read. */
+  /** Ends the run because its output is no longer needed. */
   abandon(): void {
     if (this.isEnded()) return;
     this.cancelAttempts();
@@ -106,7 +108,7 @@
     this.finish();
   }
 
-  /** Handles a newly quarantined request, which may be this one. */
+  /** Handles a request that was just quarantined, which may be this one. */
   handlePoisonRequest(
     poisonFingerprint: string,
     record: QuarantineRecord,
@@ -121,8 +123,8 @@
   private attachToNextSource(): void {
     const source = this.sources.shift();
     if (source === undefined) {
-      // No source has the caller's tokens: it must discard them, because
-      // tokens of another attempt may differ.
+      // No source has the tokens that the caller received. It must discard
+      // them, because the tokens of another attempt may differ.
       this.output.restartReadersAhead();
       this.start();
       return;
@@ -130,7 +132,7 @@
     const {link, location, position} = source;
     const {attemptId} = location;
     this.current = source;
-    this.started = true;
+    this.mayHaveRun = true;
     this.output.resetLineage(location);
     this.assembly.begin(attemptId);
     const message = createAttach(this.task, {attemptId, position});
@@ -164,7 +166,7 @@
     });
     const handler = this.createHandler(attemptId);
     const opened = link.open({id: attemptId, message, handler});
-    this.started ||= opened;
+    this.mayHaveRun ||= opened;
     this.meter.recordPlacement();
     return opened;
   }
@@ -306,7 +308,7 @@
     this.start();
   }
 
-  /** Moves off a draining target as soon as another one is usable. */
+  /** Moves the generation off a draining target once another is usable. */
   private migrate(attemptId: string): void {
     if (this.isEnded() || attemptId !== this.assembly.attemptId) return;
     if (chooseTarget(this.createChoice()) !== undefined) {
@@ -370,7 +372,8 @@
     return createChoice({task, deps, history, isResume});
   }
 
-  private finishIfKnown(): boolean {
+  /** Finishes without another attempt if the tokens so far are complete. */
+  private finishIfComplete(): boolean {
     const tokens = this.output.log.slice({from: 0});
     const {spec} = this.task;
     const reason = detectFinish({spec, tokens});
--- a/src/entry/generation/generation-service.ts
+++ b/src/entry/generation/generation-service.ts
@@ -37,7 +37,7 @@
 } from './run-types.js';
 import {GenerationRun} from './generation-run.js';
 
-/** A request with its client account and service. */
+/** A generation request with its client account and service. */
 export interface ResolvedGeneration {
   readonly req: GenerationReq;
   readonly clientAccount: ClientAccountConfig;
@@ -49,7 +49,7 @@
   readonly run: GenerationRun;
 }
 
-/** Holds the buffered outputs of this entry's generations. */
+/** Starts, finds and removes the generations of this entry. */
 export class GenerationService {
   private readonly generations = new Map<string, ActiveGeneration>();
   private sweeper: TimerHandle | undefined;
@@ -85,7 +85,7 @@
     this.sweeper?.cancel();
   }
 
-  /** Counts the generations whose output a caller or another entry reads. */
+  /** Counts the generations that a caller or another entry reads. */
   countRunning(): number {
     let running = 0;
     for (const {output} of this.generations.values()) {
@@ -106,6 +106,10 @@
       .asyncAndThen((id) => this.resume(request, id));
   }
 
+  /**
+   * Starts a generation from the first token. `restarted` means that the caller
+   * wanted to resume an output that was not found.
+   */
   private begin(
     request: ResolvedGeneration,
     restarted: boolean,
@@ -141,7 +145,7 @@
     return this.takeOver(request, task, id);
   }
 
-  /** Resumes an output that an agent or another entry holds. */
+  /** Resumes an output that an agent or another entry has, or starts over. */
   private takeOver(
     request: ResolvedGeneration,
     task: GenerationTask,
@@ -160,7 +164,10 @@
     });
   }
 
-  /** The agent that runs the attempt, then the entry that has its output. */
+  /**
+   * Returns the agent that runs the attempt and the entry that buffers its
+   * output, in the order in which they are tried.
+   */
   private findSources(id: EventId): OutputSource[] {
     const {deps, hello, board} = this.options;
     const {clock} = deps;
@@ -245,6 +252,7 @@
     };
   }
 
+  /** Ends and removes the generations that were not read for too long. */
   private sweep(): void {
     for (const [id, {output, run}] of this.generations) {
       if (output.unreadForMs() <= OUTPUT_RETENTION_MS) continue;
--- a/src/entry/generation/may-retry-refused.ts
+++ b/src/entry/generation/may-retry-refused.ts
@@ -1,11 +1,12 @@
-/** Whether a refused first attempt may be retried at another target. */
+/** Decides whether a refused first attempt is retried at another target. */
 import {RefusalReason} from '../../core/errors/index.js';
 import type {RefusedMessage} from '../../core/protocol/index.js';
 import type {GenerationTask, GenerationDeps} from './run-types.js';
 
 /**
- * Takes a retry from the service's budget. A refusal by a draining target is
- * free, as each such target refuses a request only once.
+ * Returns whether a refused first attempt may be retried, and takes the retry
+ * from the service's budget. A refusal by a draining target is free, as each
+ * such target refuses a request only once.
  */
 export function mayRetryRefused(options: {
   message: RefusedMessage;
--- a/src/entry/generation/output-buffer-server.ts
+++ b/src/entry/generation/output-buffer-server.ts
@@ -64,10 +64,11 @@
   }
 }
 
-/** Sends one buffer and its lineage, and keeps the position sent so far. */
+/** Sends one buffer and its lineage to one entry, from the first token. */
 class OutputBufferSender {
   private position = 0;
-  private sentSteps = 0;
+  /** Number of lineage steps that were sent. */
+  private sentStepCount = 0;
   private closed = false;
   private readonly unsubscribe: () => void;
   private readonly timer: TimerHandle;
@@ -120,15 +121,15 @@
 
   /** Position before which all tokens belong to the lineage step sent last. */
   private currentStepEnd(): number {
-    const next = this.options.buffer.lineageSteps()[this.sentSteps];
+    const next = this.options.buffer.lineageSteps()[this.sentStepCount];
     return next?.beginPosition ?? Number.POSITIVE_INFINITY;
   }
 
   private sendLineage(): void {
     const {buffer, connection, attemptId} = this.options;
-    for (const step of buffer.lineageSteps().slice(this.sentSteps)) {
+    for (const step of buffer.lineageSteps().slice(this.sentStepCount)) {
       if (step.beginPosition > this.position) return;
-      this.sentSteps++;
+      this.sentStepCount++;
       const {location, beginPosition: position} = step;
       const {attemptId: writerId, agentVm, agentIncarnation} = location;
       const type = MessageType.LINEAGE;
--- a/src/entry/generation/output-buffer.ts
+++ b/src/entry/generation/output-buffer.ts
@@ -10,7 +10,7 @@
 } from '../../core/generation/index.js';
 import {MAX_TOKENS_PER_PART} from '../consts.js';
 
-/** The agent incarnation at which an attempt runs. */
+/** An attempt and the agent incarnation that runs it. */
 export interface AttemptLocation {
   readonly attemptId: string;
   readonly agentVm: string;
@@ -56,7 +56,7 @@
     return this.failure;
   }
 
-  /** The attempt that writes at present. */
+  /** The attempt that generates the next tokens; undefined before the first. */
   get location(): AttemptLocation | undefined {
     return this.lineage.at(-1)?.location;
   }
@@ -67,6 +67,7 @@
     return inUse ? 0 : this.options.now() - this.unreadSinceMs;
   }
 
+  /** Whether the output is of the same account and request. */
   belongsTo(owner: {clientAccount: string; fingerprint: string}): boolean {
     return (
       owner.clientAccount === this.options.clientAccount &&
@@ -113,7 +114,10 @@
     return [...this.readers].some((reader) => reader.isAhead());
   }
 
-  /** Restarts the readers beyond the end; their callers must discard. */
+  /**
+   * Restarts the readers beyond the end. Their callers must discard the tokens
+   * that they received before.
+   */
   restartReadersAhead(): void {
     for (const reader of this.readers) {
       if (reader.isAhead()) reader.restart();
@@ -207,7 +211,10 @@
     return this.isRestarted;
   }
 
-  /** True only before the first part is read, as the buffer never shrinks. */
+  /**
+   * Whether the position is beyond the end of the buffer. This is possible only
+   * before the first part is read, as the buffer never shrinks.
+   */
   isAhead(): boolean {
     return this.position > this.options.buffer.log.length;
   }
--- a/src/entry/generation/quarantine-sync.ts
+++ b/src/entry/generation/quarantine-sync.ts
@@ -78,7 +78,10 @@
     );
   }
 
-  /** Retries until the store has the record, also after a lost response. */
+  /**
+   * Writes a record, with retries until the store has it. EXISTS means that it
+   * was written before, perhaps by a write whose response was lost.
+   */
   private upload(name: string, record: QuarantineRecord): void {
     if (this.closed) return;
     void this.options.store.create({kind: KIND, name, value: record}).match(
--- a/src/entry/generation/run-refusals.ts
+++ b/src/entry/generation/run-refusals.ts
@@ -35,7 +35,7 @@
   return {reason: RefusalReason.POISON, ran: Executed.NO, detail};
 }
 
-/** The output has no reader any more, or was replaced by another buffer. */
+/** The output was not read for too long, or was replaced by another buffer. */
 export function outputDiscarded(): Refusal {
   const detail = 'the answer is no longer kept here';
   return {reason: RefusalReason.ANSWER_LOST, ran: Executed.UNKNOWN, detail};
--- a/src/entry/generation/run-types.ts
+++ b/src/entry/generation/run-types.ts
@@ -13,6 +13,7 @@
 export interface GenerationTask {
   readonly requestId: string;
   readonly clientAccount: string;
+  /** Fingerprint of the client account and the parameters. */
   readonly fingerprint: string;
   /** Fingerprint of what can crash an engine: account, model and prompt. */
   readonly poisonFingerprint: string;
@@ -23,7 +24,7 @@
   readonly deadlineAtMs: number;
 }
 
-/** What a run uses of its entry. */
+/** Dependencies of the generations of an entry. */
 export interface GenerationDeps {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -46,6 +47,9 @@
 export interface OutputSource {
   readonly link: AttemptLink;
   readonly location: AttemptLocation;
-  /** At an agent, the position to send from; at an entry, the least length. */
+  /**
+   * For an agent, the position from which it sends tokens. An entry sends all
+   * tokens, but only if its buffer has at least this many.
+   */
   readonly position: number;
 }
--- a/src/entry/generation/target-outcomes.ts
+++ b/src/entry/generation/target-outcomes.ts
@@ -1,8 +1,11 @@
-/** Reports the outcomes of attempts at their targets to the routing. */
+/** Reports the outcomes of attempts to the outlier detector. */
 import type {OutlierDetector} from '../../core/routing/index.js';
 import type {OpenAttempt} from './run-types.js';
 
-/** Counts each attempt once, by its first tokens or its failure before any. */
+/**
+ * Records each attempt once: as served when its first tokens arrive, or as
+ * failed if it fails before.
+ */
 export class TargetOutcomes {
   private recordedAttemptId = '';
 
--- a/src/entry/generation/token-meter.ts
+++ b/src/entry/generation/token-meter.ts
@@ -14,7 +14,10 @@
     this.lastTokenAtMs = options.clock.now();
   }
 
-  /** Records that the attempt was lost; the first of several losses counts. */
+  /**
+   * Records that the attempt was lost, or that a hedged attempt was started
+   * because it is silent. The first of several losses counts.
+   */
   recordLoss(): void {
     this.lostAtMs ??= this.options.clock.now();
   }
