--- a/src/entry/config/config-activator.ts
+++ b/src/entry/config/config-activator.ts
@@ -18,7 +18,7 @@
  */
 export class ConfigActivator {
   readonly holder = new ConfigHolder();
-  private activationAllowed = false;
+  private isActivationAllowed = false;
   private timer: TimerHandle | undefined;
 
   constructor(
@@ -60,7 +60,7 @@
   receiveFromPeer(update: ConfigUpdate, ageMs: number): void {
     const isNew = this.holder.offer(update);
     if (update.version >= this.holder.version) this.recordConfirmation(ageMs);
-    if (isNew && this.activationAllowed) this.activate();
+    if (isNew && this.isActivationAllowed) this.activate();
   }
 
   /** Records that the platform confirmed the held version `ageMs` ago. */
@@ -73,8 +73,8 @@
   }
 
   private allowActivation(): void {
-    if (this.activationAllowed) return;
-    this.activationAllowed = true;
+    if (this.isActivationAllowed) return;
+    this.isActivationAllowed = true;
     this.timer?.cancel();
     this.activate();
   }
--- a/src/entry/config/config-source.ts
+++ b/src/entry/config/config-source.ts
@@ -9,10 +9,10 @@
 export class ConfigSource {
   private watch: WatchHandle | undefined;
   private retryTimer: TimerHandle | undefined;
-  private watching = false;
-  private reading = false;
+  private isWatching = false;
+  private isReading = false;
   private readAtMs = Number.NEGATIVE_INFINITY;
-  private stopped = false;
+  private isStopped = false;
 
   constructor(
     private readonly options: {
@@ -24,7 +24,7 @@
   ) {}
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.stopWatch();
   }
 
@@ -35,17 +35,17 @@
 
   /** Starts the watch, with a read before it, or stops the watch. */
   setWatching(watching: boolean): void {
-    if (watching === this.watching) return;
-    this.watching = watching;
+    if (watching === this.isWatching) return;
+    this.isWatching = watching;
     if (watching) this.refresh();
     else this.stopWatch();
   }
 
   /** Reads once, and then watches from that version if elected. */
   refresh(): void {
-    if (this.reading || this.stopped) return;
+    if (this.isReading || this.isStopped) return;
     const {clock, store} = this.options;
-    this.reading = true;
+    this.isReading = true;
     this.readAtMs = clock.now();
     void store
       .read(CONFIG_OBJECT)
@@ -59,12 +59,12 @@
         () => this.retry(),
       )
       .then(() => {
-        this.reading = false;
+        this.isReading = false;
       });
   }
 
   private startWatch(since: number): void {
-    if (!this.watching || this.stopped) return;
+    if (!this.isWatching || this.isStopped) return;
     this.stopWatch();
     this.watch = this.options.store.watch({
       kind: CONFIG_OBJECT.kind,
@@ -81,7 +81,7 @@
   }
 
   private retry(): void {
-    if (!this.watching || this.stopped) return;
+    if (!this.isWatching || this.isStopped) return;
     const {clock, random} = this.options;
     this.retryTimer?.cancel();
     this.retryTimer = clock.schedule({
--- a/src/entry/generation/output-buffer-server.ts
+++ b/src/entry/generation/output-buffer-server.ts
@@ -69,7 +69,7 @@
   private position = 0;
   /** Number of lineage steps that were sent. */
   private sentStepCount = 0;
-  private closed = false;
+  private isClosed = false;
   private readonly unsubscribe: () => void;
   private readonly timer: TimerHandle;
   private readonly releaseBuffer: () => void;
@@ -94,8 +94,8 @@
   }
 
   close(): void {
-    if (this.closed) return;
-    this.closed = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.timer.cancel();
     this.unsubscribe();
     this.releaseBuffer();
@@ -103,12 +103,12 @@
 
   private sendKeepalive(): void {
     this.flush();
-    if (!this.closed) this.sendTokens(0);
+    if (!this.isClosed) this.sendTokens(0);
   }
 
   private flush(): void {
     const {buffer, connection} = this.options;
-    if (this.closed || connection.isClosed()) return this.close();
+    if (this.isClosed || connection.isClosed()) return this.close();
     for (;;) {
       if (connection.isCongested()) return;
       this.sendLineage();
--- a/src/entry/generation/output-buffer.ts
+++ b/src/entry/generation/output-buffer.ts
@@ -189,7 +189,7 @@
   readonly requestId: string;
   private isRestarted: boolean;
   private position: number;
-  private closed = false;
+  private isClosed = false;
   private wake: (() => void) | undefined;
   private readonly unsubscribe: () => void;
 
@@ -227,7 +227,7 @@
 
   async next(): Promise<OutputPart> {
     for (;;) {
-      if (this.closed) return CLOSED_PART;
+      if (this.isClosed) return CLOSED_PART;
       const part = this.takePart();
       if (part !== undefined) return part;
       await new Promise<void>((resolve) => {
@@ -237,8 +237,8 @@
   }
 
   close(): void {
-    if (this.closed) return;
-    this.closed = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.unsubscribe();
     this.wake?.();
     this.options.onClose();
--- a/src/entry/generation/quarantine-sync.ts
+++ b/src/entry/generation/quarantine-sync.ts
@@ -16,7 +16,7 @@
 /** Keeps this entry's quarantine and the store in sync. */
 export class QuarantineSync {
   private handle: WatchHandle | undefined;
-  private closed = false;
+  private isClosed = false;
   private readonly timers = new Set<TimerHandle>();
   /** Fingerprints that the store is known to hold. */
   private readonly stored = new Set<string>();
@@ -41,13 +41,13 @@
   }
 
   close(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.handle?.close();
     for (const timer of this.timers) timer.cancel();
   }
 
   private load(): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     void this.options.store.list({kind: KIND}).match(
       (objects) => this.applyList(objects),
       () => this.scheduleRetry(() => this.load()),
@@ -57,7 +57,7 @@
   private applyList(objects: readonly StoredObject[]): void {
     for (const {name, value} of objects) this.applyObject(name, value);
     const since = Math.max(0, ...objects.map((object) => object.version));
-    if (this.closed) return;
+    if (this.isClosed) return;
     this.handle = this.options.store.watch({
       kind: KIND,
       since,
@@ -83,7 +83,7 @@
    * was written before, perhaps by a write whose response was lost.
    */
   private upload(name: string, record: QuarantineRecord): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     void this.options.store.create({kind: KIND, name, value: record}).match(
       () => void this.stored.add(name),
       (err) => {
@@ -94,7 +94,7 @@
   }
 
   private scheduleRetry(run: () => void): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     const timer = this.options.clock.schedule({
       delayMs: QUARANTINE_RETRY_MS,
       run: () => {
--- a/src/entry/generation/run-refusals.ts
+++ b/src/entry/generation/run-refusals.ts
@@ -4,10 +4,10 @@
 import {RETRY_AFTER_MS} from '../consts.js';
 
 /** The deadline passed before the output was complete. */
-export function deadlineExceeded(started: boolean): Refusal {
+export function deadlineExceeded(mayHaveRun: boolean): Refusal {
   return {
     reason: RefusalReason.DEADLINE_EXCEEDED,
-    ran: started ? Executed.UNKNOWN : Executed.NO,
+    ran: mayHaveRun ? Executed.UNKNOWN : Executed.NO,
     detail: 'the answer was not whole in time',
     retryAfterMs: RETRY_AFTER_MS,
   };
--- a/src/entry/links/vm-directory.ts
+++ b/src/entry/links/vm-directory.ts
@@ -8,7 +8,7 @@
 /** Reads the list periodically and keeps the last one that was read. */
 export class VmDirectory {
   private timer: TimerHandle | undefined;
-  private reading = false;
+  private isReading = false;
 
   constructor(
     private readonly options: {
@@ -40,8 +40,8 @@
   }
 
   private refresh(): void {
-    if (this.reading) return;
-    this.reading = true;
+    if (this.isReading) return;
+    this.isReading = true;
     void this.options.vmList
       .read()
       .match(
@@ -50,7 +50,7 @@
         () => undefined,
       )
       .then(() => {
-        this.reading = false;
+        this.isReading = false;
       });
   }
 }
