--- a/src/agent/agent-board.ts
+++ b/src/agent/agent-board.ts
@@ -3,10 +3,15 @@
 
 /** Last report of the target. */
 export interface TargetReport {
+  /** Requests that the target runs. */
   readonly running: number;
+  /** Requests that wait at the target. */
   readonly waiting: number;
+  /** Requests that it can run concurrently; 0 if unknown. */
   readonly capacity: number;
+  /** Id of the engine process; empty for a plain service. */
   readonly instance: string;
+  /** Fingerprints of cached prompt prefixes; empty for a plain service. */
   readonly cachedPrefixes: readonly string[];
 }
 
@@ -20,8 +25,10 @@
 
 /** The shared state of an agent. */
 export class AgentBoard {
+  /** State of the target according to the probes. */
   readonly phase = new Cell<TargetPhase>(TargetPhase.DOWN);
   readonly report = new Cell<TargetReport>(NO_REPORT);
   readonly draining = new Cell(false);
+  /** Highest configuration version received; 0 for none. */
   readonly configVersion = new Cell(0);
 }
--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -33,7 +33,7 @@
 import {KeyTable} from './key-table.js';
 import {OutcomeRecorder} from './outcome-recorder.js';
 
-/** Driver of the target; either an engine or a plain service. */
+/** Driver of the target: exactly one of an engine and a plain service. */
 export interface TargetDrivers {
   readonly engine?: EngineDriver;
   readonly service?: ServiceDriver;
@@ -48,7 +48,7 @@
   readonly logger: Logger;
   readonly drivers: TargetDrivers;
   readonly store: ObjectStore;
-  /** Called when a drain has ended and all work is done. */
+  /** Called when a drain has ended, so that the process can exit. */
   readonly onDrained: () => void;
 }
 
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Work in progress, including outcomes that are not recorded yet. */
+  /** Counts attempts and calls, and unrecorded outcomes as one more. */
   private countUnfinished(): number {
     return this.countRunning() + (this.recorder.isIdle() ? 0 : 1);
   }
@@ -220,7 +220,8 @@
 function createProbe(drivers: TargetDrivers): TargetProbe {
   if (drivers.engine !== undefined) return drivers.engine;
   const {service} = drivers;
-  if (service === undefined) throw new Error('an agent needs a target');
+  if (service === undefined)
+    throw new Error('agent has no target: no engine or service driver');
   return {
     probe: (options) =>
       service.probe(options).map((report) => ({
--- a/src/agent/attempt-reader.ts
+++ b/src/agent/attempt-reader.ts
@@ -10,7 +10,7 @@
 /** A cursor into a journal; pauses while the connection is congested. */
 export class AttemptReader {
   private readonly unsubscribe: () => void;
-  private flushScheduled = false;
+  private isFlushScheduled = false;
   private isClosed = false;
 
   constructor(
@@ -29,7 +29,7 @@
 
   /** Sends new tokens until the connection is congested. */
   flush(): void {
-    this.flushScheduled = false;
+    this.isFlushScheduled = false;
     if (this.isClosed) return;
     const {attempt, connection} = this.options;
     while (this.position < attempt.journal.length) {
@@ -41,7 +41,7 @@
     this.close();
   }
 
-  /** Stops sending. */
+  /** Stops sending; the attempt continues. */
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
@@ -51,8 +51,8 @@
   }
 
   private schedule(): void {
-    if (this.flushScheduled) return;
-    this.flushScheduled = true;
+    if (this.isFlushScheduled) return;
+    this.isFlushScheduled = true;
     setImmediate(() => this.flush());
   }
 
@@ -72,6 +72,7 @@
     this.position += tokens.length;
   }
 
+  /** Creates the message for the end or the failure of the attempt. */
   private createLastMessage(): Message {
     const {attempt} = this.options;
     const attemptId = attempt.request.attemptId;
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -1,4 +1,4 @@
-/** Attempts of an agent, kept from their start to the end of retention. */
+/** The attempts of an agent, which are kept for a time after their end. */
 import type {Clock, RandomSource, TimerHandle} from '../core/clock/index.js';
 import type {
   DriverError,
@@ -60,7 +60,7 @@
     return this.attempts.get(attemptId);
   }
 
-  /** Attempts that still produce tokens. */
+  /** Counts the attempts that have not ended. */
   countRunning(): number {
     return this.findRunning().length;
   }
@@ -93,7 +93,7 @@
     return undefined;
   }
 
-  /** Starts an attempt; returns the existing one if its id is in use. */
+  /** Starts an attempt, or returns the one that was started under its id. */
   start(request: StartMessage): Attempt {
     const existing = this.attempts.get(request.attemptId);
     if (existing !== undefined) return existing;
@@ -135,6 +135,7 @@
     this.options.clock.schedule({delayMs: CRASH_DETECTION_MS, run: fail});
   }
 
+  /** Fails all running attempts unless the engine is healthy. */
   private handlePhaseChange(phase: TargetPhase): void {
     if (phase === TargetPhase.HEALTHY) return;
     const isCrash = phase === TargetPhase.DOWN;
@@ -155,6 +156,7 @@
     );
   }
 
+  /** Returns the running requests, any of which may cause the next crash. */
   private findSuspects(): Suspect[] {
     return this.findRunning().map(({request}) => ({
       id: request.attemptId,
@@ -162,15 +164,16 @@
     }));
   }
 
+  /** Cancels attempts without a reader and removes old journals. */
   private sweep(): void {
     for (const [id, attempt] of this.attempts) {
       const unreadMs = attempt.unreadForMs();
-      const running = attempt.journal.state === LogState.RUNNING;
-      if (running && unreadMs > ORPHAN_GRACE_MS) {
+      const isRunning = attempt.journal.state === LogState.RUNNING;
+      if (isRunning && unreadMs > ORPHAN_GRACE_MS) {
         this.options.metrics.count(CounterName.ATTEMPTS_ORPHANED);
         attempt.cancel();
       }
-      if (!running && unreadMs > JOURNAL_RETENTION_MS) {
+      if (!isRunning && unreadMs > JOURNAL_RETENTION_MS) {
         this.attempts.delete(id);
       }
     }
@@ -181,7 +184,10 @@
   return {reason, ran: Executed.NO, detail};
 }
 
-/** Fails an attempt that reports the maximum length before reaching it. */
+/**
+ * Finishes an attempt. It fails if the engine reports that the maximum length
+ * was reached but the output is shorter.
+ */
 function finishAttempt(attempt: Attempt, reason: FinishReason): void {
   const {journal, request} = attempt;
   const isShort = journal.length < request.spec.maxTokens;
--- a/src/agent/attempt.ts
+++ b/src/agent/attempt.ts
@@ -7,13 +7,16 @@
 /** An engine crash that ended an attempt. */
 export interface EngineCrash {
   readonly id: string;
-  /** Whether the crash is attributed to the request of this attempt. */
+  /**
+   * Whether this attempt's request caused the crash: it is the only one of the
+   * running requests that also ran in some earlier crash.
+   */
   readonly isCause: boolean;
 }
 
-/** An attempt with its journal. */
+/** An attempt, with the journal of its output. */
 export class Attempt {
-  /** Tokens of the complete output, starting at position 0. */
+  /** Tokens of the whole output, including those of earlier attempts. */
   readonly journal: TokenLog;
   private stream: EngineStream | undefined;
   private crash: EngineCrash | undefined;
@@ -37,7 +40,7 @@
     return this.failureCause;
   }
 
-  /** The crash that ended the attempt; undefined for any other end. */
+  /** The crash that ended the attempt; undefined if none did. */
   get engineCrash(): EngineCrash | undefined {
     return this.crash;
   }
@@ -46,6 +49,7 @@
     return this.readerCount > 0;
   }
 
+  /** When the last token arrived, or the attempt was created. */
   get lastTokenAtMs(): number {
     return this.lastTokenMs;
   }
@@ -55,6 +59,7 @@
     return this.readerCount > 0 ? 0 : this.clock.now() - this.unreadSinceMs;
   }
 
+  /** Sets the engine's stream, which is cancelled with the attempt. */
   attachStream(stream: EngineStream): void {
     this.stream = stream;
   }
--- a/src/agent/call-runner.ts
+++ b/src/agent/call-runner.ts
@@ -38,7 +38,10 @@
       driver: ServiceDriver;
       incarnation: string;
       keys: KeyTable;
-      /** Stores first outcomes outside this process, so that they outlive it. */
+      /**
+       * Stores first outcomes in the platform, so that they outlive this
+       * process.
+       */
       recorder: OutcomeRecorder;
     },
   ) {}
@@ -114,7 +117,7 @@
     }
   }
 
-  /** Waits while the call runs, at most for the time given in the query. */
+  /** Responds when the call ends or the wait given in the query is over. */
   private respondWhenSettled(
     query: AskKeyMessage,
     record: KeyRecord,
--- a/src/agent/config-receiver.ts
+++ b/src/agent/config-receiver.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration that an agent receives from entries. */
+/** Stores the configuration that an agent receives from entries. */
 import type {Clock} from '../core/clock/index.js';
 import {ConfigHolder, ExchangeStep} from '../core/config/distribution/index.js';
 import type {ConfigMessage, Message} from '../core/protocol/index.js';
@@ -7,7 +7,8 @@
 
 /**
  * Keeps the highest version received, for entries that start while the
- * platform is unavailable. Every heartbeat contains the version number.
+ * platform is unavailable and request it from this agent. Every heartbeat
+ * contains the version number.
  */
 export class ConfigReceiver {
   private readonly holder = new ConfigHolder();
--- a/src/agent/drain-peers.ts
+++ b/src/agent/drain-peers.ts
@@ -7,7 +7,9 @@
 export class DrainPeers {
   private readonly pending = new Set<DrainPeer>();
 
-  /** `onDrainRequested` is called when an entry reports that the target drains. */
+  /**
+   * `onDrainRequested` is called when an entry reports that the target drains.
+   */
   constructor(private readonly options: {onDrainRequested: () => void}) {}
 
   add(peer: DrainPeer): void {
@@ -18,7 +20,7 @@
     this.pending.delete(peer);
   }
 
-  /** Records that the entry sends no more work. */
+  /** Records that the entry sends no more work, and requests the drain. */
   acknowledge(peer: DrainPeer): void {
     this.pending.delete(peer);
     this.options.onDrainRequested();
--- a/src/agent/entry-session.ts
+++ b/src/agent/entry-session.ts
@@ -1,4 +1,4 @@
-/** The connection of one entry to an agent. */
+/** The connection of one entry to this agent. */
 import type {Clock, TimerHandle} from '../core/clock/index.js';
 import type {Refusal} from '../core/errors/index.js';
 import {Executed, RefusalReason} from '../core/errors/index.js';
@@ -45,7 +45,9 @@
 export class EntrySession implements ConnectionListener {
   private readonly readers = new Map<string, AttemptReader>();
   private readonly unsubscribes: Array<() => void> = [];
+  /** Calls and key queries without a response yet. */
   private pendingCalls = 0;
+  /** Sequence number of the next heartbeat. */
   private sequence = 0;
   private timer: TimerHandle | undefined;
   private heartbeatSentAtMs = 0;
@@ -188,7 +190,8 @@
     const sinceLastSentMs = nowMs - this.connection().sentAtMs;
     const periodMs = isBusy ? HEARTBEAT_BUSY_MS : HEARTBEAT_IDLE_MS;
     const elapsedMs = isBusy ? sinceLastSentMs : sinceHeartbeatMs;
-    // The margin keeps a timer that fires slightly early from skipping a period.
+    // The margin keeps a timer that fires slightly early from skipping a
+    // period.
     const isDue = elapsedMs >= periodMs - HEARTBEAT_BUSY_MS / 2;
     if (!isDue && !(isBusy && sinceHeartbeatMs >= HEARTBEAT_BUSY_MAX_MS))
       return;
--- a/src/agent/outcome-recorder.ts
+++ b/src/agent/outcome-recorder.ts
@@ -1,4 +1,4 @@
-/** Writes first outcomes to the platform, in groups. */
+/** Writes the first outcomes of bookings to the platform, in groups. */
 import type {RecordedOutcome} from '../core/booking/index.js';
 import {claimNameOf, outcomePrefixOf} from '../core/booking/index.js';
 import type {Clock} from '../core/clock/index.js';
@@ -22,11 +22,12 @@
 
 interface PendingOutcome {
   readonly outcome: RecordedOutcome;
-  /** Prefix of the name of its group. */
+  /** Prefix of the name of the object that it is written to. */
   readonly prefix: string;
   readonly bytes: number;
 }
 
+/** Outcomes that are written as one object. */
 interface Group {
   readonly name: string;
   readonly members: readonly PendingOutcome[];
@@ -42,7 +43,8 @@
   private pendingBytes = 0;
   private sequence = 0;
   private isWriting = false;
-  private lastChangeMs = 0;
+  /** When an outcome was last added or a group last settled. */
+  private lastChangeAtMs = 0;
 
   constructor(
     private readonly options: {
@@ -53,13 +55,17 @@
     },
   ) {}
 
-  /** Whether no outcome is pending or the last change was too long ago. */
+  /**
+   * Whether a drain need not wait: no outcome is pending, or nothing has
+   * changed for `OUTCOME_DRAIN_MS`.
+   */
   isIdle(): boolean {
     const isEmpty = this.pending.length === 0 && !this.isWriting;
-    const sinceLastChangeMs = this.options.clock.now() - this.lastChangeMs;
+    const sinceLastChangeMs = this.options.clock.now() - this.lastChangeAtMs;
     return isEmpty || sinceLastChangeMs > OUTCOME_DRAIN_MS;
   }
 
+  /** Queues an outcome, or drops it if it or the queue is too large. */
   add(options: {call: CallMessage; response: PlainResponse}): void {
     const {call, response} = options;
     const bytes = response.body.length + OUTCOME_OVERHEAD_BYTES;
@@ -76,7 +82,7 @@
       bytes,
     });
     this.pendingBytes += bytes;
-    this.lastChangeMs = this.options.clock.now();
+    this.lastChangeAtMs = this.options.clock.now();
     this.scheduleWrite();
   }
 
@@ -92,15 +98,15 @@
   private takeGroup(): Group {
     const {prefix} = this.pending[0]!;
     const members: PendingOutcome[] = [];
-    const rest: PendingOutcome[] = [];
+    const remaining: PendingOutcome[] = [];
     let bytes = 0;
     for (const item of this.pending) {
       const fits =
         item.prefix === prefix && bytes + item.bytes <= OUTCOME_GROUP_BYTES;
-      (fits ? members : rest).push(item);
+      (fits ? members : remaining).push(item);
       if (fits) bytes += item.bytes;
     }
-    this.pending = rest;
+    this.pending = remaining;
     return {name: `${prefix}${this.sequence++}`, members};
   }
 
@@ -120,6 +126,7 @@
     this.settle(group, written.isErr() ? written.error : undefined);
   }
 
+  /** Removes a group that was written, or that the store will never accept. */
   private settle(group: Group, error: StoreError | undefined): void {
     const {metrics, clock} = this.options;
     const isRejected = error?.kind === StoreErrorKind.INVALID;
@@ -129,7 +136,7 @@
     metrics.count(name, {by: group.members.length});
     for (const {bytes} of group.members) this.pendingBytes -= bytes;
     this.isWriting = false;
-    this.lastChangeMs = clock.now();
+    this.lastChangeAtMs = clock.now();
     this.scheduleWrite();
   }
 }
--- a/src/agent/target-monitor.ts
+++ b/src/agent/target-monitor.ts
@@ -1,4 +1,4 @@
-/** Monitors the target of the agent and writes its phase to the board. */
+/** Monitors the agent's target and writes its state to the board. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {Clock, TimerHandle} from '../core/clock/index.js';
@@ -25,10 +25,10 @@
 export class TargetMonitor {
   private timer: TimerHandle | undefined;
   private failures = 0;
-  private probing = false;
+  private isProbing = false;
   /** Whether to probe again when the running probe has ended. */
-  private probeAgain = false;
-  /** Callbacks of `checkNow` to run when no probe runs. */
+  private mustProbeAgain = false;
+  /** Callbacks that resolve the promises of `checkNow`. */
   private readonly waiters: Array<() => void> = [];
   private readonly responseTimes = new SilenceLimit();
 
@@ -56,18 +56,18 @@
   }
 
   /**
-   * Probes at once, for instance after a stream was lost; resolves when a probe
+   * Probes at once, for instance after a stream was lost. Resolves when a probe
    * that started after this call has ended.
    */
   checkNow(): Promise<void> {
-    this.probeAgain = this.probing;
+    this.mustProbeAgain = this.isProbing;
     this.check();
     return new Promise((resolve) => this.waiters.push(resolve));
   }
 
   private check(): void {
-    if (this.probing) return;
-    this.probing = true;
+    if (this.isProbing) return;
+    this.isProbing = true;
     const startedAtMs = this.options.clock.now();
     const timeoutMs = this.timeoutMs();
     void this.options.probe
@@ -77,9 +77,9 @@
         (err) => this.handleFailure(err, startedAtMs + timeoutMs),
       )
       .then(() => {
-        this.probing = false;
-        if (this.probeAgain) {
-          this.probeAgain = false;
+        this.isProbing = false;
+        if (this.mustProbeAgain) {
+          this.mustProbeAgain = false;
           this.check();
         } else {
           for (const resolve of this.waiters.splice(0)) resolve();
@@ -87,7 +87,7 @@
       });
   }
 
-  /** The timeout grows if earlier probes were slow. */
+  /** Returns the probe timeout, which grows if earlier probes were slow. */
   private timeoutMs(): number {
     const allowedMs = this.responseTimes.allowedMs(PROBE_TIMEOUT_MS);
     return Math.min(allowedMs, PROBE_TIMEOUT_MAX_MS);
@@ -100,6 +100,7 @@
     const previousInstance = board.report.get().instance;
     const hasRestarted =
       previousInstance !== '' && previousInstance !== report.instance;
+    // The phase DOWN fails the attempts that ran in the previous instance.
     if (hasRestarted) this.setPhase(TargetPhase.DOWN);
     board.report.set(report);
     this.setPhase(TargetPhase.HEALTHY);
@@ -114,15 +115,15 @@
     if (isTimeout && this.isInconclusive(expiresAtMs)) return;
     this.failures++;
     if (this.failures < PROBE_FAILURE_THRESHOLD) {
-      this.probeAgain = true;
+      this.mustProbeAgain = true;
       return;
     }
     this.setPhase(TargetPhase.UNRESPONSIVE);
   }
 
   /**
-   * A timeout does not count if the engine has just sent a token or if the timer
-   * fired late, which shows that this process was paused.
+   * Whether a timeout does not count as a failure: the engine has just sent a
+   * token, or the timer fired late, which shows that this process was paused.
    */
   private isInconclusive(expiresAtMs: number): boolean {
     const nowMs = this.options.clock.now();
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -1,4 +1,8 @@
-/** Attributes engine crashes to attempts whose streams were lost. */
+/**
+ * An attempt whose stream was lost must be attributed to a crash of its engine.
+ * The attempt could otherwise fail before the probe has shown the crash, above
+ * all if the probe is slow, and the request would not count as its cause.
+ */
 import {errAsync, ResultAsync} from 'neverthrow';
 import {beforeEach, describe, expect, it} from 'vitest';
 
@@ -48,7 +52,7 @@
   },
 ];
 
-describe('an attempt whose stream was lost', () => {
+describe('crash attribution after the loss of a stream', () => {
   let clock: ManualClock;
   let probes: Array<(error: DriverErrorKind | undefined) => void>;
   let sinks: EngineSink[];
