--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -8,7 +8,7 @@
 export const SILENCE_CHECK_MS = 50;
 
 /**
- * Delay of a periodic check from which on this process counts as having been
+ * If a periodic check is later than this, this process counts as having been
  * paused, in milliseconds.
  */
 export const PAUSE_DETECTION_MS = 250;
