--- a/src/entry/consts.ts
+++ b/src/entry/consts.ts
@@ -1,6 +1,6 @@
 /**
- * Time for which a link to a target outside this entry's subset is kept after
- * its last use, in milliseconds.
+ * Shortest time for which a link to a target outside this entry's subset is
+ * kept, in milliseconds.
  */
 export const LINK_PIN_MS = 60_000;
 
--- a/src/entry/links/agent-links.ts
+++ b/src/entry/links/agent-links.ts
@@ -148,7 +148,7 @@
 
   /**
    * Opens a link to a target outside the subset, named by a claim or an event
-   * ID, and keeps it for `LINK_PIN_MS`.
+   * ID, and keeps it for at least `LINK_PIN_MS`.
    */
   private pin(vm: string): AgentLink | undefined {
     const record = this.options.board.vms
