--- a/src/agent/agent-process.ts
+++ b/src/agent/agent-process.ts
@@ -26,14 +26,14 @@
 import {MAX_KEYS} from './consts.js';
 import {ConfigReceiver} from './config-receiver.js';
 import {DrainPeers} from './drain-peers.js';
-import type {TargetProbe} from './engine-monitor.js';
-import {EngineMonitor} from './engine-monitor.js';
+import type {TargetProbe} from './target-monitor.js';
+import {TargetMonitor} from './target-monitor.js';
 import type {SessionDeps} from './entry-session.js';
 import {EntrySession} from './entry-session.js';
 import {KeyTable} from './key-table.js';
 import {OutcomeRecorder} from './outcome-recorder.js';
 
-/** Driver of the target; either an engine or a plain service. */
+/** Driver of the target: exactly one of an engine and a plain service. */
 export interface TargetDrivers {
   readonly engine?: EngineDriver;
   readonly service?: ServiceDriver;
@@ -48,7 +48,7 @@
   readonly logger: Logger;
   readonly drivers: TargetDrivers;
   readonly store: ObjectStore;
-  /** Called when a drain has ended and all work is done. */
+  /** Called when a drain has ended, so that the process can exit. */
   readonly onDrained: () => void;
 }
 
@@ -59,7 +59,7 @@
   private readonly recorder: OutcomeRecorder;
   private readonly attempts: AttemptTable | undefined;
   private readonly calls: CallRunner | undefined;
-  private readonly monitor: EngineMonitor;
+  private readonly monitor: TargetMonitor;
   private readonly server: PeerServer;
   private readonly peers = new DrainPeers({
     onDrainRequested: () => this.drain(),
@@ -75,7 +75,7 @@
     });
     this.attempts = this.createAttempts();
     this.calls = this.createCalls();
-    this.monitor = new EngineMonitor({
+    this.monitor = new TargetMonitor({
       board: this.board,
       clock: options.clock,
       probe: createProbe(options.drivers),
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Work in progress, including outcomes that are not recorded yet. */
+  /** Counts attempts and calls, and unrecorded outcomes as one more. */
   private countUnfinished(): number {
     return this.countRunning() + (this.recorder.isIdle() ? 0 : 1);
   }
@@ -220,7 +220,8 @@
 function createProbe(drivers: TargetDrivers): TargetProbe {
   if (drivers.engine !== undefined) return drivers.engine;
   const {service} = drivers;
-  if (service === undefined) throw new Error('an agent needs a target');
+  if (service === undefined)
+    throw new Error('agent has no target: no engine or service driver');
   return {
     probe: (options) =>
       service.probe(options).map((report) => ({
--- a/src/agent/attempt-table.ts
+++ b/src/agent/attempt-table.ts
@@ -1,4 +1,4 @@
-/** Attempts of an agent, kept from their start to the end of retention. */
+/** The attempts of an agent, which are kept for a time after their end. */
 import type {Clock, RandomSource, TimerHandle} from '../core/clock/index.js';
 import type {
   DriverError,
@@ -60,9 +60,9 @@
     return this.attempts.get(attemptId);
   }
 
-  /** Attempts that still produce tokens. */
+  /** Counts the attempts that have not ended. */
   countRunning(): number {
-    return this.running().length;
+    return this.findRunning().length;
   }
 
   /** Time of the last token of any attempt; -Infinity if there was none. */
@@ -86,14 +86,14 @@
     }
     const crashes = request.crashes ?? [];
     if (request.mayShare === true) return undefined;
-    if (!sharesNoCrash({crashes, others: this.suspects()})) {
+    if (!sharesNoCrash({crashes, others: this.findSuspects()})) {
       const detail = 'another request of the same crash runs here';
       return createRefusal(RefusalReason.NO_TARGET, detail);
     }
     return undefined;
   }
 
-  /** Starts an attempt; returns the existing one if its id is in use. */
+  /** Starts an attempt, or returns the one that was started under its id. */
   start(request: StartMessage): Attempt {
     const existing = this.attempts.get(request.attemptId);
     if (existing !== undefined) return existing;
@@ -106,7 +106,7 @@
       resumeFrom: request.resumeFrom,
       sink: this.createSink(attempt),
     });
-    attempt.run(stream);
+    attempt.attachStream(stream);
     return attempt;
   }
 
@@ -135,42 +135,45 @@
     this.options.clock.schedule({delayMs: CRASH_DETECTION_MS, run: fail});
   }
 
+  /** Fails all running attempts unless the engine is healthy. */
   private handlePhaseChange(phase: TargetPhase): void {
     if (phase === TargetPhase.HEALTHY) return;
     const isCrash = phase === TargetPhase.DOWN;
     const kind = isCrash ? DriverErrorKind.LOST : DriverErrorKind.TIMEOUT;
     const detail = `the engine is ${phase}`;
     const id = this.options.random.id();
-    const causes = isCrash ? findCrashCauses(this.suspects()) : [];
-    for (const attempt of this.running()) {
+    const causes = isCrash ? findCrashCauses(this.findSuspects()) : [];
+    for (const attempt of this.findRunning()) {
       const isCause = causes.includes(attempt.request.attemptId);
       const crash = isCrash ? {id, isCause} : undefined;
       attempt.fail({layer: Layer.DRIVER, kind, detail}, crash);
     }
   }
 
-  private running(): Attempt[] {
+  private findRunning(): Attempt[] {
     return [...this.attempts.values()].filter(
       (attempt) => attempt.journal.state === LogState.RUNNING,
     );
   }
 
-  private suspects(): Suspect[] {
-    return this.running().map(({request}) => ({
+  /** Returns the running requests, any of which may cause the next crash. */
+  private findSuspects(): Suspect[] {
+    return this.findRunning().map(({request}) => ({
       id: request.attemptId,
       crashes: request.crashes ?? [],
     }));
   }
 
+  /** Cancels attempts without a reader and removes old journals. */
   private sweep(): void {
     for (const [id, attempt] of this.attempts) {
       const unreadMs = attempt.unreadForMs();
-      const running = attempt.journal.state === LogState.RUNNING;
-      if (running && unreadMs > ORPHAN_GRACE_MS) {
+      const isRunning = attempt.journal.state === LogState.RUNNING;
+      if (isRunning && unreadMs > ORPHAN_GRACE_MS) {
         this.options.metrics.count(CounterName.ATTEMPTS_ORPHANED);
         attempt.cancel();
       }
-      if (!running && unreadMs > JOURNAL_RETENTION_MS) {
+      if (!isRunning && unreadMs > JOURNAL_RETENTION_MS) {
         this.attempts.delete(id);
       }
     }
@@ -181,7 +184,10 @@
   return {reason, ran: Executed.NO, detail};
 }
 
-/** Fails an attempt that reports the maximum length before reaching it. */
+/**
+ * Finishes an attempt. It fails if the engine reports that the maximum length
+ * was reached but the output is shorter.
+ */
 function finishAttempt(attempt: Attempt, reason: FinishReason): void {
   const {journal, request} = attempt;
   const isShort = journal.length < request.spec.maxTokens;
--- a/test/agent/crash-attribution.test.ts
+++ b/test/agent/crash-attribution.test.ts
@@ -1,11 +1,15 @@
-/** Attributes engine crashes to attempts whose streams were lost. */
+/**
+ * An attempt whose stream was lost must be attributed to a crash of its engine.
+ * The attempt could otherwise fail before the probe has shown the crash, above
+ * all if the probe is slow, and the request would not count as its cause.
+ */
 import {errAsync, ResultAsync} from 'neverthrow';
 import {beforeEach, describe, expect, it} from 'vitest';
 
 import {AgentBoard} from '../../src/agent/agent-board.js';
 import type {TargetReport} from '../../src/agent/agent-board.js';
 import {AttemptTable} from '../../src/agent/attempt-table.js';
-import {EngineMonitor} from '../../src/agent/engine-monitor.js';
+import {TargetMonitor} from '../../src/agent/target-monitor.js';
 import {ManualClock, SeededRandom} from '../../src/core/clock/index.js';
 import type {DriverError, EngineSink} from '../../src/core/edges/index.js';
 import {DriverErrorKind} from '../../src/core/edges/index.js';
@@ -48,19 +52,19 @@
   },
 ];
 
-describe('an attempt whose stream was lost', () => {
+describe('crash attribution after the loss of a stream', () => {
   let clock: ManualClock;
   let probes: Array<(error: DriverErrorKind | undefined) => void>;
   let sinks: EngineSink[];
   let table: AttemptTable;
-  let monitor: EngineMonitor;
+  let monitor: TargetMonitor;
 
   beforeEach(async () => {
     clock = new ManualClock();
     probes = [];
     sinks = [];
     const board = new AgentBoard();
-    monitor = new EngineMonitor({
+    monitor = new TargetMonitor({
       board,
       clock,
       logger: SILENT_LOGGER,
