--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -7,7 +7,7 @@
 import {MAX_MOVES, MAX_WRITE_ATTEMPTS} from './consts.js';
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
-import {EvidenceKind} from './decide-ran.js';
+import {EvidenceKind} from './decide-verdict.js';
 import {
   abortEvidence,
   unwrittenEvidence,
--- a/src/core/booking/decide-ran.ts
+++ b/src/core/booking/decide-verdict.ts
@@ -50,9 +50,9 @@
  * Decides what the refusal of a booking states.
  *
  * @example
- * decideRan({kind: EvidenceKind.AGENT_GONE}).ran; // Executed.UNKNOWN
+ * decideVerdict({kind: EvidenceKind.AGENT_GONE}).ran; // Executed.UNKNOWN
  */
-export function decideRan(evidence: Evidence): Verdict {
+export function decideVerdict(evidence: Evidence): Verdict {
   return VERDICTS[evidence.kind];
 }
 
--- a/src/core/booking/index.ts
+++ b/src/core/booking/index.ts
@@ -6,7 +6,7 @@
 export * from './claim-name.js';
 export * from './claim-store.js';
 export * from './consts.js';
-export * from './decide-ran.js';
+export * from './decide-verdict.js';
 export * from './grouped-claims.js';
 export * from './outcomes.js';
 export * from './single-claims.js';
--- a/src/core/booking/step-evidence.ts
+++ b/src/core/booking/step-evidence.ts
@@ -1,7 +1,7 @@
 /** Evidence for bookings that end without an outcome. */
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
-import {EvidenceKind} from './decide-ran.js';
+import {EvidenceKind} from './decide-verdict.js';
 import type {StepContext} from './types.js';
 
 /**
@@ -22,7 +22,7 @@
 
 /**
  * Returns the evidence for a booking that is aborted while in progress; it
- * never leads to the verdict Ran.NO.
+ * never leads to the verdict Executed.NO.
  *
  * @example
  * finishWithEvidence(state, abortEvidence(state));
--- a/src/core/booking/types.ts
+++ b/src/core/booking/types.ts
@@ -3,7 +3,7 @@
 import {Codec, enumeration, number, string} from 'purify-ts';
 
 import type {PlainResponse} from '../edges/index.js';
-import type {Evidence} from './decide-ran.js';
+import type {Evidence} from './decide-verdict.js';
 
 /** State of a claim. */
 export enum ClaimState {
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -21,7 +21,7 @@
 import {
   claimNameOf,
   createBooking,
-  decideRan,
+  decideVerdict,
   EffectKind,
   EventKind,
   mayMove,
@@ -233,7 +233,7 @@
   }
 
   private createRefusal(evidence: Evidence): Refusal {
-    const {ran, reason, detail, retryLater: comeBack} = decideRan(evidence);
+    const {ran, reason, detail, retryLater: comeBack} = decideVerdict(evidence);
     const label = evidence.kind;
     this.options.callDeps.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
     const retryAfterMs = comeBack ? RETRY_AFTER_MS : undefined;
--- a/test/core/booking/lib/behaviour.ts
+++ b/test/core/booking/lib/behaviour.ts
@@ -11,7 +11,7 @@
 import {
   AgentResultKind,
   decideKeyQuery,
-  decideRan,
+  decideVerdict,
   EffectKind,
   KeyAction,
   WriteOutcome,
@@ -87,7 +87,7 @@
 ): void {
   const {response, evidence} = effect;
   request.reportedRan =
-    response === undefined ? decideRan(evidence!).ran : Executed.YES;
+    response === undefined ? decideVerdict(evidence!).ran : Executed.YES;
   request.evidence = evidence?.kind;
   request.execution = response?.status ?? 0;
   abandonInFlight(world, request);
