--- a/src/core/generation/assembly.ts
+++ b/src/core/generation/assembly.ts
@@ -37,7 +37,7 @@
  */
 export class Assembly {
   private currentId = '';
-  private resumedAt = 0;
+  private resumePosition = 0;
 
   constructor(
     private readonly options: {
@@ -53,13 +53,13 @@
 
   /** Number of tokens that the current attempt has added. */
   get progress(): number {
-    return this.options.log.length - this.resumedAt;
+    return this.options.log.length - this.resumePosition;
   }
 
   /** Makes an attempt the current one. */
   begin(attemptId: string): void {
     this.currentId = attemptId;
-    this.resumedAt = this.options.log.length;
+    this.resumePosition = this.options.log.length;
   }
 
   /** Clears the current attempt, so that all messages are ignored. */
@@ -94,7 +94,7 @@
       end: {length, finishReason},
       spec,
       tokens: log.slice({from: 0}),
-      resumedAt: this.resumedAt,
+      resumePosition: this.resumePosition,
     });
     if (verdict === EndVerdict.BROKEN) return BROKEN;
     if (verdict === EndVerdict.CONFIRM) {
--- a/src/core/generation/validate-end.ts
+++ b/src/core/generation/validate-end.ts
@@ -28,7 +28,7 @@
  * contains a stop string. An attempt that ends without a new token confirms it.
  *
  * @example
- * validateEnd({end, spec, tokens, resumedAt: 120});
+ * validateEnd({end, spec, tokens, resumePosition: 120});
  */
 export function validateEnd(options: {
   end: ReportedEnd;
@@ -36,14 +36,14 @@
   /** The output as received. */
   tokens: readonly Token[];
   /** Length of the output when the attempt began, in tokens. */
-  resumedAt: number;
+  resumePosition: number;
 }): EndVerdict {
-  const {end, spec, tokens, resumedAt} = options;
+  const {end, spec, tokens, resumePosition} = options;
   if (end.length !== tokens.length) return EndVerdict.BROKEN;
   const detected = detectFinish({spec, tokens});
   if (detected === end.finishReason) return EndVerdict.ACCEPT;
   if (end.finishReason === FinishReason.LENGTH) return EndVerdict.BROKEN;
-  const added = tokens.length - resumedAt;
-  const isEarly = resumedAt > 0 && added > 0 && added <= EARLY_END_WINDOW;
+  const added = tokens.length - resumePosition;
+  const isEarly = resumePosition > 0 && added > 0 && added <= EARLY_END_WINDOW;
   return isEarly ? EndVerdict.CONFIRM : EndVerdict.ACCEPT;
 }
--- a/test/core/generation/validate-end.test.ts
+++ b/test/core/generation/validate-end.test.ts
@@ -83,25 +83,25 @@
   {
     name: 'stop shortly after a resume',
     reason: FinishReason.STOP,
-    resumedAt: 40 - EARLY_END_WINDOW,
+    resumePosition: 40 - EARLY_END_WINDOW,
     verdict: EndVerdict.CONFIRM,
   },
   {
     name: 'stop long after a resume',
     reason: FinishReason.STOP,
-    resumedAt: 39 - EARLY_END_WINDOW,
+    resumePosition: 39 - EARLY_END_WINDOW,
     verdict: EndVerdict.ACCEPT,
   },
   {
     name: 'stop of a resume that adds nothing',
     reason: FinishReason.STOP,
-    resumedAt: 40,
+    resumePosition: 40,
     verdict: EndVerdict.ACCEPT,
   },
   {
     name: 'stop shortly after a resume, with its stop string',
     reason: FinishReason.STOP,
-    resumedAt: 35,
+    resumePosition: 35,
     stop: ['xx'],
     verdict: EndVerdict.ACCEPT,
   },
@@ -109,12 +109,12 @@
 
 describe('validateEnd', () => {
   it.each(ENDS)('validates $name', (row) => {
-    const {reason, maxTokens = 99, length = 40, resumedAt = 0} = row;
+    const {reason, maxTokens = 99, length = 40, resumePosition = 0} = row;
     const verdict = validateEnd({
       end: {finishReason: reason, length},
       spec: {maxTokens, stop: row.stop ?? []},
       tokens: MANY,
-      resumedAt,
+      resumePosition,
     });
     expect(verdict).toBe(row.verdict);
   });
