--- a/src/core/poison/loss-ledger.ts
+++ b/src/core/poison/loss-ledger.ts
@@ -12,7 +12,7 @@
 export const SUSPECT_LOSSES = 2;
 
 /** Outages under one request from which they no longer count as chance. */
-export const MAX_OUTAGES = 5;
+export const POISON_OUTAGES = 5;
 
 /** Time for which a loss counts against a request, in milliseconds. */
 const LOSS_RETENTION_MS = 600_000;
@@ -206,7 +206,7 @@
    * same targets, either may be the cause, so one more loss is required.
    */
   isPoison(request: string): boolean {
-    if ((this.outages.get(request)?.count ?? 0) >= MAX_OUTAGES) return true;
+    if ((this.outages.get(request)?.count ?? 0) >= POISON_OUTAGES) return true;
     const incarnations = this.collectIncarnations(
       request,
       ({isSettled}) => isSettled,
