--- a/src/core/booking/booking-state.ts
+++ b/src/core/booking/booking-state.ts
@@ -20,19 +20,19 @@
   readonly fingerprint: string;
   readonly entryIncarnation: string;
   /** Whether the caller declares that it has not used the key before. */
-  readonly firstUse: boolean;
+  readonly isFirstUse: boolean;
   /** The claim as last read or written. */
   readonly stored?: StoredClaim;
   /** The claim that is being written. */
   readonly pending?: Claim;
   /** Whether no other request can have sent the booking under `stored`. */
-  readonly soleSender: boolean;
+  readonly isSoleSender: boolean;
   /** Whether this request has sent the booking under `stored`. */
-  readonly sent: boolean;
+  readonly isSent: boolean;
   /** Whether a write of this request is in doubt. */
-  readonly writeInDoubt: boolean;
+  readonly isWriteInDoubt: boolean;
   /** Whether the agent incarnation in `stored` is gone. */
-  readonly agentGone: boolean;
+  readonly isAgentGone: boolean;
   /** Attempts of the current write that ended in doubt. */
   readonly writeAttempts: number;
   /** Times that this request moved the booking to another agent. */
--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -42,15 +42,15 @@
 export function createBooking(options: {
   fingerprint: string;
   entryIncarnation: string;
-  firstUse: boolean;
+  isFirstUse: boolean;
 }): BookingState {
   return {
     ...options,
     phase: BookingPhase.NEW,
-    soleSender: false,
-    sent: false,
-    writeInDoubt: false,
-    agentGone: false,
+    isSoleSender: false,
+    isSent: false,
+    isWriteInDoubt: false,
+    isAgentGone: false,
     writeAttempts: 0,
     moves: 0,
   };
@@ -118,14 +118,14 @@
     case WriteOutcome.NO_EFFECT:
       return finishWithEvidence(state, unwrittenEvidence(state));
     case WriteOutcome.IN_DOUBT:
-      return retryWrite({...state, writeInDoubt: true}, context);
+      return retryWrite({...state, isWriteInDoubt: true}, context);
   }
 }
 
 /** Repeats a write in doubt; the same write can't take effect twice. */
 function retryWrite(state: BookingState, context: StepContext): BookingStep {
   const writeAttempts = state.writeAttempts + 1;
-  if (context.late || writeAttempts >= MAX_WRITE_ATTEMPTS) {
+  if (context.isPastDeadline || writeAttempts >= MAX_WRITE_ATTEMPTS) {
     return finishWithEvidence(state, unwrittenEvidence(state));
   }
   const claim = state.pending!;
@@ -142,20 +142,20 @@
   stored: StoredClaim,
   context: StepContext,
 ): BookingStep {
-  const next = {...state, stored, writeInDoubt: false, writeAttempts: 0};
+  const next = {...state, stored, isWriteInDoubt: false, writeAttempts: 0};
   switch (state.phase) {
     case BookingPhase.CLAIMING:
       if (stored.claim.state === ClaimState.VOIDED) {
         return finishWithEvidence(next, EvidenceKind.VOIDED_NO_TARGET);
       }
-      return send({...next, soleSender: true, sent: false}, context);
+      return send({...next, isSoleSender: true, isSent: false}, context);
     case BookingPhase.MOVING:
       return send(
-        {...next, soleSender: true, sent: false, agentGone: false},
+        {...next, isSoleSender: true, isSent: false, isAgentGone: false},
         context,
       );
     case BookingPhase.TAKING_OVER:
-      return send({...next, soleSender: false}, context);
+      return send({...next, isSoleSender: false}, context);
     default:
       return finishWithEvidence(next, voidedEvidence(context));
   }
@@ -176,9 +176,9 @@
   const next = {
     ...state,
     stored,
-    soleSender: false,
-    writeInDoubt: false,
-    agentGone: false,
+    isSoleSender: false,
+    isWriteInDoubt: false,
+    isAgentGone: false,
   };
   return queryAgent({...next, writeAttempts: 0}, context, false);
 }
@@ -188,7 +188,8 @@
   context: StepContext,
   isRetry: boolean,
 ): BookingStep {
-  if (context.late) return finishWithEvidence(state, abortEvidence(state));
+  if (context.isPastDeadline)
+    return finishWithEvidence(state, abortEvidence(state));
   const agent = agentOf(state.stored!.claim);
   return {
     state: {...state, phase: BookingPhase.QUERYING},
@@ -198,15 +199,15 @@
 
 /** Sends the booking unless the deadline has passed. */
 function send(state: BookingState, context: StepContext): BookingStep {
-  if (context.late) {
-    return state.soleSender
+  if (context.isPastDeadline) {
+    return state.isSoleSender
       ? voidClaim(state, context)
       : finishWithEvidence(state, abortEvidence(state));
   }
   const {claim} = state.stored!;
   const {claimedAtMs} = claim;
   return {
-    state: {...state, phase: BookingPhase.CALLING, sent: true},
+    state: {...state, phase: BookingPhase.CALLING, isSent: true},
     effect: {kind: EffectKind.CALL, agent: agentOf(claim), claimedAtMs},
   };
 }
@@ -232,7 +233,7 @@
     case AgentResultKind.NOT_ADMITTED:
       return afterNotAdmitted(state, context);
     case AgentResultKind.GONE:
-      return lookUp({...state, agentGone: true});
+      return lookUp({...state, isAgentGone: true});
     case AgentResultKind.TIMEOUT:
     case AgentResultKind.LOST:
       return lookUp(state);
@@ -253,7 +254,7 @@
       return true;
     case AgentResultKind.NOT_SENT:
     case AgentResultKind.NOT_ADMITTED:
-      return state.phase === BookingPhase.CALLING && state.soleSender;
+      return state.phase === BookingPhase.CALLING && state.isSoleSender;
     default:
       return false;
   }
@@ -268,8 +269,8 @@
   context: StepContext,
 ): BookingStep {
   const called = state.phase === BookingPhase.CALLING;
-  if (called && state.soleSender) {
-    return moveOrVoid({...state, sent: false}, context);
+  if (called && state.isSoleSender) {
+    return moveOrVoid({...state, isSent: false}, context);
   }
   return lookUp(state);
 }
@@ -279,9 +280,10 @@
   if (claim.nonce === state.pending?.nonce) {
     // An earlier message of this request may still arrive; the agent admits
     // only one of them.
-    return send({...state, soleSender: false}, context);
+    return send({...state, isSoleSender: false}, context);
   }
-  if (context.late) return finishWithEvidence(state, abortEvidence(state));
+  if (context.isPastDeadline)
+    return finishWithEvidence(state, abortEvidence(state));
   const {nonce} = context;
   const {entryIncarnation} = state;
   return swap(state, BookingPhase.TAKING_OVER, {
@@ -294,10 +296,10 @@
 /** Nothing runs under the current claim: moves the booking or voids it. */
 function moveOrVoid(state: BookingState, context: StepContext): BookingStep {
   const {claim} = state.stored!;
-  const {target, nonce, late} = context;
+  const {target, nonce, isPastDeadline} = context;
   const elsewhere = target?.incarnation !== claim.agentIncarnation;
   const movesExhausted = state.moves >= MAX_MOVES;
-  if (late || movesExhausted || target === undefined || !elsewhere) {
+  if (isPastDeadline || movesExhausted || target === undefined || !elsewhere) {
     return voidClaim(state, context);
   }
   const moved = {...state, moves: state.moves + 1};
@@ -346,7 +348,7 @@
   context: StepContext,
 ): BookingStep {
   if (response !== undefined) return finishWithResponse(state, response);
-  if (state.agentGone)
+  if (state.isAgentGone)
     return finishWithEvidence(state, EvidenceKind.AGENT_GONE);
   return queryAgent(state, context, true);
 }
--- a/src/core/booking/step-evidence.ts
+++ b/src/core/booking/step-evidence.ts
@@ -14,8 +14,8 @@
   if (state.phase === BookingPhase.VOIDING) return EvidenceKind.VOID_IN_DOUBT;
   if (state.phase === BookingPhase.TAKING_OVER) return abortEvidence(state);
   if (state.phase === BookingPhase.MOVING) return EvidenceKind.VOID_IN_DOUBT;
-  if (state.writeInDoubt) return EvidenceKind.CLAIM_IN_DOUBT;
-  return state.firstUse
+  if (state.isWriteInDoubt) return EvidenceKind.CLAIM_IN_DOUBT;
+  return state.isFirstUse
     ? EvidenceKind.NOT_CLAIMED_FIRST_USE
     : EvidenceKind.NOT_CLAIMED;
 }
@@ -28,7 +28,7 @@
  * finishWithEvidence(state, abortEvidence(state));
  */
 export function abortEvidence(state: BookingState): EvidenceKind {
-  if (state.sent) return EvidenceKind.NO_ANSWER;
+  if (state.isSent) return EvidenceKind.NO_ANSWER;
   switch (state.phase) {
     case BookingPhase.NEW:
       return EvidenceKind.NOT_CLAIMED;
@@ -51,7 +51,7 @@
  * finishWithEvidence(state, voidedEvidence(context));
  */
 export function voidedEvidence(context: StepContext): EvidenceKind {
-  return context.late
+  return context.isPastDeadline
     ? EvidenceKind.VOIDED_LATE
     : EvidenceKind.VOIDED_NO_TARGET;
 }
--- a/src/core/booking/types.ts
+++ b/src/core/booking/types.ts
@@ -187,6 +187,6 @@
   /** The agent of the target that new work would go to, if any. */
   readonly target?: AgentId;
   /** Whether the deadline has passed, as after a pause of this process. */
-  readonly late: boolean;
+  readonly isPastDeadline: boolean;
   readonly wallMs: number;
 }
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -71,7 +71,7 @@
     this.state = createBooking({
       fingerprint: request.fingerprint,
       entryIncarnation: options.incarnation,
-      firstUse: isFirstUse(request.req),
+      isFirstUse: isFirstUse(request.req),
     });
     this.claimName = claimNameOf({
       clientAccount: request.clientAccount.name,
@@ -113,7 +113,7 @@
     return {
       nonce: random.id(),
       target: this.chooseTarget(event),
-      late: this.leftMs() <= 0,
+      isPastDeadline: this.leftMs() <= 0,
       wallMs: clock.wallNow(),
     };
   }
--- a/test/core/booking/lib/behaviour.ts
+++ b/test/core/booking/lib/behaviour.ts
@@ -42,7 +42,7 @@
 /** Whether a caller that declared its key as new still waits for the response. */
 export function isAwaited(world: World, request: SimRequest): boolean {
   const waits = request.reportedRan === undefined && !request.hungUp;
-  return request.state.firstUse && waits && world.entriesUp[request.entry]!;
+  return request.state.isFirstUse && waits && world.entriesUp[request.entry]!;
 }
 
 export function isNewWrite(effect: BookingEffect | undefined): boolean {
--- a/test/core/booking/lib/simulator.ts
+++ b/test/core/booking/lib/simulator.ts
@@ -70,7 +70,7 @@
       if (request.reportedRan !== undefined || !world.entriesUp[request.entry])
         return;
       add(`abort ${i}`, (w) => this.step(w, i, {kind: EventKind.ABORT}));
-      const declaresNewKey = request.state.firstUse && !request.hungUp;
+      const declaresNewKey = request.state.isFirstUse && !request.hungUp;
       if (declaresNewKey)
         add(`hang up ${i}`, (w) => (w.requests[i]!.hungUp = true));
       if (!request.late) add(`late ${i}`, (w) => (w.requests[i]!.late = true));
@@ -126,7 +126,7 @@
     const named = request.state.stored?.claim.agentIncarnation;
     const nonce = `r${index}w${request.writes}`;
     const target = findTarget(world, named);
-    return {nonce, target, late: request.late, wallMs: 0};
+    return {nonce, target, isPastDeadline: request.late, wallMs: 0};
   }
 
   private addStarts(world: World, add: Add): void {
@@ -156,10 +156,14 @@
     world: World,
     entry: number,
     fingerprint: string,
-    firstUse: boolean,
+    isFirstUse: boolean,
   ): void {
     const entryIncarnation = `e${entry}`;
-    const state = createBooking({fingerprint, entryIncarnation, firstUse});
+    const state = createBooking({
+      fingerprint,
+      entryIncarnation,
+      isFirstUse,
+    });
     world.requests.push(createRequest(entry, state));
     this.step(world, world.requests.length - 1, {kind: EventKind.BEGIN});
   }
--- a/test/core/booking/schedules.test.ts
+++ b/test/core/booking/schedules.test.ts
@@ -93,7 +93,7 @@
     name: 'an entry that took over a claim voids it without a promise',
     decisions: {
       stepBooking: (state: BookingState, event, context: StepContext) =>
-        stepBooking({...state, soleSender: true}, event, context),
+        stepBooking({...state, isSoleSender: true}, event, context),
     },
   },
   {
@@ -109,7 +109,7 @@
     name: 'every key is assumed to be used for the first time',
     decisions: {
       stepBooking: (state: BookingState, event, context: StepContext) =>
-        stepBooking({...state, firstUse: true}, event, context),
+        stepBooking({...state, isFirstUse: true}, event, context),
     },
   },
 ];
