--- a/src/core/booking/admit-key.ts
+++ b/src/core/booking/admit-key.ts
@@ -1,21 +1,24 @@
-/** Decisions of an agent: admits a key once and answers its retries. */
+/**
+ * Decides how an agent handles calls and queries for an idempotency key: it
+ * admits a key once and answers retries with the first outcome.
+ */
 import {KeyPhase} from '../protocol/index.js';
 
-/** What an agent does with a call under a key. */
+/** What an agent does with a call or a query for a key. */
 export enum KeyAction {
   /** Admit the key and run the call. */
   ADMIT = 'admit',
   /** Respond with the outcome of the first execution once it has ended. */
   RETURN_FIRST_OUTCOME = 'answer_first',
-  /** Record that the key will never be admitted, and report it. */
+  /** Promise never to admit the key: record the promise and report it. */
   PROMISE_NEVER = 'promise_never',
   /** Refuse: the key was used with another body before. */
   REFUSE_OTHER_BODY = 'refuse_other_body',
-  /** Refuse without a promise: the claim names another incarnation. */
+  /** Refuse without such a promise: the claim names another incarnation. */
   REFUSE_INCARNATION = 'refuse_incarnation',
-  /** Refuse without a promise: the key table is full. */
+  /** Refuse without such a promise: the key table is full. */
   REFUSE_FULL = 'refuse_full',
-  /** Report without a promise that the key was never seen. */
+  /** Report that the key was never seen; it may still be admitted later. */
   REPORT_UNSEEN = 'say_unseen',
   /** Report the phase of the key. */
   REPORT_PHASE = 'say_phase',
@@ -27,7 +30,7 @@
   readonly fingerprint: string;
 }
 
-/** A call under a key, and the state of the agent that received it. */
+/** A call with a key, and the state of the agent that received it. */
 export interface CallContext {
   /** Undefined if the key was never seen. */
   readonly known?: KnownKey;
@@ -50,7 +53,7 @@
  */
 export function decideCall(context: CallContext): KeyAction {
   const {known, fingerprint, incarnation, ownIncarnation} = context;
-  // The state of the key here does not apply to another incarnation.
+  // What this agent recorded of the key does not apply to another incarnation.
   if (incarnation !== ownIncarnation) return KeyAction.REFUSE_INCARNATION;
   if (known !== undefined) {
     return known.fingerprint === fingerprint
@@ -69,8 +72,11 @@
  * decideKeyQuery({known: undefined, promiseNever: false, isFull: false});
  */
 export function decideKeyQuery(options: {
+  /** Undefined if the key was never seen. */
   known?: KnownKey;
+  /** Whether the query requests a promise never to admit an unseen key. */
   promiseNever: boolean;
+  /** Whether the table of keys is full, so that no promise can be recorded. */
   isFull: boolean;
 }): KeyAction {
   const {known, promiseNever, isFull} = options;
@@ -79,7 +85,9 @@
       ? KeyAction.PROMISE_NEVER
       : KeyAction.REPORT_UNSEEN;
   }
-  const hasOutcome =
+  const isRunningOrDone =
     known.phase === KeyPhase.DONE || known.phase === KeyPhase.RUNNING;
-  return hasOutcome ? KeyAction.RETURN_FIRST_OUTCOME : KeyAction.REPORT_PHASE;
+  return isRunningOrDone
+    ? KeyAction.RETURN_FIRST_OUTCOME
+    : KeyAction.REPORT_PHASE;
 }
--- a/src/core/booking/booking-state.ts
+++ b/src/core/booking/booking-state.ts
@@ -1,15 +1,21 @@
 /** State of one booking at its entry. */
 import type {Claim, StoredClaim} from './types.js';
 
-/** Purpose of the effect that is in progress. */
+/** What the booking waits for: the purpose of the effect in progress. */
 export enum BookingPhase {
   NEW = 'new',
   CLAIMING = 'claiming',
+  /** Replaces another request's claim, to send to the agent that it names. */
   TAKING_OVER = 'taking_over',
+  /** Replaces the claim, to send to another agent. */
   MOVING = 'moving',
+  /** Replaces the claim by a void one. */
   VOIDING = 'voiding',
+  /** Queries the agent for the state of the key. */
   QUERYING = 'asking',
+  /** Sends the booking to the agent. */
   CALLING = 'calling',
+  /** Reads the outcome that the agent recorded in the platform. */
   LOOKING_UP = 'looking_up',
   DONE = 'done',
 }
--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -38,7 +38,12 @@
   readonly effect?: BookingEffect;
 }
 
-/** Returns the state before the first step. */
+/**
+ * Returns the state before the first step.
+ *
+ * @example
+ * createBooking({fingerprint, entryIncarnation: 'e-1', isFirstUse: false});
+ */
 export function createBooking(options: {
   fingerprint: string;
   entryIncarnation: string;
@@ -122,7 +127,7 @@
   }
 }
 
-/** Repeats a write in doubt; the same write can't take effect twice. */
+/** Repeats a write in doubt; conditional writes take effect only once. */
 function retryWrite(state: BookingState, context: StepContext): BookingStep {
   const writeAttempts = state.writeAttempts + 1;
   if (context.isPastDeadline || writeAttempts >= MAX_WRITE_ATTEMPTS) {
@@ -197,7 +202,10 @@
   };
 }
 
-/** Sends the booking unless the deadline has passed. */
+/**
+ * Sends the booking unless the deadline has passed. This is the last step at
+ * which the entry can still prevent the execution.
+ */
 function send(state: BookingState, context: StepContext): BookingStep {
   if (context.isPastDeadline) {
     return state.isSoleSender
@@ -261,20 +269,26 @@
 }
 
 /**
- * The message of this request will not run. Messages of other requests may
- * still run unless this one is the sole sender.
+ * Handles a message that was not sent or not admitted, so that it will not run.
+ * The message of another request may still run, unless this request is the sole
+ * sender.
  */
 function afterNotAdmitted(
   state: BookingState,
   context: StepContext,
 ): BookingStep {
-  const called = state.phase === BookingPhase.CALLING;
-  if (called && state.isSoleSender) {
+  const isCall = state.phase === BookingPhase.CALLING;
+  if (isCall && state.isSoleSender) {
     return moveOrVoid({...state, isSent: false}, context);
   }
   return lookUp(state);
 }
 
+/**
+ * Replaces another request's claim before this request sends the booking. The
+ * other request can then no longer move or void the booking, as its writes are
+ * conditional on its own claim.
+ */
 function takeOver(state: BookingState, context: StepContext): BookingStep {
   const {claim} = state.stored!;
   if (claim.nonce === state.pending?.nonce) {
@@ -293,13 +307,21 @@
   });
 }
 
-/** Nothing runs under the current claim: moves the booking or voids it. */
+/**
+ * Moves the booking to another agent if there is one, or else voids the claim.
+ * Nothing ran or will run under the current claim.
+ */
 function moveOrVoid(state: BookingState, context: StepContext): BookingStep {
   const {claim} = state.stored!;
   const {target, nonce, isPastDeadline} = context;
-  const elsewhere = target?.incarnation !== claim.agentIncarnation;
-  const movesExhausted = state.moves >= MAX_MOVES;
-  if (isPastDeadline || movesExhausted || target === undefined || !elsewhere) {
+  const isOtherAgent = target?.incarnation !== claim.agentIncarnation;
+  const areMovesExhausted = state.moves >= MAX_MOVES;
+  if (
+    isPastDeadline ||
+    areMovesExhausted ||
+    target === undefined ||
+    !isOtherAgent
+  ) {
     return voidClaim(state, context);
   }
   const moved = {...state, moves: state.moves + 1};
--- a/src/core/booking/claim-log.ts
+++ b/src/core/booking/claim-log.ts
@@ -12,6 +12,7 @@
 
 /** Codec of one claim change. */
 export const CLAIM_CHANGE = Codec.interface({
+  /** Name of the claim. */
   name: string,
   claim: CLAIM,
   /** Version of the claim that is replaced; 0 to create a claim. */
@@ -35,6 +36,7 @@
 
 /** Result of one change. */
 export interface ChangeResult {
+  /** False if the claim did not have the expected version. */
   readonly written: boolean;
   /** The current claim; undefined if there is none. */
   readonly stored?: StoredClaim;
@@ -66,7 +68,7 @@
     return this.cutoffMs;
   }
 
-  /** Starts at a later segment when the earlier ones are deleted. */
+  /** Sets the index of the first segment, if earlier ones were deleted. */
   startAt(index: number): void {
     this.nextSegment = index;
   }
@@ -77,8 +79,8 @@
 
   find(name: string): StoredClaim | undefined {
     const stored = this.claims.get(name);
-    const expired = (stored?.claim.claimedAtMs ?? 0) < this.cutoffMs;
-    return expired ? undefined : stored;
+    const isExpired = (stored?.claim.claimedAtMs ?? 0) < this.cutoffMs;
+    return isExpired ? undefined : stored;
   }
 
   /** Applies the next segment; a change whose version conflicts is ignored. */
@@ -141,7 +143,12 @@
 
 const SEGMENT_DIGITS = 12;
 
-/** Returns the change that creates or replaces a claim. */
+/**
+ * Returns the change that creates a claim or replaces the expected one.
+ *
+ * @example
+ * table.apply({...segment, changes: [createChange({name, claim})]});
+ */
 export function createChange(options: {
   name: string;
   claim: Claim;
--- a/src/core/booking/consts.ts
+++ b/src/core/booking/consts.ts
@@ -4,7 +4,10 @@
 /** Maximum number of times a request moves its booking to another agent. */
 export const MAX_MOVES = 2;
 
-/** Outcomes of claims made in the same interval share a name prefix. */
+/**
+ * Length of the interval in which claims are made whose outcomes share a name
+ * prefix, in milliseconds.
+ */
 export const OUTCOME_BUCKET_MS = 60_000;
 
 /** Maximum claim changes in one write. */
@@ -19,11 +22,11 @@
 /** Time for which a claimed key is recognised, in milliseconds. */
 export const CLAIM_RETENTION_MS = 24 * 60 * 60 * 1_000;
 
-/** Age at which segments are deleted, in milliseconds. */
+/** Age at which segments of the claim log are deleted, in milliseconds. */
 export const SEGMENT_RETENTION_MS = 2 * CLAIM_RETENTION_MS;
 
-/** An entry reloads the log if its last sync is older, in milliseconds. */
+/** Age of its last sync after which an entry reloads the log, in ms. */
 export const LOG_RELOAD_MS = 60 * 60 * 1_000;
 
-/** Maximum claims that an entry holds; it refuses further ones. */
+/** Maximum claims in the memory of an entry; at the limit, writes fail. */
 export const MAX_CLAIMS = 100_000;
--- a/src/core/booking/decide-verdict.ts
+++ b/src/core/booking/decide-verdict.ts
@@ -1,6 +1,7 @@
 /**
- * Decides from typed evidence whether a refused booking ran, as a pure
- * function. The verdict is Executed.NO only if no later event can make it false.
+ * Decides, as a pure function of typed evidence, what a refusal states: whether
+ * the booking ran and why it was refused. It states Executed.NO only if no later
+ * event can make that false.
  */
 import {Executed, RefusalReason} from '../errors/refusals.js';
 
@@ -37,17 +38,18 @@
   readonly kind: EvidenceKind;
 }
 
-/** Contents of a refusal. */
+/** Contents of the refusal of a booking. */
 export interface Verdict {
+  /** Whether the booking ran. */
   readonly ran: Executed;
   readonly reason: RefusalReason;
   readonly detail: string;
-  /** Whether the refusal suggests a retry after a delay. */
+  /** Whether the refusal asks the caller to retry later (Retry-After). */
   readonly retryLater: boolean;
 }
 
 /**
- * Decides what the refusal of a booking states.
+ * Returns the verdict for the evidence.
  *
  * @example
  * decideVerdict({kind: EvidenceKind.AGENT_GONE}).ran; // Executed.UNKNOWN
--- a/src/core/booking/grouped-claims.ts
+++ b/src/core/booking/grouped-claims.ts
@@ -1,4 +1,4 @@
-/** A claim store that writes many claim changes at once. */
+/** A claim store that writes many claim changes in one store write. */
 import type {Clock, RandomSource} from '../clock/index.js';
 import type {ObjectStore, StoredObject, StoreError} from '../edges/index.js';
 import {ObjectKind, StoreErrorKind} from '../edges/index.js';
@@ -54,11 +54,13 @@
  */
 export class GroupedClaims implements ClaimStore {
   private table = new ClaimTable();
-  /** Segments in the platform, oldest first. */
+  /** The segments in the platform, oldest first. */
   private segments: StoredSegment[] = [];
+  /** When this entry last read or wrote the log, on its own clock. */
   private syncedAtMs = -Infinity;
   private pending: PendingChange[] = [];
-  private busy = false;
+  /** Whether a write is scheduled or in progress. */
+  private isBusy = false;
   private lastWriteMs = -Infinity;
 
   constructor(
@@ -91,10 +93,10 @@
   }
 
   private schedule(): void {
-    if (this.busy || this.pending.length === 0) return;
-    this.busy = true;
-    const {clock, writeIntervalMs: paceMs} = this.options;
-    const dueMs = this.lastWriteMs + paceMs;
+    if (this.isBusy || this.pending.length === 0) return;
+    this.isBusy = true;
+    const {clock, writeIntervalMs} = this.options;
+    const dueMs = this.lastWriteMs + writeIntervalMs;
     const delayMs = Math.max(0, dueMs - clock.now());
     clock.schedule({delayMs, run: () => void this.flush()});
   }
@@ -104,7 +106,7 @@
     const group = this.pending.splice(0, MAX_GROUP_CHANGES);
     await this.writeGroup(group);
     await this.deleteOldSegment();
-    this.busy = false;
+    this.isBusy = false;
     this.schedule();
   }
 
@@ -123,7 +125,8 @@
       this.resolveGroup(group, segment, outcome);
       return;
     }
-    // Each attempt found a segment of another entry, so none was written.
+    // At each attempt another entry had created the segment, so this entry
+    // wrote none.
     resolveAll(group, {outcome: WriteOutcome.NO_EFFECT});
   }
 
@@ -163,10 +166,10 @@
     name: string,
     error: StoreError,
   ): Promise<AppendOutcome> {
-    const certain =
+    const hasNoEffect =
       error.kind === StoreErrorKind.UNAVAILABLE ||
       error.kind === StoreErrorKind.INVALID;
-    if (certain) return AppendOutcome.NO_EFFECT;
+    if (hasNoEffect) return AppendOutcome.NO_EFFECT;
     const kind = ObjectKind.CLAIM;
     const read = await this.options.store.read({kind, name});
     const object = read.isOk() ? read.value.extract() : undefined;
@@ -180,8 +183,9 @@
   }
 
   /**
-   * Reloads the log at the start and after LOG_RELOAD_MS without a sync. After
-   * a longer pause, segments that this entry missed may be deleted.
+   * Reloads the log at the start and after LOG_RELOAD_MS without a sync, as
+   * segments that this entry has not read may then be deleted. Returns false if
+   * the log cannot be read.
    */
   private async syncLog(): Promise<boolean> {
     const {clock, store} = this.options;
@@ -191,11 +195,12 @@
     const listed = await store.list({kind, prefix: SEGMENT_PREFIX});
     if (listed.isErr()) return false;
     const objects = [...listed.value].sort(byName);
-    const loaded = this.replay(objects);
-    if (loaded) this.syncedAtMs = startedAtMs;
-    return loaded;
+    const isLoaded = this.replay(objects);
+    if (isLoaded) this.syncedAtMs = startedAtMs;
+    return isLoaded;
   }
 
+  /** Returns false if a segment is missing or unreadable. */
   private replay(objects: readonly StoredObject[]): boolean {
     this.table = new ClaimTable();
     this.segments = [];
@@ -220,7 +225,10 @@
     this.syncedAtMs = this.options.clock.now();
   }
 
-  /** Deletes one old segment, never the newest: it fixes the next index. */
+  /**
+   * Deletes the oldest segment if it has expired, but never the newest one, as
+   * its name determines the next index.
+   */
   private async deleteOldSegment(): Promise<void> {
     const oldest = this.segments[0];
     if (oldest === undefined || this.segments.length < 2) return;
@@ -229,8 +237,8 @@
     this.segments.shift();
     const kind = ObjectKind.CLAIM;
     const {name, version: expectedVersion} = oldest;
-    // Another entry may have deleted it already. After another failure the
-    // segment stays until this entry reloads the log.
+    // Fails if another entry has deleted the segment. After any other failure
+    // this entry tries again only once it has reloaded the log.
     await this.options.store.remove({kind, name, expectedVersion});
   }
 }
--- a/src/core/booking/outcomes.ts
+++ b/src/core/booking/outcomes.ts
@@ -11,10 +11,12 @@
 export const RECORDED_OUTCOME = Codec.interface({
   /** Name of the claim. */
   name: string,
+  /** Fingerprint of the request. */
   fingerprint: string,
+  /** HTTP status of the response. */
   status: number,
   headers: array(HEADER_FIELD),
-  /** Base64. */
+  /** Body of the response, in Base64. */
   body: string,
 });
 
@@ -43,7 +45,7 @@
 
 /** Reads recorded outcomes. */
 export interface OutcomeReader {
-  /** Undefined if none is recorded or the store does not respond. */
+  /** Finds an outcome by the name of the claim; undefined if none is found. */
   find(options: {
     name: string;
     incarnation: string;
@@ -51,7 +53,13 @@
   }): Promise<PlainResponse | undefined>;
 }
 
-/** Reads outcomes from the platform. */
+/**
+ * Reads outcomes from the platform. A store that does not respond counts as a
+ * store without the outcome.
+ *
+ * @example
+ * const outcomes = new StoredOutcomes({store});
+ */
 export class StoredOutcomes implements OutcomeReader {
   constructor(private readonly options: {store: ObjectStore}) {}
 
--- a/src/core/booking/single-claims.ts
+++ b/src/core/booking/single-claims.ts
@@ -7,7 +7,8 @@
 
 /**
  * Stores each claim as an object of its own. A change is written at once,
- * without waiting for a group; a booking needs up to two writes.
+ * without waiting for a group; a booking needs up to two writes. The booking
+ * experiment compares GroupedClaims with it.
  *
  * @example
  * const claims = new SingleClaims({store});
@@ -18,7 +19,7 @@
   create(options: {name: string; claim: Claim}): Promise<WriteResult> {
     const {name, claim} = options;
     const key = keyOf(name);
-    return this.settle(
+    return this.awaitWrite(
       key,
       claim,
       this.options.store.create({...key, value: claim}),
@@ -38,10 +39,10 @@
       value: claim,
       expectedVersion,
     });
-    return this.settle(key, claim, updating);
+    return this.awaitWrite(key, claim, updating);
   }
 
-  private async settle(
+  private async awaitWrite(
     key: ObjectKey,
     claim: Claim,
     writing: ReturnType<ObjectStore['create']>,
--- a/src/core/booking/step-evidence.ts
+++ b/src/core/booking/step-evidence.ts
@@ -1,4 +1,4 @@
-/** Evidence for bookings that end without an outcome. */
+/** Selects the evidence for bookings that end without an outcome. */
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
 import {EvidenceKind} from './decide-verdict.js';
--- a/src/core/booking/types.ts
+++ b/src/core/booking/types.ts
@@ -21,7 +21,9 @@
    */
   nonce: string,
   state: enumeration(ClaimState),
+  /** Fingerprint of the request; another one with the same key is refused. */
   fingerprint: string,
+  /** Empty, like `agentIncarnation`, if the claim was created void. */
   agentVm: string,
   agentIncarnation: string,
   /** Incarnation of the entry that last wrote the claim. */
@@ -64,7 +66,7 @@
   readonly stored?: StoredClaim;
 }
 
-/** What an agent reports about a key, or why it reported nothing. */
+/** What an agent reported about a key, or why no report was received. */
 export enum AgentResultKind {
   /** The outcome of the first execution; `response` is set. */
   RESPONSE = 'response',
@@ -91,6 +93,7 @@
 /** Result of CALL and QUERY. */
 export interface AgentResult {
   readonly kind: AgentResultKind;
+  /** Set for RESPONSE. */
   readonly response?: PlainResponse;
 }
 
@@ -133,6 +136,7 @@
 export interface CallEffect {
   readonly kind: EffectKind.CALL;
   readonly agent: AgentId;
+  /** Time of the claim; the agent derives the name of the outcome from it. */
   readonly claimedAtMs: number;
 }
 
@@ -142,7 +146,10 @@
   readonly claim: Claim;
 }
 
-/** Responds to the caller with the outcome or with a refusal. */
+/**
+ * Responds to the caller with the outcome in `response`, or with a refusal that
+ * follows from `evidence`. One of the two is set.
+ */
 export interface FinishEffect {
   readonly kind: EffectKind.FINISH;
   readonly response?: PlainResponse;
@@ -186,7 +193,8 @@
   readonly nonce: string;
   /** The agent of the target that new work would go to, if any. */
   readonly target?: AgentId;
-  /** Whether the deadline has passed, as after a pause of this process. */
+  /** Whether the deadline has passed; the process may have been paused. */
   readonly isPastDeadline: boolean;
+  /** Wall-clock time, in milliseconds since the epoch. */
   readonly wallMs: number;
 }
