--- a/src/core/poison/crash-causes.ts
+++ b/src/core/poison/crash-causes.ts
@@ -1,15 +1,16 @@
-/** Finds which of several requests caused the crash of an engine. */
+/** Finds out which of several requests caused the crash of an engine. */
 
-/** A request that runs in an engine, with its earlier crashes. */
+/** A request that runs in an engine, or ran in it when it crashed. */
 export interface Suspect {
   readonly id: string;
+  /** Ids of earlier crashes in which the request was running. */
   readonly crashes: readonly string[];
 }
 
 /**
  * Returns the ids of the suspects that caused a crash: each is the only one of
- * the suspects that also ran in some earlier crash. It is then the only request
- * that the two crashes have in common.
+ * the suspects that was also running in some earlier crash. It is then the only
+ * request that the two crashes have in common.
  *
  * @example
  * // ['a']
--- a/src/core/poison/data-centre-outage.ts
+++ b/src/core/poison/data-centre-outage.ts
@@ -8,19 +8,20 @@
 /** Minimum share of the other targets that are lost in an outage. */
 const MIN_LOST_SHARE = 0.75;
 
-/** A lost target and the other known targets. */
+/** A lost target, and what decides whether its data centre has failed. */
 export interface OutageQuery {
   readonly lost: Target;
+  /** When it was lost, on the clock of this process. */
   readonly lostAtMs: number;
-  /** All known targets. */
+  /** All known targets, including the lost one. */
   readonly targets: Iterable<Target>;
-  /** Incarnations that the request may have crashed before this one. */
+  /** Target incarnations that the request may have crashed before. */
   readonly crashedBefore: ReadonlySet<string>;
 }
 
 /**
  * Returns whether most other targets of a lost target's data centre were lost
- * at the same time. Targets of the same service are preferred for the check.
+ * at the same time. If any of them provide the same service, only these count.
  *
  * An outage of a data centre must not count as a crash caused by the request.
  * A request that crashes several targets of one data centre, one after the
@@ -54,9 +55,9 @@
 
 /** Returns whether a target was present until about the time of a loss. */
 function wasPresent(
-  {unavailableSinceMs: lostSinceMs, record}: Target,
+  {unavailableSinceMs, record}: Target,
   lostAtMs: number,
 ): boolean {
-  if (lostSinceMs === undefined) return !record.isDraining;
-  return lostSinceMs >= lostAtMs - OUTAGE_WINDOW_MS;
+  if (unavailableSinceMs === undefined) return !record.isDraining;
+  return unavailableSinceMs >= lostAtMs - OUTAGE_WINDOW_MS;
 }
--- a/src/core/poison/drop-oldest.ts
+++ b/src/core/poison/drop-oldest.ts
@@ -1,7 +1,7 @@
 /** Bounds the size of maps and sets. */
 
 /**
- * Drops the oldest entry if there are more than `maxSize`.
+ * Drops the entry that was inserted first if there are more than `maxSize`.
  *
  * @example
  * dropOldest({entries: records, maxSize: 10_000});
--- a/src/core/poison/loss-ledger.ts
+++ b/src/core/poison/loss-ledger.ts
@@ -1,47 +1,53 @@
-/** Counts the targets that were lost under requests, at all entries. */
+/** Counts, over all entries, the targets lost while they ran a request. */
 import type {Clock} from '../clock/index.js';
 import {dropOldest} from './drop-oldest.js';
 import type {RecordedLoss, RecordedLosses} from './recorded-losses.js';
 import type {Loss} from './loss-table.js';
 import {LossTable} from './loss-table.js';
 
-/** Number of losses from which a request counts as their cause. */
+/** Number of lost targets from which a request counts as their cause. */
 export const POISON_LOSSES = 3;
 
-/** Number of losses from which a request is resent only with precautions. */
+/** Number of lost targets from which a request is a suspect. */
 export const SUSPECT_LOSSES = 2;
 
-/** Outages under one request from which they no longer count as chance. */
+/**
+ * Number of data-centre outages from which a request that ran in all of them
+ * counts as their cause, as chance no longer explains them.
+ */
 export const POISON_OUTAGES = 5;
 
 /** Time for which a loss counts against a request, in milliseconds. */
 const LOSS_RETENTION_MS = 600_000;
 
-/** Maximum interval between losses in one outage, in milliseconds. */
+/** Maximum interval between two losses in the same outage, in milliseconds. */
 const SAME_OUTAGE_MS = 2_000;
 
 /** Maximum requests in each collection; the oldest are dropped first. */
 const MAX_REQUESTS = 4_096;
 
-/** A request and the incarnation of a target that was lost under it. */
+/** A request and a target incarnation that was lost while it ran it. */
 export interface LossKey {
+  /** Fingerprint of the request. */
   readonly request: string;
   readonly incarnation: string;
 }
 
-/** Data-centre outages in which targets were lost under a request. */
+/** Data-centre outages in which targets were lost while they ran a request. */
 interface Outages {
   readonly count: number;
+  /** When the last loss in an outage was recorded. */
   readonly lastMs: number;
 }
 
 const NONE: ReadonlySet<string> = new Set();
 
 /**
- * Counts the incarnations of targets that were lost under each request, over
- * all entries. It detects a request that crashes every target that starts it
- * and that is retried at any entry, so that each entry sees only some of its
- * losses. An incarnation counts once, however many equal requests it ran.
+ * Counts the target incarnations that were lost while they ran a request, for
+ * each request and over all entries. It detects a request that crashes every
+ * target that starts it and that is retried at any entry, so that each entry
+ * sees only some of the losses. An incarnation counts once, however many equal
+ * requests it ran. Requests are identified by their fingerprints.
  *
  * @example
  * const ledger = new LossLedger({clock});
@@ -54,11 +60,11 @@
   private readonly ownLosses = new LossTable();
   private readonly otherLosses = new Map<string, LossTable>();
   private readonly outages = new Map<string, Outages>();
-  /** Requests that this entry served after others recorded losses. */
+  /** Requests that this entry served and that others recorded losses of. */
   private readonly ownServed = new Set<string>();
-  /** The same of the other entries, by entry. */
+  /** Requests that other entries published as served, by entry. */
   private readonly othersServed = new Map<string, ReadonlySet<string>>();
-  /** Incarnations that quarantined requests crashed, by request. */
+  /** Target incarnations that quarantined requests crashed, by request. */
   private readonly attributed = new Map<string, ReadonlySet<string>>();
 
   constructor(private readonly options: {clock: Clock}) {}
@@ -70,18 +76,18 @@
     );
   }
 
-  /** Records a loss whose cause is not known yet. */
+  /** Records a lost target before the cause is diagnosed. */
   recordLoss(key: LossKey): void {
     this.putOwn(key, false);
   }
 
-  /** Attributes a loss to its request, as no other cause was found. */
+  /** Confirms a loss after its diagnosis: no other cause was found. */
   confirm(key: LossKey): void {
     const loss = this.ownLosses.lossesOf(key.request).get(key.incarnation);
     if (loss !== undefined) this.ownLosses.put({...loss, isSettled: true});
   }
 
-  /** Removes a loss that had another cause. */
+  /** Removes a loss that had another cause than the request. */
   dismiss(key: LossKey): void {
     this.ownLosses.remove(key);
   }
@@ -92,18 +98,18 @@
     this.dismiss(key);
     const lastMs = this.options.clock.now();
     const earlier = this.outages.get(request);
-    const isSame =
+    const isSameOutage =
       earlier !== undefined && lastMs - earlier.lastMs <= SAME_OUTAGE_MS;
-    const count = (earlier?.count ?? 0) + (isSame ? 0 : 1);
+    const count = (earlier?.count ?? 0) + (isSameOutage ? 0 : 1);
     this.outages.delete(request);
     this.outages.set(request, {count, lastMs});
     dropOldest({entries: this.outages, maxSize: MAX_REQUESTS});
   }
 
   /**
-   * Records that one target served the request completely, so that it crashes
-   * none. Returns whether to publish this: other entries have recorded losses
-   * under the request and have not received it yet.
+   * Records that a target served a request completely, so that the request is
+   * harmless. Returns whether the losses of this entry must be published again:
+   * other entries have losses of the request and do not know this yet.
    */
   recordServed(request: string): boolean {
     this.outages.delete(request);
@@ -115,12 +121,12 @@
     return mustPublish;
   }
 
-  /** Entries whose recorded losses have been received. */
+  /** The other entries from which losses were received, even if none. */
   get knownEntries(): readonly string[] {
     return [...this.othersServed.keys()];
   }
 
-  /** Replaces the losses of another entry. */
+  /** Replaces what another entry has recorded. */
   updateEntry(entry: string, recorded: RecordedLosses): void {
     const earlier = this.otherLosses.get(entry);
     const nowMs = this.options.clock.now();
@@ -135,7 +141,7 @@
     this.othersServed.set(entry, new Set(recorded.harmless));
   }
 
-  /** Removes the losses of an entry whose object was deleted. */
+  /** Removes the losses of an entry whose object in the store was deleted. */
   removeEntry(entry: string): void {
     this.otherLosses.delete(entry);
     this.othersServed.delete(entry);
@@ -144,26 +150,26 @@
   /** Restores the losses that an earlier incarnation of this entry stored. */
   restore(recorded: RecordedLosses): void {
     for (const {request, life: incarnation} of recorded.losses) {
-      // The incarnation that could have diagnosed the cause has ended.
+      // Nobody can diagnose the cause any more, so the loss counts.
       this.putOwn({request, incarnation}, true);
     }
     for (const request of recorded.harmless) this.ownServed.add(request);
   }
 
-  /** Attributes crashes to a request; they no longer count against others. */
+  /** Attributes lost targets to a request; they no longer count for others. */
   attribute(request: string, incarnations: readonly string[]): void {
     this.attributed.set(request, new Set(incarnations));
     dropOldest({entries: this.attributed, maxSize: MAX_REQUESTS});
   }
 
-  /** Clears a request that was released: its losses no longer count. */
+  /** Clears the losses of a request that was released from quarantine. */
   reset(request: string): void {
     this.attributed.delete(request);
     this.outages.delete(request);
     for (const table of this.tables()) table.removeAll(request);
   }
 
-  /** Returns the losses of this entry, to share them with the others. */
+  /** Returns what this entry publishes to the others. */
   toRecordedLosses(): RecordedLosses {
     const losses = [...this.ownLosses.all()]
       .filter((loss) => this.isFresh(loss))
@@ -173,14 +179,18 @@
     return {losses, harmless: [...this.ownServed]};
   }
 
-  /** Returns the incarnations lost under a request, diagnosed or not. */
+  /**
+   * Returns the incarnations that were lost while they ran a request, whether
+   * the cause is diagnosed or not.
+   */
   incarnationsOf(request: string): ReadonlySet<string> {
     return this.collectIncarnations(request, () => true);
   }
 
   /**
-   * Returns the incarnations lost under a request at this entry before a time,
-   * and at other entries at any time: the caller may have retried at them.
+   * Returns the incarnations that were lost while they ran a request: those
+   * that this entry recorded until a time, and all that other entries recorded,
+   * as the caller may have tried those entries before.
    */
   incarnationsBefore(request: string, beforeMs: number): ReadonlySet<string> {
     const own = this.ownLosses.lossesOf(request);
@@ -190,20 +200,23 @@
     });
   }
 
-  /** Returns whether a request is resent only with precautions. */
+  /**
+   * Returns whether retries of a request must wait for a diagnosis and be
+   * isolated from other requests.
+   */
   isSuspect(request: string): boolean {
     return this.incarnationsOf(request).size >= SUSPECT_LOSSES;
   }
 
-  /** Returns whether losses must be diagnosed before the request is sent. */
+  /** Returns whether losses must be diagnosed before a request is sent. */
   mayBePoison(request: string): boolean {
-    const isOften = this.incarnationsOf(request).size >= POISON_LOSSES;
-    return isOften || this.isPoison(request);
+    const hasManyLosses = this.incarnationsOf(request).size >= POISON_LOSSES;
+    return hasManyLosses || this.isPoison(request);
   }
 
   /**
-   * Returns whether a request crashes its targets. If another request lost the
-   * same targets, either may be the cause, so one more loss is required.
+   * Returns whether a request crashes its targets. If the same targets also ran
+   * another request, either may be the cause, so one more loss is required.
    */
   isPoison(request: string): boolean {
     if ((this.outages.get(request)?.count ?? 0) >= POISON_OUTAGES) return true;
@@ -238,7 +251,7 @@
     return incarnations;
   }
 
-  /** Returns whether all incarnations were also lost under another request. */
+  /** Returns whether all incarnations were running a second request as well. */
   private hasOtherSuspect(
     request: string,
     incarnations: ReadonlySet<string>,
@@ -246,9 +259,9 @@
     const shared = new Map<string, Set<string>>();
     for (const table of this.tables()) {
       for (const loss of table.all()) {
-        const isOther =
+        const isSharedLoss =
           loss.request !== request && incarnations.has(loss.incarnation);
-        if (!isOther || !this.isCounted(loss)) continue;
+        if (!isSharedLoss || !this.isCounted(loss)) continue;
         const lost = shared.get(loss.request) ?? new Set<string>();
         shared.set(loss.request, lost.add(loss.incarnation));
       }
--- a/src/core/poison/loss-table.ts
+++ b/src/core/poison/loss-table.ts
@@ -1,10 +1,11 @@
-/** Losses of one entry, by request and incarnation of the lost target. */
+/** Losses that one entry recorded, by request and target incarnation. */
 import {dropOldest} from './drop-oldest.js';
 
-/** One target that was lost under a request. */
+/** A target that was lost while it ran a request. */
 export interface Loss {
+  /** Fingerprint of the request. */
   readonly request: string;
-  /** Identifier of the lost incarnation of the target. */
+  /** Identifier of the lost target incarnation. */
   readonly incarnation: string;
   /** When this process recorded or received it, on its own clock. */
   readonly atMs: number;
@@ -32,7 +33,7 @@
     return this.byRequest.size === 0;
   }
 
-  /** Returns the losses under a request, by incarnation. */
+  /** Returns the losses of a request, by incarnation. */
   lossesOf(request: string): ReadonlyMap<string, Loss> {
     return this.byRequest.get(request) ?? NONE;
   }
--- a/src/core/poison/quarantine.ts
+++ b/src/core/poison/quarantine.ts
@@ -1,4 +1,4 @@
-/** Quarantined requests, which are refused. */
+/** The quarantine of requests that crash their targets. */
 import {array, Codec, string} from 'purify-ts';
 import type {GetType} from 'purify-ts';
 
@@ -7,18 +7,21 @@
 /** Maximum quarantined requests; the oldest are dropped first. */
 export const MAX_QUARANTINED = 10_000;
 
-/** Codec of the object of a quarantined request, under its fingerprint. */
+/** Codec of the stored object of a request, which its fingerprint names. */
 export const QUARANTINE_RECORD = Codec.interface({
   clientAccount: string,
-  /** The crashes that it caused; they do not count against other requests. */
+  /**
+   * Ids of the engine crashes that it caused or of the target incarnations that
+   * it crashed. They do not count against other requests.
+   */
   crashes: array(string),
 });
 
-/** The record of a request that crashed its targets. */
+/** The record of a quarantined request. */
 export type QuarantineRecord = GetType<typeof QUARANTINE_RECORD>;
 
 /**
- * The fingerprints that this process refuses.
+ * The fingerprints of the requests that this process refuses.
  *
  * @example
  * quarantine.add({fingerprint, record});
@@ -48,7 +51,7 @@
     for (const listener of [...this.listeners]) listener(fingerprint, record);
   }
 
-  /** Removes a request after its object was deleted. */
+  /** Removes a request after operators have deleted its object. */
   remove(fingerprint: string): void {
     if (!this.records.delete(fingerprint)) return;
     for (const listener of [...this.removalListeners]) listener(fingerprint);
--- a/src/core/poison/recorded-losses.ts
+++ b/src/core/poison/recorded-losses.ts
@@ -1,28 +1,28 @@
-/** Losses of targets under requests, as an entry shares them with others. */
+/** Losses of targets that ran a request, as an entry publishes them. */
 import {array, boolean, Codec, string} from 'purify-ts';
 import type {GetType} from 'purify-ts';
 
 const RECORDED_LOSS = Codec.interface({
   /** Fingerprint of the request. */
   request: string,
-  /** Identifier of the lost incarnation of the target. */
+  /** Identifier of the lost target incarnation. */
   life: string,
   /** Whether diagnosis has ended and found no cause other than the request. */
   isSettled: boolean,
 });
 
-/** Codec of the object that holds the losses of one entry, under its VM. */
+/** Codec of the stored object of one entry, which the entry's VM names. */
 export const RECORDED_LOSSES = Codec.interface({
   losses: array(RECORDED_LOSS),
   /**
-   * Fingerprints of requests that were served completely after other entries
-   * had recorded losses under them.
+   * Fingerprints of requests that this entry served completely although other
+   * entries had recorded losses of them.
    */
   harmless: array(string),
 });
 
-/** One target that was lost under a request. */
+/** A target that was lost while it ran a request. */
 export type RecordedLoss = GetType<typeof RECORDED_LOSS>;
 
-/** All recorded losses of one entry. */
+/** What one entry has recorded. */
 export type RecordedLosses = GetType<typeof RECORDED_LOSSES>;
