--- a/src/core/generation/assembly.ts
+++ b/src/core/generation/assembly.ts
@@ -16,7 +16,7 @@
   FINISHED = 'finished',
 }
 
-/** Result of a message. */
+/** Result of receiving a message. */
 export interface Step {
   readonly kind: StepKind;
   /** Number of new tokens. */
@@ -27,8 +27,9 @@
 const BROKEN: Step = {kind: StepKind.BROKEN, appended: 0};
 
 /**
- * Accepts only the next positions of the current attempt. Messages that are
- * late, duplicated or of another attempt change nothing.
+ * Adds tokens to the log of an output. Accepts only the next positions of the
+ * current attempt; messages that are late, duplicated or of another attempt
+ * change nothing.
  *
  * @example
  * const assembly = new Assembly({log, spec});
@@ -37,6 +38,7 @@
  */
 export class Assembly {
   private currentId = '';
+  /** Length of the log when the current attempt began, in tokens. */
   private resumePosition = 0;
 
   constructor(
@@ -69,6 +71,7 @@
 
   receiveTokens(options: {
     attemptId: string;
+    /** Position of the first token in the output. */
     position: number;
     tokens: readonly Token[];
   }): Step {
@@ -84,6 +87,7 @@
 
   receiveEnd(options: {
     attemptId: string;
+    /** Length of the complete output, in tokens. */
     length: number;
     finishReason: FinishReason;
   }): Step {
--- a/src/core/generation/detect-finish.ts
+++ b/src/core/generation/detect-finish.ts
@@ -24,14 +24,14 @@
   stop: readonly string[],
   tokens: readonly Token[],
 ): boolean {
-  const wanted = stop.filter((text) => text !== '');
-  if (wanted.length === 0) return false;
-  const longest = Math.max(...wanted.map((text) => text.length));
+  const stopStrings = stop.filter((text) => text !== '');
+  if (stopStrings.length === 0) return false;
+  const longest = Math.max(...stopStrings.map((text) => text.length));
   const lastText = tokens.at(-1)?.text ?? '';
-  const needed = longest + lastText.length;
+  const tailLength = longest + lastText.length;
   let tail = '';
-  for (let i = tokens.length - 1; i >= 0 && tail.length < needed; i--) {
+  for (let i = tokens.length - 1; i >= 0 && tail.length < tailLength; i--) {
     tail = tokens[i]!.text + tail;
   }
-  return wanted.some((text) => tail.includes(text));
+  return stopStrings.some((text) => tail.includes(text));
 }
--- a/src/core/generation/fingerprint.ts
+++ b/src/core/generation/fingerprint.ts
@@ -1,11 +1,13 @@
 /** Fingerprints of request contents. */
 import {createHash} from 'node:crypto';
 
+/** Number of hexadecimal digits of a fingerprint. */
 const FINGERPRINT_CHARS = 32;
 
 /**
  * Returns a hash of the content of a request, for one client account. The
- * length of each part is hashed too, so that different splits differ.
+ * length of each part is hashed too, so that the parts 'ab', 'c' and 'a', 'bc'
+ * have different fingerprints.
  *
  * @example
  * fingerprintOf({clientAccount: 'demo', parts: ['POST', '/orders', body]});
--- a/src/core/generation/recovery-policy.ts
+++ b/src/core/generation/recovery-policy.ts
@@ -1,4 +1,4 @@
-/** Policies for the recovery from losses, by the priority of a deployment. */
+/** Policies for the recovery of generations, by the goal of a deployment. */
 import {RecoveryGoal} from '../config/types.js';
 
 /** Recovery policy of a deployment. */
@@ -12,24 +12,24 @@
   readonly prefersCached: boolean;
 }
 
-/** Hedges attempts, which uses idle capacity. */
+/** Recovers fast: starts hedged attempts at idle targets. */
 const LATENCY: RecoveryPolicy = {
   hedgeShare: 2 / 3,
   prefersCached: false,
 };
 
-/** Does not hedge, and prefers cached prompts. */
+/** Saves resources: starts no hedged attempts, and prefers cached prompts. */
 const RESOURCES: RecoveryPolicy = {
   hedgeShare: Number.POSITIVE_INFINITY,
   prefersCached: true,
 };
 
 /**
- * Returns the policy for the priority of a deployment.
+ * Returns the policy for the recovery goal of a deployment.
  *
  * @example
  * resolveRecoveryPolicy(cfg.recovery.weigh).prefersCached;
  */
-export function resolveRecoveryPolicy(weigh: RecoveryGoal): RecoveryPolicy {
-  return weigh === RecoveryGoal.RESOURCES ? RESOURCES : LATENCY;
+export function resolveRecoveryPolicy(goal: RecoveryGoal): RecoveryPolicy {
+  return goal === RecoveryGoal.RESOURCES ? RESOURCES : LATENCY;
 }
--- a/src/core/generation/silence-limit.ts
+++ b/src/core/generation/silence-limit.ts
@@ -1,12 +1,12 @@
-/** Limits the silence of a peer by the gaps between its messages. */
+/** Limits how long a peer may be silent, by the gaps between its messages. */
 
 /** Factor by which the widest gap decays with each observed gap. */
-const DECAY = 0.98;
+const GAP_DECAY = 0.98;
 
 /** Allowed silence as a multiple of the widest recent gap. */
 const GAP_FACTOR = 3;
 
-/** Maximum of the allowed silence, in milliseconds. */
+/** Maximum allowed silence unless a floor is higher, in milliseconds. */
 export const SILENCE_CEILING_MS = 1_800;
 
 /**
@@ -23,12 +23,12 @@
 
   /** Records a gap that ended with a message. */
   observe(gapMs: number): void {
-    this.widestGapMs = Math.max(gapMs, this.widestGapMs * DECAY);
+    this.widestGapMs = Math.max(gapMs, this.widestGapMs * GAP_DECAY);
   }
 
   /**
-   * Returns the allowed silence in milliseconds: at least `floorMs`, and at most
-   * SILENCE_CEILING_MS unless `floorMs` is higher.
+   * Returns the allowed silence in milliseconds: at least `floorMs`, and at
+   * most SILENCE_CEILING_MS unless `floorMs` is higher.
    */
   allowedMs(floorMs: number): number {
     const byGaps = this.widestGapMs * GAP_FACTOR;
--- a/src/core/generation/token-log.ts
+++ b/src/core/generation/token-log.ts
@@ -13,7 +13,7 @@
 export interface AppendResult {
   /** Number of new tokens. */
   readonly appended: number;
-  /** Number of tokens that were in the log already. */
+  /** Number of tokens that were in the log already or came after its end. */
   readonly duplicates: number;
   /** Whether tokens are missing between the log and the appended ones. */
   readonly gap: boolean;
--- a/src/core/generation/validate-end.ts
+++ b/src/core/generation/validate-end.ts
@@ -3,7 +3,7 @@
 import {FinishReason} from '../edges/engine-driver.js';
 import {detectFinish} from './detect-finish.js';
 
-/** An end within this many tokens after a resume needs a confirmation. */
+/** A `stop` within this many tokens after a resume needs a confirmation. */
 export const EARLY_END_WINDOW = 16;
 
 /** How to handle an end. */
@@ -23,9 +23,10 @@
 }
 
 /**
- * Validates an end. `length` before `maxTokens` is broken. A `stop` shortly
- * after a resume needs a confirmation by another engine unless the text
- * contains a stop string. An attempt that ends without a new token confirms it.
+ * Validates an end. With the reason `length` before `maxTokens` it is broken.
+ * With the reason `stop` shortly after a resume it needs a confirmation by
+ * another engine, unless the text contains a stop string. An attempt that ends
+ * without a new token confirms it.
  *
  * @example
  * validateEnd({end, spec, tokens, resumePosition: 120});
