--- a/src/core/routes/admit-request.ts
+++ b/src/core/routes/admit-request.ts
@@ -7,7 +7,10 @@
 import type {RouteTable} from './route-table.js';
 import type {AccountKeys, Route} from './types.js';
 
-/** Retry delay in ms; another entry may have a newer configuration. */
+/**
+ * Time after which the caller may retry, in milliseconds. It may then reach
+ * another entry, which may have a newer configuration.
+ */
 const RETRY_AFTER_MS = 150;
 
 /** A request on arrival, and the configuration of the entry. */
@@ -18,6 +21,7 @@
   readonly isTrusted: boolean;
   readonly host: string;
   readonly path: string;
+  /** API key of the caller; undefined if it sent none. */
   readonly key?: string;
 }
 
@@ -25,6 +29,7 @@
 export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
+  /** Undefined if the route needs no key. */
   readonly account?: AccountKeys;
 }
 
--- a/src/core/routes/route-table.ts
+++ b/src/core/routes/route-table.ts
@@ -68,7 +68,8 @@
 }
 
 /**
- * Picks the service of a request at random, by the weights of a route.
+ * Picks the service of a request at random, by the weights of a route. Returns
+ * undefined if the route has no services.
  *
  * @example
  * const service = pickService({route, draw: random.float()});
--- a/src/core/routes/types.ts
+++ b/src/core/routes/types.ts
@@ -49,7 +49,10 @@
   readonly kvCapacityTokens: number;
   /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
-  /** Whether an engine can copy the KV cache of a running generation. */
+  /**
+   * Whether an engine can copy the KV cache of a running generation to another
+   * engine.
+   */
   readonly canCopy: boolean;
   /** Time for which the KV cache copy of a lost generation is kept. */
   readonly copyLifetimeMs: number;
@@ -70,7 +73,9 @@
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
+  /** Time within which the headers of a request must arrive. */
   readonly headerTimeoutMs: number;
+  /** Time for which a connection without a request is kept open. */
   readonly idleTimeoutMs: number;
 }
 
