--- a/test/core/booking/grouped-claims.test.ts
+++ b/test/core/booking/grouped-claims.test.ts
@@ -1,4 +1,7 @@
-/** Grouped claims over a store that loses writes and responses. */
+/**
+ * Grouped claims over a store that loses writes and responses. Guards against
+ * two requests that both hold the claim of one name.
+ */
 import fc from 'fast-check';
 import {okAsync} from 'neverthrow';
 import {describe, expect, it} from 'vitest';
@@ -61,7 +64,7 @@
 interface ClaimAttempt {
   readonly name: string;
   readonly nonce: string;
-  /** Nonce of the current claim; undefined if it is not known. */
+  /** Nonce of the claim that the name has; undefined if it is not known. */
   readonly holder?: string;
 }
 
@@ -113,8 +116,8 @@
         for (const name of NAMES) {
           const {holder} = await claimName(reader, name, 'reader');
           const holders = attempts
-            .filter((one) => one.name === name)
-            .flatMap((one) => one.holder ?? []);
+            .filter((attempt) => attempt.name === name)
+            .flatMap((attempt) => attempt.holder ?? []);
           expect([...new Set(holders), holder]).toEqual(
             holders.length > 0 ? [holder, holder] : [holder],
           );
@@ -124,7 +127,7 @@
     await fc.assert(property, {seed: SEED, numRuns: RUNS});
   });
 
-  it('writes many claims at once', async () => {
+  it('writes many claims in one store write', async () => {
     const store = new LogStore();
     const entry = createEntry(store, 1);
     const count = 100;
@@ -138,11 +141,11 @@
     const table = new ClaimTable();
     const change = {name: 'a', claim: createClaim('n', 0), expected: 0};
     const segment = {nonce: '', writtenAtMs: 0, changes: [change]};
-    const later = {...segment, changes: []};
+    const emptySegment = {...segment, changes: []};
     expect(table.apply(segment)[0]!.written).toBe(true);
-    table.apply({...later, writtenAtMs: CLAIM_RETENTION_MS});
+    table.apply({...emptySegment, writtenAtMs: CLAIM_RETENTION_MS});
     expect(table.find('a')?.claim.nonce).toBe('n');
-    table.apply({...later, writtenAtMs: CLAIM_RETENTION_MS + 1});
+    table.apply({...emptySegment, writtenAtMs: CLAIM_RETENTION_MS + 1});
     expect(table.find('a')).toBeUndefined();
   });
 });
--- a/test/core/booking/interleavings.test.ts
+++ b/test/core/booking/interleavings.test.ts
@@ -15,9 +15,9 @@
 const MAX_FAULTS = 2;
 const MAX_STATES = 400_000;
 
-/** Actions that are not faults or delays. */
+/** Names of the actions that are not faults or delays. */
 const ORDINARY =
-  /^(start|write$|call$|ask$|reply$|look up|executes$|record|late (write|call))/;
+  /^(start|write$|call$|query$|reply$|look up|executes$|record|late (write|call))/;
 
 /** A state and the number of faults on the way to it. */
 interface Node {
@@ -27,8 +27,10 @@
 
 /** Result of exploring all states. */
 interface Exploration {
+  /** Number of distinct states. */
   readonly states: number;
   readonly violation?: string;
+  /** All verdicts that callers got. */
   readonly reported: ReadonlySet<Executed>;
 }
 
@@ -37,9 +39,9 @@
   const simulator = new Simulator(limits);
   const seen = new Set<string>();
   const reported = new Set<Executed>();
-  const open = [keyOf({world: createWorld(limits), faults: 0})];
-  while (open.length > 0) {
-    for (const node of childrenOf(simulator, open.pop()!)) {
+  const unexplored = [keyOf({world: createWorld(limits), faults: 0})];
+  while (unexplored.length > 0) {
+    for (const node of findSuccessors(simulator, unexplored.pop()!)) {
       const violation = findViolation(node.world);
       if (violation !== undefined)
         return {states: seen.size, violation, reported};
@@ -48,32 +50,35 @@
       seen.add(key);
       if (seen.size > MAX_STATES) throw new Error('too many states');
       for (const request of node.world.requests) {
-        if (request.reportedRan !== undefined)
-          reported.add(request.reportedRan);
+        if (request.verdict !== undefined) reported.add(request.verdict);
       }
-      open.push(key);
+      unexplored.push(key);
     }
   }
   return {states: seen.size, reported};
 }
 
-function childrenOf(simulator: Simulator, text: string): Node[] {
-  const parent = JSON.parse(text) as Node;
-  const children: Node[] = [];
+/** Returns the states that follow from an encoded state by one action. */
+function findSuccessors(simulator: Simulator, key: string): Node[] {
+  const parent = JSON.parse(key) as Node;
+  const successors: Node[] = [];
   for (const action of simulator.actions(parent.world)) {
-    // Each entry has one request.
-    const elsewhere = `at ${1 - parent.world.requests.length}`;
-    if (action.name.endsWith(elsewhere)) continue;
-    const after = parent.faults + (ORDINARY.test(action.name) ? 0 : 1);
-    if (after > MAX_FAULTS) continue;
-    const {world} = JSON.parse(text) as Node;
+    // The first request starts at entry 0, the second one at entry 1.
+    const otherEntry = `at ${1 - parent.world.requests.length}`;
+    if (action.name.endsWith(otherEntry)) continue;
+    const faults = parent.faults + (ORDINARY.test(action.name) ? 0 : 1);
+    if (faults > MAX_FAULTS) continue;
+    const {world} = JSON.parse(key) as Node;
     action.run(world);
-    children.push({world, faults: after});
+    successors.push({world, faults});
   }
-  return children;
+  return successors;
 }
 
-/** Identifies a state. Worlds that differ in the order of `inFlight` only are equal. */
+/**
+ * Encodes a state. Worlds that differ only in the order of `inFlight` have the
+ * same key.
+ */
 function keyOf({world, faults}: Node): string {
   const encoded = world.inFlight.map((item) => JSON.stringify(item)).sort();
   const sorted = encoded.map((item) => JSON.parse(item) as unknown);
@@ -82,10 +87,10 @@
 
 it('no interleaving violates a guarantee', () => {
   const limits = {agents: 1, requests: 2, bodies: ['a'], restarts: 1};
-  const found = explore(limits);
-  expect(found.violation).toBeUndefined();
-  expect([...found.reported].sort()).toEqual(
+  const exploration = explore(limits);
+  expect(exploration.violation).toBeUndefined();
+  expect([...exploration.reported].sort()).toEqual(
     [Executed.NO, Executed.UNKNOWN, Executed.YES].sort(),
   );
-  expect(found.states).toBeGreaterThan(1_000);
+  expect(exploration.states).toBeGreaterThan(1_000);
 });
--- a/test/core/booking/lib/behaviour.ts
+++ b/test/core/booking/lib/behaviour.ts
@@ -21,7 +21,7 @@
 import type {
   Action,
   InFlight,
-  RunId,
+  ExecutionId,
   SimAgent,
   SimRequest,
   World,
@@ -31,24 +31,27 @@
   return {
     entry,
     state,
-    late: false,
-    hungUp: false,
+    isPastDeadline: false,
+    hasDisconnected: false,
     execution: 0,
-    ranWhenAnswered: 0,
+    executionsAtResponse: 0,
     writes: 0,
   };
 }
 
-/** Whether a caller that declared its key as new still waits for the response. */
+/** Returns whether a caller that declared its key as new still waits. */
 export function isAwaited(world: World, request: SimRequest): boolean {
-  const waits = request.reportedRan === undefined && !request.hungUp;
-  return request.state.isFirstUse && waits && world.entriesUp[request.entry]!;
+  const isWaiting = request.verdict === undefined && !request.hasDisconnected;
+  return (
+    request.state.isFirstUse && isWaiting && world.entriesUp[request.entry]!
+  );
 }
 
+/** Returns whether an effect is a claim write that is not a retry. */
 export function isNewWrite(effect: BookingEffect | undefined): boolean {
-  const writes =
+  const isWrite =
     effect?.kind === EffectKind.CREATE || effect?.kind === EffectKind.SWAP;
-  return writes && !effect.isRetry;
+  return isWrite && !effect.isRetry;
 }
 
 export function queryAgent(agent: SimAgent, incarnation: string): AgentResult {
@@ -86,16 +89,17 @@
   effect: FinishEffect,
 ): void {
   const {response, evidence} = effect;
-  request.reportedRan =
+  request.verdict =
     response === undefined ? decideVerdict(evidence!).ran : Executed.YES;
   request.evidence = evidence?.kind;
   request.execution = response?.status ?? 0;
   abandonInFlight(world, request);
-  request.ranWhenAnswered = world.executions[request.state.fingerprint] ?? 0;
+  request.executionsAtResponse =
+    world.executions[request.state.fingerprint] ?? 0;
 }
 
 export function applyWrite(world: World, effect: BookingEffect): WriteResult {
-  if (!world.storeUp) return {outcome: WriteOutcome.NO_EFFECT};
+  if (!world.isStoreUp) return {outcome: WriteOutcome.NO_EFFECT};
   if (effect.kind === EffectKind.CREATE) {
     return world.claim === undefined
       ? putClaim(world, effect.claim)
@@ -118,16 +122,17 @@
   return count;
 }
 
-export function settleAgent(
+/** Sets the phase of the key at the agent that started an execution. */
+export function endExecution(
   world: World,
   index: number,
-  run: RunId,
+  id: ExecutionId,
   phase: KeyPhase,
   execution: number,
 ): void {
   const agent = world.agents[index]!;
-  const same = agent.incarnation === run.incarnation;
-  if (!same || agent.phase !== KeyPhase.RUNNING) return;
+  const isSameIncarnation = agent.incarnation === id.incarnation;
+  if (!isSameIncarnation || agent.phase !== KeyPhase.RUNNING) return;
   Object.assign(agent, {phase, execution});
 }
 
@@ -137,7 +142,7 @@
     incarnation: incarnation + 1,
     takesWork: true,
     fingerprint: '',
-    recorded: false,
+    isRecorded: false,
     execution: 0,
   };
 }
@@ -149,13 +154,13 @@
   };
 }
 
-/** After the response, no request waits for what is still in flight. */
+/** Removes the request from its items in flight once it has its response. */
 function abandonInFlight(world: World, request: SimRequest): void {
   const index = world.requests.indexOf(request);
   world.inFlight = world.inFlight.flatMap((item): InFlight[] => {
-    const own = item.at === 'request' || item.at === 'reply';
-    if (!own || item.request !== index) return [item];
-    if (item.at === 'reply') return [];
+    const isOfRequest = item.kind === 'request' || item.kind === 'reply';
+    if (!isOfRequest || item.request !== index) return [item];
+    if (item.kind === 'reply') return [];
     return toAbandoned(item.effect, request.state.fingerprint);
   });
 }
@@ -164,31 +169,31 @@
   switch (effect.kind) {
     case EffectKind.CREATE:
     case EffectKind.SWAP:
-      return [{at: 'write', effect}];
+      return [{kind: 'write', effect}];
     case EffectKind.CALL:
-      return [{at: 'call', effect, fingerprint}];
+      return [{kind: 'call', effect, fingerprint}];
     default:
       return [];
   }
 }
 
-/** Faults of the store and of entries; the exhaustive run excludes them. */
-export function outerFaults(world: World): Action[] {
-  const turn = (w: World): void => void (w.storeUp = !w.storeUp);
-  const faults: Action[] = [{name: 'store up or down', run: turn}];
+/** Returns faults of the store and of entries; interleavings have none. */
+export function storeAndEntryFaults(world: World): Action[] {
+  const toggleStore = (w: World): void => void (w.isStoreUp = !w.isStoreUp);
+  const faults: Action[] = [{name: 'store up or down', run: toggleStore}];
   world.entriesUp.forEach((up, entry) => {
     if (up) faults.push({name: `kill entry ${entry}`, run: killEntry(entry)});
   });
   return faults;
 }
 
-/** Finds the first agent that takes work, except the named incarnation. */
+/** Finds the first agent that takes work, except an incarnation. */
 export function findTarget(
   world: World,
-  named: string | undefined,
+  excluded: string | undefined,
 ): AgentId | undefined {
   const vm = world.agents.findIndex(
-    (agent) => agent.takesWork && `i${agent.incarnation}` !== named,
+    (agent) => agent.takesWork && `i${agent.incarnation}` !== excluded,
   );
   if (vm < 0) return undefined;
   return {vm: `${vm}`, incarnation: `i${world.agents[vm]!.incarnation}`};
--- a/test/core/booking/lib/simulator.ts
+++ b/test/core/booking/lib/simulator.ts
@@ -34,12 +34,12 @@
   isNewWrite,
   responseOf,
   restart,
-  settleAgent,
+  endExecution,
   resultOf,
 } from './behaviour.js';
 import type {Action, InFlight, SimAgent, World, WorldLimits} from './world.js';
 
-/** The decision code under test; a test may plant a fault in it. */
+/** The decision code under test; a test may replace it by faulty code. */
 export interface Decisions {
   readonly stepBooking: typeof stepBooking;
   readonly decideCall: typeof decideCall;
@@ -49,6 +49,7 @@
 
 /** Removes an item from `inFlight`. */
 type Remove = (world: World) => void;
+/** Adds a possible action. */
 type Add = (name: string, run: (world: World) => void) => void;
 
 /** Runs the decision code in a simulated world. */
@@ -67,13 +68,18 @@
     this.addStarts(world, add);
     actions.push(...this.arrivals(world));
     world.requests.forEach((request, i) => {
-      if (request.reportedRan !== undefined || !world.entriesUp[request.entry])
+      if (request.verdict !== undefined || !world.entriesUp[request.entry])
         return;
       add(`abort ${i}`, (w) => this.step(w, i, {kind: EventKind.ABORT}));
-      const declaresNewKey = request.state.isFirstUse && !request.hungUp;
-      if (declaresNewKey)
-        add(`hang up ${i}`, (w) => (w.requests[i]!.hungUp = true));
-      if (!request.late) add(`late ${i}`, (w) => (w.requests[i]!.late = true));
+      const isDeclaredNew =
+        request.state.isFirstUse && !request.hasDisconnected;
+      if (isDeclaredNew)
+        add(`disconnect ${i}`, (w) => (w.requests[i]!.hasDisconnected = true));
+      if (!request.isPastDeadline)
+        add(
+          `pass deadline ${i}`,
+          (w) => (w.requests[i]!.isPastDeadline = true),
+        );
     });
     world.agents.forEach((agent, i) => this.addAgent(agent, i, add));
     return actions;
@@ -90,8 +96,8 @@
 
   /** Delivers all items in flight, in order. */
   drain(world: World): void {
-    const bound = 200;
-    for (let i = 0; i < bound && world.inFlight.length > 0; i++) {
+    const maxActions = 200;
+    for (let i = 0; i < maxActions && world.inFlight.length > 0; i++) {
       const item = world.inFlight[0]!;
       const actions: Action[] = [];
       this.addItem(world, item, 0, (name, run) => actions.push({name, run}));
@@ -102,7 +108,7 @@
   /** Applies an event to a request and starts the resulting effect. */
   step(world: World, index: number, event: BookingEvent): void {
     const request = world.requests[index]!;
-    if (request.reportedRan !== undefined || !world.entriesUp[request.entry])
+    if (request.verdict !== undefined || !world.entriesUp[request.entry])
       return;
     const context = this.contextOf(world, index);
     const step = this.decisions.stepBooking(request.state, event, context);
@@ -115,7 +121,7 @@
       return;
     }
     world.inFlight.push({
-      at: 'request',
+      kind: 'request',
       request: index,
       effect: step.effect,
     });
@@ -123,29 +129,29 @@
 
   private contextOf(world: World, index: number): StepContext {
     const request = world.requests[index]!;
-    const named = request.state.stored?.claim.agentIncarnation;
+    const current = request.state.stored?.claim.agentIncarnation;
     const nonce = `r${index}w${request.writes}`;
-    const target = findTarget(world, named);
-    return {nonce, target, isPastDeadline: request.late, wallMs: 0};
+    const target = findTarget(world, current);
+    return {nonce, target, isPastDeadline: request.isPastDeadline, wallMs: 0};
   }
 
   private addStarts(world: World, add: Add): void {
     if (world.requests.length >= this.limits.requests) return;
     // A caller whose response was `no` does not use the key again.
-    if (world.requests.some((request) => request.reportedRan === Executed.NO))
+    if (world.requests.some((request) => request.verdict === Executed.NO))
       return;
     // A caller that declares a key as new sends no second request before the
     // response.
     if (world.requests.some((request) => isAwaited(world, request))) return;
-    const first = world.requests.length === 0;
+    const isFirst = world.requests.length === 0;
     world.entriesUp.forEach((up, entry) => {
       if (!up) return;
       for (const body of this.limits.bodies) {
         add(`start ${body} at ${entry}`, (w) =>
           this.start(w, entry, body, false),
         );
-        if (!first) continue;
-        add(`start first ${body} at ${entry}`, (w) =>
+        if (!isFirst) continue;
+        add(`start with new key ${body} at ${entry}`, (w) =>
           this.start(w, entry, body, true),
         );
       }
@@ -159,11 +165,7 @@
     isFirstUse: boolean,
   ): void {
     const entryIncarnation = `e${entry}`;
-    const state = createBooking({
-      fingerprint,
-      entryIncarnation,
-      isFirstUse,
-    });
+    const state = createBooking({fingerprint, entryIncarnation, isFirstUse});
     world.requests.push(createRequest(entry, state));
     this.step(world, world.requests.length - 1, {kind: EventKind.BEGIN});
   }
@@ -172,20 +174,20 @@
     if (agent.incarnation % 100 < this.limits.restarts) {
       add(`restart ${i}`, (w) => restart(w, i));
     }
-    add(`takes work ${i}`, (w) => {
+    add(`toggle new work ${i}`, (w) => {
       w.agents[i]!.takesWork = !w.agents[i]!.takesWork;
     });
-    const name = `i${agent.incarnation}`;
-    if (agent.phase !== KeyPhase.DONE || agent.recorded) return;
+    const incarnation = `i${agent.incarnation}`;
+    if (agent.phase !== KeyPhase.DONE || agent.isRecorded) return;
     add(`record ${i}`, (w) => {
-      w.agents[i]!.recorded = true;
-      w.recorded[name] = w.agents[i]!.execution;
+      w.agents[i]!.isRecorded = true;
+      w.recorded[incarnation] = w.agents[i]!.execution;
     });
   }
 
   private addItem(world: World, item: InFlight, i: number, add: Add): void {
     const remove = (w: World): void => void w.inFlight.splice(i, 1);
-    switch (item.at) {
+    switch (item.kind) {
       case 'write':
         add('late write arrives', (w) => {
           remove(w);
@@ -211,16 +213,16 @@
 
   private addReply(
     world: World,
-    item: Extract<InFlight, {at: 'reply'}>,
+    item: Extract<InFlight, {kind: 'reply'}>,
     add: Add,
     remove: Remove,
   ): void {
     const {request, agent: index, incarnation} = item;
     const agent = world.agents[index]!;
-    const settled = agent.phase !== KeyPhase.RUNNING;
+    const hasEnded = agent.phase !== KeyPhase.RUNNING;
     const deliver = (w: World, result: AgentResult): void =>
       this.step(w, request, {kind: EventKind.AGENT, result});
-    if (agent.incarnation === incarnation && settled) {
+    if (agent.incarnation === incarnation && hasEnded) {
       add('reply', (w) => {
         remove(w);
         deliver(w, resultOf(w.agents[index]!));
@@ -233,36 +235,36 @@
   }
 
   private addService(
-    item: Extract<InFlight, {at: 'service'}>,
+    item: Extract<InFlight, {kind: 'service'}>,
     add: Add,
     remove: Remove,
   ): void {
-    const {agent, run} = item;
+    const {agent, id} = item;
     add('executes', (w) => {
       remove(w);
-      const execution = execute(w, run.fingerprint);
-      settleAgent(w, agent, run, KeyPhase.DONE, execution);
+      const execution = execute(w, id.fingerprint);
+      endExecution(w, agent, id, KeyPhase.DONE, execution);
     });
     add('executes, then disconnects', (w) => {
       remove(w);
-      execute(w, run.fingerprint);
-      settleAgent(w, agent, run, KeyPhase.UNCERTAIN, 0);
+      execute(w, id.fingerprint);
+      endExecution(w, agent, id, KeyPhase.UNCERTAIN, 0);
     });
     add('disconnects', (w) => {
       remove(w);
-      settleAgent(w, agent, run, KeyPhase.UNCERTAIN, 0);
+      endExecution(w, agent, id, KeyPhase.UNCERTAIN, 0);
     });
     add('disconnects, then executes', (w) => {
-      settleAgent(w, agent, run, KeyPhase.UNCERTAIN, 0);
+      endExecution(w, agent, id, KeyPhase.UNCERTAIN, 0);
     });
     add('never reached', (w) => {
       remove(w);
-      settleAgent(w, agent, run, KeyPhase.PROMISED_NEVER, 0);
+      endExecution(w, agent, id, KeyPhase.PROMISED_NEVER, 0);
     });
   }
 
   private addRequest(
-    item: Extract<InFlight, {at: 'request'}>,
+    item: Extract<InFlight, {kind: 'request'}>,
     add: Add,
     remove: Remove,
   ): void {
@@ -282,7 +284,7 @@
         const {agentIncarnation} = effect.claim;
         add('look up', (w) => {
           remove(w);
-          const execution = w.storeUp ? w.recorded[agentIncarnation] : 0;
+          const execution = w.isStoreUp ? w.recorded[agentIncarnation] : 0;
           this.step(w, index, {
             kind: EventKind.LOOK_UP,
             response: execution ? responseOf(execution) : undefined,
@@ -318,7 +320,7 @@
     });
     add('write delayed', (w) => {
       remove(w);
-      w.inFlight.push({at: 'write', effect});
+      w.inFlight.push({kind: 'write', effect});
       deliver(w, inDoubt);
     });
   }
@@ -338,7 +340,7 @@
       if (result !== undefined) return deliver(w, result);
       const agent = Number(effect.agent.vm);
       const {incarnation} = w.agents[agent]!;
-      w.inFlight.push({at: 'reply', request: index, agent, incarnation});
+      w.inFlight.push({kind: 'reply', request: index, agent, incarnation});
     });
     add('call not sent', (w) => {
       remove(w);
@@ -351,7 +353,7 @@
     add('call delayed', (w) => {
       remove(w);
       const {fingerprint} = w.requests[index]!.state;
-      w.inFlight.push({at: 'call', effect, fingerprint});
+      w.inFlight.push({kind: 'call', effect, fingerprint});
       deliver(w, {kind: AgentResultKind.LOST});
     });
   }
@@ -359,11 +361,11 @@
   private addQuery(index: number, id: AgentId, add: Add, remove: Remove): void {
     const deliver = (w: World, result: AgentResult): void =>
       this.step(w, index, {kind: EventKind.AGENT, result});
-    add('ask', (w) => {
+    add('query', (w) => {
       remove(w);
       deliver(w, queryAgent(w.agents[Number(id.vm)]!, id.incarnation));
     });
-    add('ask not sent', (w) => {
+    add('query not sent', (w) => {
       remove(w);
       deliver(w, {kind: AgentResultKind.NOT_SENT});
     });
@@ -393,9 +395,9 @@
       case KeyAction.ADMIT:
         Object.assign(agent, {phase: KeyPhase.RUNNING, fingerprint});
         w.inFlight.push({
-          at: 'service',
+          kind: 'service',
           agent: i,
-          run: {incarnation: agent.incarnation, fingerprint},
+          id: {incarnation: agent.incarnation, fingerprint},
         });
         return undefined;
       case KeyAction.RETURN_FIRST_OUTCOME:
--- a/test/core/booking/lib/world.ts
+++ b/test/core/booking/lib/world.ts
@@ -13,10 +13,11 @@
 export interface SimAgent {
   incarnation: number;
   takesWork: boolean;
-  /** Undefined until the agent has seen the key. */
+  /** State of the key; undefined until the agent has seen the key. */
   phase?: KeyPhase;
   fingerprint: string;
-  recorded: boolean;
+  /** Whether the outcome is recorded in the platform. */
+  isRecorded: boolean;
   /** Number of the execution that returned its response; 0 for none. */
   execution: number;
 }
@@ -25,16 +26,19 @@
 export interface SimRequest {
   readonly entry: number;
   readonly state: BookingState;
-  late: boolean;
+  /** Whether its deadline has passed. */
+  isPastDeadline: boolean;
   /** Whether the caller disconnected and receives no response. */
-  hungUp: boolean;
+  hasDisconnected: boolean;
   /** Verdict in the response to the caller; undefined until it is sent. */
-  reportedRan?: Executed;
+  verdict?: Executed;
+  /** Evidence of the refusal; undefined if there was none. */
   evidence?: EvidenceKind;
   /** Executions of its body at the time of the response. */
-  ranWhenAnswered: number;
+  executionsAtResponse: number;
   /** Writes that it has started. */
   writes: number;
+  /** Number of the execution whose response it returned; 0 for none. */
   execution: number;
 }
 
@@ -42,28 +46,33 @@
 export type InFlight =
   /** An effect whose result its request may still wait for. */
   | {
-      readonly at: 'request';
+      readonly kind: 'request';
       readonly request: number;
       readonly effect: BookingEffect;
     }
-  /** A write or call whose result no request waits for. */
-  | {readonly at: 'write'; readonly effect: BookingEffect}
+  /** A write whose result no request waits for. */
+  | {readonly kind: 'write'; readonly effect: BookingEffect}
+  /** A call whose result no request waits for. */
   | {
-      readonly at: 'call';
+      readonly kind: 'call';
       readonly effect: CallEffect;
       readonly fingerprint: string;
     }
   /** A call that the agent received; its request waits for the response. */
   | {
-      readonly at: 'reply';
+      readonly kind: 'reply';
       readonly request: number;
       readonly agent: number;
       readonly incarnation: number;
     }
-  | {readonly at: 'service'; readonly agent: number; readonly run: RunId};
+  | {
+      readonly kind: 'service';
+      readonly agent: number;
+      readonly id: ExecutionId;
+    };
 
 /** Identifies an execution by agent incarnation and body. */
-export interface RunId {
+export interface ExecutionId {
   readonly incarnation: number;
   readonly fingerprint: string;
 }
@@ -71,9 +80,11 @@
 /** The complete state; plain data, so that it can be copied and compared. */
 export interface World {
   claim?: StoredClaim;
+  /** Version of the latest claim; 0 for none. */
   version: number;
-  storeUp: boolean;
+  isStoreUp: boolean;
   agents: SimAgent[];
+  /** Whether each entry runs. */
   entriesUp: boolean[];
   requests: SimRequest[];
   inFlight: InFlight[];
@@ -87,7 +98,9 @@
 export interface WorldLimits {
   readonly agents: number;
   readonly requests: number;
+  /** Bodies that a request may have; one that is listed twice is likelier. */
   readonly bodies: readonly string[];
+  /** Maximum restarts of each agent. */
   readonly restarts: number;
 }
 
@@ -101,12 +114,13 @@
 export function createWorld(limits: WorldLimits): World {
   return {
     version: 0,
-    storeUp: true,
+    isStoreUp: true,
     agents: Array.from({length: limits.agents}, (_, i) => ({
+      // Leaves room for the incarnations after restarts.
       incarnation: i * 100,
       takesWork: true,
       fingerprint: '',
-      recorded: false,
+      isRecorded: false,
       execution: 0,
     })),
     entriesUp: [true, true],
--- a/test/core/booking/schedules.test.ts
+++ b/test/core/booking/schedules.test.ts
@@ -9,7 +9,7 @@
 import {decideCall, stepBooking} from '../../../src/core/booking/index.js';
 import {Executed} from '../../../src/core/errors/index.js';
 import {KeyPhase} from '../../../src/core/protocol/index.js';
-import {outerFaults} from './lib/behaviour.js';
+import {storeAndEntryFaults} from './lib/behaviour.js';
 import {findViolation} from './lib/check-world.js';
 import type {Decisions} from './lib/simulator.js';
 import {REAL_DECISIONS, Simulator} from './lib/simulator.js';
@@ -21,39 +21,41 @@
 const PLANTED_SCHEDULES = 20_000;
 const MAX_STEPS = 48;
 const MAX_PICK = 1 << 20;
-/** One of this many picks is a fault of the store or of an entry. */
+/** One in this many picks is a fault of the store or of an entry. */
 const PICK_CLASSES = 16;
-/** This many of PICK_CLASSES picks deliver something in flight. */
+/** This many in PICK_CLASSES picks concern an item in flight. */
 const ARRIVAL_CLASSES = 11;
 
 const LIMITS = {agents: 2, requests: 4, bodies: ['a', 'a', 'b'], restarts: 2};
 
-function choicesOf(
+/** Returns the actions from which a pick of this class chooses. */
+function possibleActions(
   simulator: Simulator,
   world: World,
   pickClass: number,
 ): Action[] {
-  if (pickClass === 0) return outerFaults(world);
+  if (pickClass === 0) return storeAndEntryFaults(world);
   return pickClass <= ARRIVAL_CLASSES
     ? simulator.arrivals(world)
     : simulator.actions(world);
 }
 
 /** Runs one schedule, then delivers everything that is still in flight. */
-function run(picks: readonly number[], decisions: Decisions): World {
+function runSchedule(picks: readonly number[], decisions: Decisions): World {
   const world = createWorld(LIMITS);
   const simulator = new Simulator(LIMITS, decisions);
   for (const pick of picks) {
-    const actions = choicesOf(simulator, world, pick % PICK_CLASSES);
+    const actions = possibleActions(simulator, world, pick % PICK_CLASSES);
     if (actions.length === 0) continue;
-    const at = Math.floor(pick / PICK_CLASSES) % actions.length;
-    actions[at]!.run(world);
+    const index = Math.floor(pick / PICK_CLASSES) % actions.length;
+    actions[index]!.run(world);
   }
   simulator.drain(world);
   return world;
 }
 
-function search(
+/** Searches random schedules for one that violates a guarantee. */
+function searchViolation(
   decisions: Decisions,
   numRuns: number,
   reported?: Set<Executed>,
@@ -64,9 +66,9 @@
     size: 'max',
   });
   const property = fc.property(schedule, (picks) => {
-    const world = run(picks, decisions);
-    for (const {reportedRan: ran} of world.requests) {
-      if (ran !== undefined) reported?.add(ran);
+    const world = runSchedule(picks, decisions);
+    for (const {verdict: reportedVerdict} of world.requests) {
+      if (reportedVerdict !== undefined) reported?.add(reportedVerdict);
     }
     const violation = findViolation(world);
     if (violation !== undefined) throw new Error(violation);
@@ -79,14 +81,14 @@
   {
     name: 'an agent admits a key twice',
     decisions: {
-      decideCall: (question) => decideCall({...question, known: undefined}),
+      decideCall: (context) => decideCall({...context, known: undefined}),
     },
   },
   {
     name: 'a new incarnation admits old claims',
     decisions: {
-      decideCall: (question) =>
-        decideCall({...question, ownIncarnation: question.incarnation}),
+      decideCall: (context) =>
+        decideCall({...context, ownIncarnation: context.incarnation}),
     },
   },
   {
@@ -97,12 +99,12 @@
     },
   },
   {
-    name: 'an agent forgets its promise',
+    name: 'an agent admits a key that it promised never to admit',
     decisions: {
-      decideCall: (question) =>
-        question.known?.phase === KeyPhase.PROMISED_NEVER
-          ? decideCall({...question, known: undefined})
-          : decideCall(question),
+      decideCall: (context) =>
+        context.known?.phase === KeyPhase.PROMISED_NEVER
+          ? decideCall({...context, known: undefined})
+          : decideCall(context),
     },
   },
   {
@@ -116,17 +118,17 @@
 
 describe('schedules of entries, agents, store and network', () => {
   it(`violate no guarantee in ${SCHEDULES} runs, seed ${SEED}`, () => {
-    const reportedRans = new Set<Executed>();
-    const result = search(REAL_DECISIONS, SCHEDULES, reportedRans);
+    const reported = new Set<Executed>();
+    const result = searchViolation(REAL_DECISIONS, SCHEDULES, reported);
     expect(result.errorInstance, fc.defaultReportMessage(result)).toBeNull();
-    expect([...reportedRans].sort()).toEqual(
+    expect([...reported].sort()).toEqual(
       [Executed.NO, Executed.UNKNOWN, Executed.YES].sort(),
     );
   });
 
   it.each(PLANTED)('detect the planted fault: $name', ({decisions}) => {
     const planted = {...REAL_DECISIONS, ...decisions};
-    const {errorInstance} = search(planted, PLANTED_SCHEDULES);
+    const {errorInstance} = searchViolation(planted, PLANTED_SCHEDULES);
     expect(String(errorInstance)).toMatch(/ran [0-9]+ times/);
   });
 });
