--- a/test/core/poison/crash-causes.test.ts
+++ b/test/core/poison/crash-causes.test.ts
@@ -1,3 +1,4 @@
+/** Requests that are found to have crashed engines. */
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
@@ -12,22 +13,24 @@
 
 const CASES: ReadonlyArray<{
   name: string;
+  /** Earlier crashes by request. */
   suspects: Readonly<Record<string, readonly string[]>>;
+  /** The requests that caused the crash. */
   causes: readonly string[];
 }> = [
-  {name: 'first crash', suspects: {a: [], b: []}, causes: []},
+  {name: 'the first crash', suspects: {a: [], b: []}, causes: []},
   {
-    name: 'second crash of a single request',
+    name: 'the second crash of a single request',
     suspects: {a: ['c']},
     causes: ['a'],
   },
   {
-    name: 'second crash together with unrelated requests',
+    name: 'crashes that only one request each was running in',
     suspects: {a: ['c'], b: [], d: ['other']},
     causes: ['a', 'd'],
   },
   {
-    name: 'two requests of the same crash',
+    name: 'a crash that two requests were running in',
     suspects: {a: ['c'], b: ['c']},
     causes: [],
   },
@@ -50,8 +53,8 @@
   it(`finds the only cause of two crashes (seed ${SEED})`, () => {
     fc.assert(
       fc.property(fc.integer(), (seed) => {
-        const {causes: named, crashes} = simulate(new SeededRandom(seed));
-        expect(named).toEqual(['r0']);
+        const {causes, crashes} = simulate(new SeededRandom(seed));
+        expect(causes).toEqual(['r0']);
         expect(crashes).toBe(2);
       }),
       {numRuns: 2_000, seed: SEED},
@@ -59,7 +62,10 @@
   });
 });
 
-/** Request r0 crashes each engine; there are two more engines than requests. */
+/**
+ * Request r0 crashes each engine in which it runs; there are two more engines
+ * than requests. Returns the causes found and the number of crashes until then.
+ */
 function simulate(random: SeededRandom): {causes: string[]; crashes: number} {
   const count = 1 + random.below(8);
   const engines = Array.from({length: count + 2}, (): Suspect[] => []);
@@ -68,8 +74,8 @@
   for (let crashes = 1; crashes < 5; crashes++) {
     const crashed = engines.findIndex((e) => e.some(({id}) => id === 'r0'));
     const batch = engines[crashed]!;
-    const named = findCrashCauses(batch);
-    if (named.length > 0) return {causes: named, crashes};
+    const causes = findCrashCauses(batch);
+    if (causes.length > 0) return {causes, crashes};
     engines[crashed] = [];
     for (const {id, crashes: before} of batch) {
       const suspect = {id, crashes: [...before, `c${crashes}`]};
--- a/test/core/poison/data-centre-outage.test.ts
+++ b/test/core/poison/data-centre-outage.test.ts
@@ -1,4 +1,4 @@
-/** Targets that are lost in a data-centre outage. */
+/** Guards against mistaking an outage for crashes, or crashes for an outage. */
 import {describe, expect, it} from 'vitest';
 
 import {ManualClock} from '../../../src/core/clock/index.js';
@@ -45,7 +45,7 @@
     isOutage: false,
   },
   {
-    name: 'the only other present target was lost, another long before',
+    name: 'the last other target was lost too, and another long before',
     neighbours: [LOST, {lostMs: LOST_MS - 5_000}],
     isOutage: true,
   },
--- a/test/core/poison/loss-ledger.test.ts
+++ b/test/core/poison/loss-ledger.test.ts
@@ -49,26 +49,26 @@
     harmless: [],
   });
 
-  it('counts a request that lost several targets as poison, and no other', () => {
+  it('counts a request as poison after several losses, and no other', () => {
     loseAll();
     expect(ledger.isPoison(REQUEST)).toBe(true);
     expect(ledger.isPoison('another')).toBe(false);
   });
 
-  it('waits until the causes are diagnosed', () => {
+  it('counts no request as poison before the losses are diagnosed', () => {
     for (const incarnation of INCARNATIONS)
       ledger.recordLoss({request: REQUEST, incarnation});
     expect(ledger.mayBePoison(REQUEST)).toBe(true);
     expect(ledger.isPoison(REQUEST)).toBe(false);
   });
 
-  it('counts an incarnation once if it is lost under many equal requests', () => {
+  it('counts an incarnation once, however many equal requests it ran', () => {
     for (let i = 0; i < 10; i++) lose('i-1@1000');
     expect(ledger.isPoison(REQUEST)).toBe(false);
   });
 
   it('counts each incarnation of a target that restarts under its id', () => {
-    for (const born of [1, 2, 3]) lose(`i-1@${born}`);
+    for (const startedAtMs of [1, 2, 3]) lose(`i-1@${startedAtMs}`);
     expect(ledger.isPoison(REQUEST)).toBe(true);
   });
 
@@ -114,7 +114,7 @@
     expect(ledger.mayBePoison(REQUEST)).toBe(false);
   });
 
-  it('clears a request that another entry served, and shares that', () => {
+  it('clears a request for all entries once one entry has served it', () => {
     ledger.updateEntry('entry-2', recordedOf(INCARNATIONS));
     ledger.recordServed(REQUEST);
     expect(ledger.isPoison(REQUEST)).toBe(false);
@@ -124,14 +124,14 @@
     expect(third.isPoison(REQUEST)).toBe(false);
   });
 
-  it('publishes a served request only if others recorded losses under it', () => {
+  it('publishes a served request only if others have losses of it', () => {
     expect(ledger.recordServed(REQUEST)).toBe(false);
     ledger.updateEntry('entry-2', recordedOf(INCARNATIONS));
     expect(ledger.recordServed(REQUEST)).toBe(true);
     expect(ledger.recordServed(REQUEST)).toBe(false);
   });
 
-  it('requires one more loss if another request lost the same targets', () => {
+  it('requires one more loss if the targets also ran another request', () => {
     loseAll();
     loseAll('other suspect');
     expect(ledger.isPoison(REQUEST)).toBe(false);
@@ -163,7 +163,7 @@
     expect(next.isPoison(REQUEST)).toBe(true);
   });
 
-  it('agrees with a count of all incarnations, at whichever entries', () => {
+  it('agrees with a count over all entries', () => {
     const losses = fc.array(
       fc.record({
         entry: fc.integer({min: 0, max: 3}),
@@ -173,18 +173,18 @@
     );
     fc.assert(
       fc.property(losses, (all) => {
-        const spread = new LossLedger({clock});
+        const merged = new LossLedger({clock});
         for (const entry of [0, 1, 2, 3]) {
           const seen = all.filter((loss) => loss.entry === entry);
           for (const {request, life: incarnation} of entry === 0 ? seen : []) {
-            spread.recordLoss({request, incarnation});
-            spread.confirm({request, incarnation});
+            merged.recordLoss({request, incarnation});
+            merged.confirm({request, incarnation});
           }
           const recorded = seen.map(({request, life: incarnation}) => {
             return {request, life: incarnation, isSettled: true};
           });
           if (entry > 0) {
-            spread.updateEntry(`entry-${entry}`, {
+            merged.updateEntry(`entry-${entry}`, {
               losses: recorded,
               harmless: [],
             });
@@ -194,13 +194,13 @@
           const incarnations = new Set(
             all.filter((l) => l.request === request).map((l) => l.life),
           );
-          expect(new Set(spread.incarnationsOf(request))).toEqual(incarnations);
-          // With more losses, another suspect no longer matters.
+          expect(new Set(merged.incarnationsOf(request))).toEqual(incarnations);
+          // With more losses, other requests on the same targets do not matter.
           if (incarnations.size > POISON_LOSSES) {
-            expect(spread.isPoison(request)).toBe(true);
+            expect(merged.isPoison(request)).toBe(true);
           }
           if (incarnations.size < POISON_LOSSES) {
-            expect(spread.isPoison(request)).toBe(false);
+            expect(merged.isPoison(request)).toBe(false);
           }
         }
       }),
