--- a/test/core/generation/assembly.test.ts
+++ b/test/core/generation/assembly.test.ts
@@ -1,4 +1,7 @@
-/** Assembly, compared with a simple reference model. */
+/**
+ * Compares the assembly of outputs with a simple reference model. Guards
+ * against tokens that are lost, duplicated or mixed up between attempts.
+ */
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
@@ -28,6 +31,7 @@
 /** An event at the entry. */
 type ScheduleEvent = {message: AttemptMessage} | {begin: string};
 
+/** Events in the order in which the entry receives them. */
 interface Schedule {
   readonly maxTokens: number;
   readonly events: readonly ScheduleEvent[];
@@ -84,8 +88,8 @@
     messages.push({attemptId, position, tokens});
     position += length;
   }
-  const early = random.below(6) === 0;
-  const finish = early ? FinishReason.STOP : FinishReason.LENGTH;
+  const isEarly = random.below(6) === 0;
+  const finish = isEarly ? FinishReason.STOP : FinishReason.LENGTH;
   messages.push({attemptId, position, tokens: [], finish});
   return messages;
 }
@@ -94,23 +98,23 @@
 class ReferenceOutput {
   readonly ids: number[] = [];
   finishes = 0;
-  private current = '';
-  private dropped = false;
-  private startedAt = 0;
+  private currentId = '';
+  private isDropped = false;
+  private startPosition = 0;
 
   constructor(private readonly maxTokens: number) {}
 
   begin(attemptId: string): void {
-    this.current = attemptId;
-    this.dropped = false;
-    this.startedAt = this.ids.length;
+    this.currentId = attemptId;
+    this.isDropped = false;
+    this.startPosition = this.ids.length;
   }
 
-  take({attemptId, position, tokens, finish}: AttemptMessage): void {
-    if (this.finishes > 0 || this.dropped) return;
-    if (attemptId !== this.current) return;
+  receive({attemptId, position, tokens, finish}: AttemptMessage): void {
+    if (this.finishes > 0 || this.isDropped) return;
+    if (attemptId !== this.currentId) return;
     if (position > this.ids.length) {
-      this.dropped = true;
+      this.isDropped = true;
       return;
     }
     tokens.forEach(({id}, i) => {
@@ -119,7 +123,7 @@
     if (finish === undefined) return;
     const isComplete = position === this.ids.length;
     if (isComplete && this.acceptsEnd(finish)) this.finishes++;
-    else this.dropped = true;
+    else this.isDropped = true;
   }
 
   /** Outputs are shorter than EARLY_END_WINDOW, so any end is early. */
@@ -127,12 +131,12 @@
     if (finish === FinishReason.LENGTH) {
       return this.ids.length === this.maxTokens;
     }
-    return this.startedAt === 0 || this.startedAt === this.ids.length;
+    return this.startPosition === 0 || this.startPosition === this.ids.length;
   }
 }
 
-/** Runs a schedule on both models and returns how often it finished. */
-function play(schedule: Schedule): number {
+/** Runs a schedule on the assembly and the model; returns the finish count. */
+function runSchedule(schedule: Schedule): number {
   const {maxTokens, events} = schedule;
   const log = new TokenLog();
   const assembly = new Assembly({log, spec: {maxTokens, stop: []}});
@@ -154,7 +158,7 @@
     if (step.kind === StepKind.BROKEN) assembly.clearAttempt();
     if (step.kind === StepKind.UNCONFIRMED) assembly.clearAttempt();
     if (step.kind === StepKind.FINISHED) finishes++;
-    reference.take(message);
+    reference.receive(message);
   }
   const ids = log.slice({from: 0}).map((token) => token.id);
   if (ids.join() !== reference.ids.join() || finishes !== reference.finishes) {
@@ -170,18 +174,18 @@
 describe('Assembly', () => {
   it(`agrees with the reference model (seed ${SEED})`, () => {
     let finished = 0;
-    let played = 0;
+    let schedules = 0;
     fc.assert(
       fc.property(fc.integer(), (seed) => {
         const random = new SeededRandom(seed);
         for (let i = 0; i < SCHEDULES_PER_RUN; i++) {
-          finished += play(drawSchedule(random));
-          played++;
+          finished += runSchedule(drawSchedule(random));
+          schedules++;
         }
       }),
       {numRuns: RUNS, seed: SEED},
     );
-    expect(played).toBeGreaterThanOrEqual(100_000);
+    expect(schedules).toBeGreaterThanOrEqual(100_000);
     expect(finished).toBeGreaterThan(0);
   });
 });
--- a/test/core/generation/validate-end.test.ts
+++ b/test/core/generation/validate-end.test.ts
@@ -1,3 +1,4 @@
+/** Guards against accepting an end before the output is complete. */
 import {describe, expect, it} from 'vitest';
 
 import type {Token} from '../../../src/core/edges/index.js';
@@ -16,10 +17,16 @@
 const MANY = tokensOf(...Array.from({length: 40}, () => 'x'));
 
 const FINISHES = [
-  {name: 'nothing', texts: [], maxTokens: 4, stop: [], finish: undefined},
-  {name: 'fewer', texts: ['a'], maxTokens: 2, stop: ['b'], finish: undefined},
+  {name: 'no tokens', texts: [], maxTokens: 4, stop: [], finish: undefined},
   {
-    name: 'all tokens',
+    name: 'too few tokens',
+    texts: ['a'],
+    maxTokens: 2,
+    stop: ['b'],
+    finish: undefined,
+  },
+  {
+    name: 'max_tokens tokens',
     texts: ['a', 'b'],
     maxTokens: 2,
     stop: [],
@@ -33,7 +40,7 @@
     finish: FinishReason.STOP,
   },
   {
-    name: 'a stop string with the last token',
+    name: 'a stop string in the last of max_tokens tokens',
     texts: ['a', 'END'],
     maxTokens: 2,
     stop: ['END'],
@@ -49,11 +56,14 @@
 ];
 
 describe('detectFinish', () => {
-  it.each(FINISHES)('handles $name', ({texts, maxTokens, stop, finish}) => {
-    const tokens = tokensOf(...texts);
-    const found = detectFinish({spec: {maxTokens, stop}, tokens});
-    expect(found).toBe(finish);
-  });
+  it.each(FINISHES)(
+    'returns $finish for $name',
+    ({texts, maxTokens, stop, finish}) => {
+      const tokens = tokensOf(...texts);
+      const detected = detectFinish({spec: {maxTokens, stop}, tokens});
+      expect(detected).toBe(finish);
+    },
+  );
 });
 
 const ENDS = [
@@ -108,7 +118,7 @@
 ];
 
 describe('validateEnd', () => {
-  it.each(ENDS)('validates $name', (row) => {
+  it.each(ENDS)('returns $verdict for $name', (row) => {
     const {reason, maxTokens = 99, length = 40, resumePosition = 0} = row;
     const verdict = validateEnd({
       end: {finishReason: reason, length},
