--- a/test/core/routes/check-routing.test.ts
+++ b/test/core/routes/check-routing.test.ts
@@ -1,3 +1,4 @@
+/** Configurations with one error each. */
 import {describe, expect, it} from 'vitest';
 
 import type {Route, RoutingConfig} from '../../../src/core/routes/index.js';
@@ -97,7 +98,7 @@
     expect(findRoutingProblems(CONFIG)).toEqual([]);
   });
 
-  it.each(CASES)('finds $kind', ({config, kind, subject}) => {
+  it.each(CASES)('reports $kind', ({config, kind, subject}) => {
     expect(findRoutingProblems(config)).toMatchObject([{kind, subject}]);
   });
 
--- a/test/core/routes/route-table.test.ts
+++ b/test/core/routes/route-table.test.ts
@@ -1,3 +1,4 @@
+/** Lookups in a configuration, compared with a simple reference model. */
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 
@@ -102,7 +103,7 @@
     {host: 'x.example', path: '/a', found: false},
     {host: 'x.example', path: '/b/?/a/', found: false},
     {host: 'z.example', path: '/a/1', found: false},
-  ])('$host$path: $found', ({host, path, found}) => {
+  ])('$host $path has a route: $found', ({host, path, found}) => {
     const table = new RouteTable(
       config({routes: [route({pathPrefix: '/a/'})]}),
     );
@@ -134,7 +135,7 @@
     {draw: 0.899, service: 'old'},
     {draw: 0.9, service: 'new'},
     {draw: 0.999, service: 'new'},
-  ])('$draw goes to $service', ({draw, service}) => {
+  ])('picks $service for a draw of $draw', ({draw, service}) => {
     expect(pickService({route: route({shares}), draw})).toBe(service);
   });
 
