--- a/src/core/booking/consts.ts
+++ b/src/core/booking/consts.ts
@@ -4,10 +4,7 @@
 /** Maximum number of times a request moves its booking to another agent. */
 export const MAX_MOVES = 2;
 
-/**
- * Length of the interval in which claims are made whose outcomes share a name
- * prefix, in milliseconds.
- */
+/** Outcomes of claims made within one such interval share a name prefix. */
 export const OUTCOME_BUCKET_MS = 60_000;
 
 /** Maximum claim changes in one write. */
