--- a/src/core/booking/booking-state.ts
+++ b/src/core/booking/booking-state.ts
@@ -1,15 +1,21 @@
 /** State of one booking at its entry. */
 import type {Claim, StoredClaim} from './types.js';
 
-/** Purpose of the effect that is in progress. */
+/** What the booking waits for: the purpose of the effect in progress. */
 export enum BookingPhase {
   NEW = 'new',
   CLAIMING = 'claiming',
+  /** Replaces another request's claim, to send to the agent that it names. */
   TAKING_OVER = 'taking_over',
+  /** Replaces the claim, to send to another agent. */
   MOVING = 'moving',
+  /** Replaces the claim by a void one. */
   VOIDING = 'voiding',
+  /** Queries the agent for the state of the key. */
   QUERYING = 'asking',
+  /** Sends the booking to the agent. */
   CALLING = 'calling',
+  /** Reads the outcome that the agent recorded in the platform. */
   LOOKING_UP = 'looking_up',
   DONE = 'done',
 }
@@ -20,19 +26,19 @@
   readonly fingerprint: string;
   readonly entryIncarnation: string;
   /** Whether the caller declares that it has not used the key before. */
-  readonly firstUse: boolean;
+  readonly isFirstUse: boolean;
   /** The claim as last read or written. */
   readonly stored?: StoredClaim;
   /** The claim that is being written. */
   readonly pending?: Claim;
   /** Whether no other request can have sent the booking under `stored`. */
-  readonly soleSender: boolean;
+  readonly isSoleSender: boolean;
   /** Whether this request has sent the booking under `stored`. */
-  readonly sent: boolean;
+  readonly isSent: boolean;
   /** Whether a write of this request is in doubt. */
-  readonly writeInDoubt: boolean;
+  readonly isWriteInDoubt: boolean;
   /** Whether the agent incarnation in `stored` is gone. */
-  readonly agentGone: boolean;
+  readonly isAgentGone: boolean;
   /** Attempts of the current write that ended in doubt. */
   readonly writeAttempts: number;
   /** Times that this request moved the booking to another agent. */
--- a/src/core/booking/booking-step.ts
+++ b/src/core/booking/booking-step.ts
@@ -7,7 +7,7 @@
 import {MAX_MOVES, MAX_WRITE_ATTEMPTS} from './consts.js';
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
-import {EvidenceKind} from './decide-ran.js';
+import {EvidenceKind} from './decide-verdict.js';
 import {
   abortEvidence,
   unwrittenEvidence,
@@ -38,19 +38,24 @@
   readonly effect?: BookingEffect;
 }
 
-/** Returns the state before the first step. */
+/**
+ * Returns the state before the first step.
+ *
+ * @example
+ * createBooking({fingerprint, entryIncarnation: 'e-1', isFirstUse: false});
+ */
 export function createBooking(options: {
   fingerprint: string;
   entryIncarnation: string;
-  firstUse: boolean;
+  isFirstUse: boolean;
 }): BookingState {
   return {
     ...options,
     phase: BookingPhase.NEW,
-    soleSender: false,
-    sent: false,
-    writeInDoubt: false,
-    agentGone: false,
+    isSoleSender: false,
+    isSent: false,
+    isWriteInDoubt: false,
+    isAgentGone: false,
     writeAttempts: 0,
     moves: 0,
   };
@@ -118,14 +123,14 @@
     case WriteOutcome.NO_EFFECT:
       return finishWithEvidence(state, unwrittenEvidence(state));
     case WriteOutcome.IN_DOUBT:
-      return retryWrite({...state, writeInDoubt: true}, context);
+      return retryWrite({...state, isWriteInDoubt: true}, context);
   }
 }
 
-/** Repeats a write in doubt; the same write can't take effect twice. */
+/** Repeats a write in doubt; conditional writes take effect only once. */
 function retryWrite(state: BookingState, context: StepContext): BookingStep {
   const writeAttempts = state.writeAttempts + 1;
-  if (context.late || writeAttempts >= MAX_WRITE_ATTEMPTS) {
+  if (context.isPastDeadline || writeAttempts >= MAX_WRITE_ATTEMPTS) {
     return finishWithEvidence(state, unwrittenEvidence(state));
   }
   const claim = state.pending!;
@@ -142,20 +147,20 @@
   stored: StoredClaim,
   context: StepContext,
 ): BookingStep {
-  const next = {...state, stored, writeInDoubt: false, writeAttempts: 0};
+  const next = {...state, stored, isWriteInDoubt: false, writeAttempts: 0};
   switch (state.phase) {
     case BookingPhase.CLAIMING:
       if (stored.claim.state === ClaimState.VOIDED) {
         return finishWithEvidence(next, EvidenceKind.VOIDED_NO_TARGET);
       }
-      return send({...next, soleSender: true, sent: false}, context);
+      return send({...next, isSoleSender: true, isSent: false}, context);
     case BookingPhase.MOVING:
       return send(
-        {...next, soleSender: true, sent: false, agentGone: false},
+        {...next, isSoleSender: true, isSent: false, isAgentGone: false},
         context,
       );
     case BookingPhase.TAKING_OVER:
-      return send({...next, soleSender: false}, context);
+      return send({...next, isSoleSender: false}, context);
     default:
       return finishWithEvidence(next, voidedEvidence(context));
   }
@@ -176,9 +181,9 @@
   const next = {
     ...state,
     stored,
-    soleSender: false,
-    writeInDoubt: false,
-    agentGone: false,
+    isSoleSender: false,
+    isWriteInDoubt: false,
+    isAgentGone: false,
   };
   return queryAgent({...next, writeAttempts: 0}, context, false);
 }
@@ -188,7 +193,8 @@
   context: StepContext,
   isRetry: boolean,
 ): BookingStep {
-  if (context.late) return finishWithEvidence(state, abortEvidence(state));
+  if (context.isPastDeadline)
+    return finishWithEvidence(state, abortEvidence(state));
   const agent = agentOf(state.stored!.claim);
   return {
     state: {...state, phase: BookingPhase.QUERYING},
@@ -196,17 +202,20 @@
   };
 }
 
-/** Sends the booking unless the deadline has passed. */
+/**
+ * Sends the booking unless the deadline has passed. This is the last step at
+ * which the entry can still prevent the execution.
+ */
 function send(state: BookingState, context: StepContext): BookingStep {
-  if (context.late) {
-    return state.soleSender
+  if (context.isPastDeadline) {
+    return state.isSoleSender
       ? voidClaim(state, context)
       : finishWithEvidence(state, abortEvidence(state));
   }
   const {claim} = state.stored!;
   const {claimedAtMs} = claim;
   return {
-    state: {...state, phase: BookingPhase.CALLING, sent: true},
+    state: {...state, phase: BookingPhase.CALLING, isSent: true},
     effect: {kind: EffectKind.CALL, agent: agentOf(claim), claimedAtMs},
   };
 }
@@ -232,7 +241,7 @@
     case AgentResultKind.NOT_ADMITTED:
       return afterNotAdmitted(state, context);
     case AgentResultKind.GONE:
-      return lookUp({...state, agentGone: true});
+      return lookUp({...state, isAgentGone: true});
     case AgentResultKind.TIMEOUT:
     case AgentResultKind.LOST:
       return lookUp(state);
@@ -253,35 +262,42 @@
       return true;
     case AgentResultKind.NOT_SENT:
     case AgentResultKind.NOT_ADMITTED:
-      return state.phase === BookingPhase.CALLING && state.soleSender;
+      return state.phase === BookingPhase.CALLING && state.isSoleSender;
     default:
       return false;
   }
 }
 
 /**
- * The message of this request will not run. Messages of other requests may
- * still run unless this one is the sole sender.
+ * Handles a message that was not sent or not admitted, so that it will not run.
+ * The message of another request may still run, unless this request is the sole
+ * sender.
  */
 function afterNotAdmitted(
   state: BookingState,
   context: StepContext,
 ): BookingStep {
-  const called = state.phase === BookingPhase.CALLING;
-  if (called && state.soleSender) {
-    return moveOrVoid({...state, sent: false}, context);
+  const isCall = state.phase === BookingPhase.CALLING;
+  if (isCall && state.isSoleSender) {
+    return moveOrVoid({...state, isSent: false}, context);
   }
   return lookUp(state);
 }
 
+/**
+ * Replaces another request's claim before this request sends the booking. The
+ * other request can then no longer move or void the booking, as its writes are
+ * conditional on its own claim.
+ */
 function takeOver(state: BookingState, context: StepContext): BookingStep {
   const {claim} = state.stored!;
   if (claim.nonce === state.pending?.nonce) {
     // An earlier message of this request may still arrive; the agent admits
     // only one of them.
-    return send({...state, soleSender: false}, context);
+    return send({...state, isSoleSender: false}, context);
   }
-  if (context.late) return finishWithEvidence(state, abortEvidence(state));
+  if (context.isPastDeadline)
+    return finishWithEvidence(state, abortEvidence(state));
   const {nonce} = context;
   const {entryIncarnation} = state;
   return swap(state, BookingPhase.TAKING_OVER, {
@@ -291,13 +307,21 @@
   });
 }
 
-/** Nothing runs under the current claim: moves the booking or voids it. */
+/**
+ * Moves the booking to another agent if there is one, or else voids the claim.
+ * Nothing ran or will run under the current claim.
+ */
 function moveOrVoid(state: BookingState, context: StepContext): BookingStep {
   const {claim} = state.stored!;
-  const {target, nonce, late} = context;
-  const elsewhere = target?.incarnation !== claim.agentIncarnation;
-  const movesExhausted = state.moves >= MAX_MOVES;
-  if (late || movesExhausted || target === undefined || !elsewhere) {
+  const {target, nonce, isPastDeadline} = context;
+  const isOtherAgent = target?.incarnation !== claim.agentIncarnation;
+  const areMovesExhausted = state.moves >= MAX_MOVES;
+  if (
+    isPastDeadline ||
+    areMovesExhausted ||
+    target === undefined ||
+    !isOtherAgent
+  ) {
     return voidClaim(state, context);
   }
   const moved = {...state, moves: state.moves + 1};
@@ -346,7 +370,7 @@
   context: StepContext,
 ): BookingStep {
   if (response !== undefined) return finishWithResponse(state, response);
-  if (state.agentGone)
+  if (state.isAgentGone)
     return finishWithEvidence(state, EvidenceKind.AGENT_GONE);
   return queryAgent(state, context, true);
 }
--- a/src/core/booking/step-evidence.ts
+++ b/src/core/booking/step-evidence.ts
@@ -1,7 +1,7 @@
-/** Evidence for bookings that end without an outcome. */
+/** Selects the evidence for bookings that end without an outcome. */
 import type {BookingState} from './booking-state.js';
 import {BookingPhase} from './booking-state.js';
-import {EvidenceKind} from './decide-ran.js';
+import {EvidenceKind} from './decide-verdict.js';
 import type {StepContext} from './types.js';
 
 /**
@@ -14,21 +14,21 @@
   if (state.phase === BookingPhase.VOIDING) return EvidenceKind.VOID_IN_DOUBT;
   if (state.phase === BookingPhase.TAKING_OVER) return abortEvidence(state);
   if (state.phase === BookingPhase.MOVING) return EvidenceKind.VOID_IN_DOUBT;
-  if (state.writeInDoubt) return EvidenceKind.CLAIM_IN_DOUBT;
-  return state.firstUse
+  if (state.isWriteInDoubt) return EvidenceKind.CLAIM_IN_DOUBT;
+  return state.isFirstUse
     ? EvidenceKind.NOT_CLAIMED_FIRST_USE
     : EvidenceKind.NOT_CLAIMED;
 }
 
 /**
  * Returns the evidence for a booking that is aborted while in progress; it
- * never leads to the verdict Ran.NO.
+ * never leads to the verdict Executed.NO.
  *
  * @example
  * finishWithEvidence(state, abortEvidence(state));
  */
 export function abortEvidence(state: BookingState): EvidenceKind {
-  if (state.sent) return EvidenceKind.NO_ANSWER;
+  if (state.isSent) return EvidenceKind.NO_ANSWER;
   switch (state.phase) {
     case BookingPhase.NEW:
       return EvidenceKind.NOT_CLAIMED;
@@ -51,7 +51,7 @@
  * finishWithEvidence(state, voidedEvidence(context));
  */
 export function voidedEvidence(context: StepContext): EvidenceKind {
-  return context.late
+  return context.isPastDeadline
     ? EvidenceKind.VOIDED_LATE
     : EvidenceKind.VOIDED_NO_TARGET;
 }
--- a/src/core/generation/assembly.ts
+++ b/src/core/generation/assembly.ts
@@ -16,7 +16,7 @@
   FINISHED = 'finished',
 }
 
-/** Result of a message. */
+/** Result of receiving a message. */
 export interface Step {
   readonly kind: StepKind;
   /** Number of new tokens. */
@@ -27,8 +27,9 @@
 const BROKEN: Step = {kind: StepKind.BROKEN, appended: 0};
 
 /**
- * Accepts only the next positions of the current attempt. Messages that are
- * late, duplicated or of another attempt change nothing.
+ * Adds tokens to the log of an output. Accepts only the next positions of the
+ * current attempt; messages that are late, duplicated or of another attempt
+ * change nothing.
  *
  * @example
  * const assembly = new Assembly({log, spec});
@@ -37,7 +38,8 @@
  */
 export class Assembly {
   private currentId = '';
-  private resumedAt = 0;
+  /** Length of the log when the current attempt began, in tokens. */
+  private resumePosition = 0;
 
   constructor(
     private readonly options: {
@@ -53,13 +55,13 @@
 
   /** Number of tokens that the current attempt has added. */
   get progress(): number {
-    return this.options.log.length - this.resumedAt;
+    return this.options.log.length - this.resumePosition;
   }
 
   /** Makes an attempt the current one. */
   begin(attemptId: string): void {
     this.currentId = attemptId;
-    this.resumedAt = this.options.log.length;
+    this.resumePosition = this.options.log.length;
   }
 
   /** Clears the current attempt, so that all messages are ignored. */
@@ -69,6 +71,7 @@
 
   receiveTokens(options: {
     attemptId: string;
+    /** Position of the first token in the output. */
     position: number;
     tokens: readonly Token[];
   }): Step {
@@ -84,6 +87,7 @@
 
   receiveEnd(options: {
     attemptId: string;
+    /** Length of the complete output, in tokens. */
     length: number;
     finishReason: FinishReason;
   }): Step {
@@ -94,7 +98,7 @@
       end: {length, finishReason},
       spec,
       tokens: log.slice({from: 0}),
-      resumedAt: this.resumedAt,
+      resumePosition: this.resumePosition,
     });
     if (verdict === EndVerdict.BROKEN) return BROKEN;
     if (verdict === EndVerdict.CONFIRM) {
--- a/src/entry/calls/booking-run.ts
+++ b/src/entry/calls/booking-run.ts
@@ -21,7 +21,7 @@
 import {
   claimNameOf,
   createBooking,
-  decideRan,
+  decideVerdict,
   EffectKind,
   EventKind,
   mayMove,
@@ -71,7 +71,7 @@
     this.state = createBooking({
       fingerprint: request.fingerprint,
       entryIncarnation: options.incarnation,
-      firstUse: isFirstUse(request.req),
+      isFirstUse: isFirstUse(request.req),
     });
     this.claimName = claimNameOf({
       clientAccount: request.clientAccount.name,
@@ -116,7 +116,7 @@
     return {
       nonce: random.id(),
       target: this.chooseTarget(event),
-      late: this.leftMs() <= 0,
+      isPastDeadline: this.leftMs() <= 0,
       wallMs: clock.wallNow(),
     };
   }
@@ -235,7 +235,7 @@
   }
 
   private createRefusal(evidence: Evidence): Refusal {
-    const {ran, reason, detail, retryLater} = decideRan(evidence);
+    const {ran, reason, detail, retryLater} = decideVerdict(evidence);
     const label = evidence.kind;
     this.options.callDeps.metrics.count(CounterName.BOOKING_EVIDENCE, {label});
     const retryAfterMs = retryLater ? RETRY_AFTER_MS : undefined;
