--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -129,7 +129,7 @@
         quarantine,
         targets,
         prober,
-        records: options.lossWriter,
+        writer: options.lossWriter,
         source: options.lossSource,
         clock,
         random,
@@ -142,7 +142,7 @@
     };
     this.quarantineSync = new QuarantineSync({
       quarantine: this.ctx.quarantine,
-      records: options.quarantineWriter,
+      writer: options.quarantineWriter,
       source: options.quarantineSource,
       clock,
       random,
--- a/src/direct/poison/loss-sync.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -18,7 +18,7 @@
   /** Name of this entry's VM, under which its losses are stored. */
   readonly vm: string;
   readonly ledger: LossLedger;
-  readonly records: StateWriter<RecordedLosses>;
+  readonly writer: StateWriter<RecordedLosses>;
   readonly source: StateSource<RecordedLosses>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -119,7 +119,7 @@
   }
 
   private async write(): Promise<void> {
-    const {vm, ledger, records, clock, logger} = this.options;
+    const {vm, ledger, writer, clock, logger} = this.options;
     const value = ledger.toRecordedLosses();
     const text = JSON.stringify(value);
     if (text === this.lastWritten || this.hasNothingToWrite(value)) {
@@ -128,7 +128,7 @@
     }
     this.isWriting = true;
     this.lastWriteMs = clock.now();
-    const written = await records.upsert(vm, value);
+    const written = await writer.upsert(vm, value);
     this.isWriting = false;
     if (this.isStopped) return;
     if (written.isErr()) {
--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -22,7 +22,7 @@
 /** Dependencies of the synchronization. */
 export interface QuarantineSyncOptions {
   readonly quarantine: Quarantine;
-  readonly records: StateWriter<QuarantineRecord>;
+  readonly writer: StateWriter<QuarantineRecord>;
   readonly source: StateSource<QuarantineRecord>;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -120,9 +120,9 @@
     fingerprint: string,
     record: QuarantineRecord,
   ): Promise<void> {
-    const {records} = this.options;
+    const {writer} = this.options;
     await this.retryUntilWritten(() =>
-      records.createIfAbsent(fingerprint, record),
+      writer.createIfAbsent(fingerprint, record),
     );
     this.stored.add(fingerprint);
     await this.removeAfter(fingerprint, QUARANTINE_MS);
@@ -135,9 +135,7 @@
   ): Promise<void> {
     await this.sleep(delayMs);
     if (!this.stored.has(fingerprint)) return;
-    await this.retryUntilWritten(() =>
-      this.options.records.remove(fingerprint),
-    );
+    await this.retryUntilWritten(() => this.options.writer.remove(fingerprint));
   }
 
   /** Retries a write until it succeeds or the process stops. */
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -81,7 +81,7 @@
       random: new SeededRandom(1),
       logger: SILENT_LOGGER,
       onReceived: () => undefined,
-      records: {
+      writer: {
         createIfAbsent: () => okAsync(undefined),
         remove: () => okAsync(undefined),
         upsert: (_name, value) => {
