--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -151,7 +151,7 @@
     if (nextTarget === undefined || !this.takeRetry(RetryReason.CALL_SLOW)) {
       return;
     }
-    this.recordUnresponsive(current);
+    this.recordWithdrawn(current);
     current.exchange.cancel();
     current.target.recordFailure();
     this.closeAttempt();
@@ -266,12 +266,12 @@
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.recordUnresponsive(current);
+    if (current !== undefined) this.recordWithdrawn(current);
     this.stop();
   }
 
-  private recordUnresponsive({target, targetWork}: CallAttempt): void {
-    this.poisonDetector.recordUnresponsive({
+  private recordWithdrawn({target, targetWork}: CallAttempt): void {
+    this.poisonDetector.recordWithdrawn({
       target,
       startedMs: targetWork.startedAtMs,
     });
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -74,15 +74,15 @@
   private readonly diagnoses = new Map<string, Promise<void>>();
   /** Losses seen by this entry and attributed to requests, by request. */
   private readonly attributed = new Map<string, AttributedLosses>();
-  /** Requests that were recently withdrawn from unresponsive targets. */
-  private readonly unresponsive = new Set<RequestLoss>();
+  /** Requests recently withdrawn from targets that had not finished them. */
+  private readonly withdrawn = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
 
   /** Whether no loss is under diagnosis, watched or attributed. */
   get isIdle(): boolean {
     return (
-      this.diagnoses.size + this.unresponsive.size + this.attributed.size === 0
+      this.diagnoses.size + this.withdrawn.size + this.attributed.size === 0
     );
   }
 
@@ -104,14 +104,14 @@
   }
 
   /**
-   * A request was withdrawn from an unresponsive target. If the incarnation of
-   * the target turns out to have ended by then, the loss is attributed to the
-   * request.
+   * Watches a target from which a request was withdrawn before it had finished.
+   * If the incarnation ended and was not seen again after the withdrawal, the
+   * loss is attributed to the request.
    */
-  watchUnresponsive(loss: RequestLoss): void {
-    this.unresponsive.add(loss);
+  watchWithdrawn(loss: RequestLoss): void {
+    this.withdrawn.add(loss);
     void this.awaitIncarnationEnd(loss).finally(() =>
-      this.unresponsive.delete(loss),
+      this.withdrawn.delete(loss),
     );
   }
 
@@ -152,8 +152,8 @@
   /** Forgets the losses of a request that was served or is released. */
   clear(request: string): void {
     this.attributed.delete(request);
-    for (const loss of [...this.unresponsive]) {
-      if (loss.request === request) this.unresponsive.delete(loss);
+    for (const loss of [...this.withdrawn]) {
+      if (loss.request === request) this.withdrawn.delete(loss);
     }
   }
 
@@ -167,7 +167,7 @@
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
     await sleep(clock, INCARNATION_CHECK_MS - LOSS_DIAGNOSIS_MS);
     const hasEnded = !targets.isCurrent(target) && target.lastSeenAtMs < atMs;
-    if (!hasEnded || !this.unresponsive.has(loss)) return;
+    if (!hasEnded || !this.withdrawn.has(loss)) return;
     ledger.recordLoss({request, incarnation: incarnationOf(target.record)});
     this.recordCause(loss, LossCause.UNEXPLAINED);
   }
--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -70,13 +70,13 @@
     this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(attempt));
   }
 
-  /** Records that the request is withdrawn from an unresponsive target. */
-  recordUnresponsive(attempt: TargetAttempt): void {
+  /** Records that the request is withdrawn from a target that has not finished. */
+  recordWithdrawn(attempt: TargetAttempt): void {
     const {diagnosis} = this.ctx.lossTracker;
     const loss = this.toLoss(attempt);
     // After an earlier loss, this target may have crashed too, undetected.
     if (this.hasLostTarget) diagnosis.diagnose(loss);
-    else diagnosis.watchUnresponsive(loss);
+    else diagnosis.watchWithdrawn(loss);
   }
 
   /** Records that one target served the whole request and still runs. */
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -300,7 +300,7 @@
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.poisonDetector.recordUnresponsive(current);
+    if (current !== undefined) this.poisonDetector.recordWithdrawn(current);
     this.stop();
   }
 
