--- a/src/direct/context.ts
+++ b/src/direct/context.ts
@@ -13,7 +13,7 @@
 import type {LossTracker} from './poison/loss-tracker.js';
 import type {Prober} from './prober.js';
 import type {ServiceRetryBudgets} from './service-retry-budgets.js';
-import type {StreamDurations} from './streams/stream-durations.js';
+import type {MinGenerationTimes} from './streams/min-generation-times.js';
 
 /** Dependencies of the request handlers of an entry. */
 export interface DirectContext {
@@ -23,8 +23,8 @@
   readonly targets: TargetSet;
   readonly client: DirectTargets;
   readonly prober: Prober;
-  /** Durations of past generations, by service. */
-  readonly streamDurations: StreamDurations;
+  /** Shortest generation times, estimated for each service. */
+  readonly minGenerationTimes: MinGenerationTimes;
   readonly retryBudgets: ServiceRetryBudgets;
   /** Targets lost while they ran requests, at this and other entries. */
   readonly lossTracker: LossTracker;
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -42,7 +42,7 @@
 import {LossTracker, QuarantineSync} from './poison/index.js';
 import {Prober} from './prober.js';
 import {ServiceRetryBudgets} from './service-retry-budgets.js';
-import {StreamDurations} from './streams/stream-durations.js';
+import {MinGenerationTimes} from './streams/min-generation-times.js';
 import {StreamHandler} from './streams/stream-handler.js';
 
 /** Settings and dependencies of a direct entry. */
@@ -118,7 +118,7 @@
       random,
       targets,
       prober,
-      streamDurations: new StreamDurations(),
+      minGenerationTimes: new MinGenerationTimes(),
       client,
       retryBudgets: new ServiceRetryBudgets({
         clock,
--- a/src/direct/streams/stream-durations.ts
+++ b/src/direct/streams/min-generation-times.ts
@@ -1,36 +1,36 @@
-/** Estimated durations of generations, by service. */
+/** Estimates the shortest time of a generation for each service. */
 import type {CallerRequest} from '../../core/edges/direct-caller.js';
 import type {RoutedService} from '../../core/routes/index.js';
 import type {GenerationSize} from '../../core/streams/index.js';
 import {MinGenerationTime, toPosition} from '../../core/streams/index.js';
 
 /**
- * One `MinGenerationTime` for each service.
+ * Keeps one `MinGenerationTime` for each service, created when first used.
  *
  * @example
- * durations.of('drafts').cannotFinish({need, leftMs});
+ * times.forService('drafts').cannotFinish({need, leftMs});
  */
-export class StreamDurations {
-  private readonly durations = new Map<string, MinGenerationTime>();
+export class MinGenerationTimes {
+  private readonly times = new Map<string, MinGenerationTime>();
 
-  of(service: string): MinGenerationTime {
-    let time = this.durations.get(service);
+  forService(service: string): MinGenerationTime {
+    let time = this.times.get(service);
     if (time === undefined) {
       time = new MinGenerationTime();
-      this.durations.set(service, time);
+      this.times.set(service, time);
     }
     return time;
   }
 }
 
 /**
- * Tokens and events of a requested generation; undefined if the request is not
- * for a generation or the service is not an engine.
+ * Returns the size of a requested generation; undefined if the request declares
+ * none or the service has no engines.
  *
  * @example
- * const need = toGenerationNeed(req, service);
+ * const need = toGenerationSize(req, service);
  */
-export function toGenerationNeed(
+export function toGenerationSize(
   req: CallerRequest,
   service: RoutedService,
 ): GenerationSize | undefined {
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -28,7 +28,7 @@
 import type {KvCacheCopy} from './kv-cache-replicator.js';
 import {StreamDelivery} from './stream-delivery.js';
 import {canResumeAt, StreamPlacer} from './stream-placer.js';
-import {toGenerationNeed} from './stream-durations.js';
+import {toGenerationSize} from './min-generation-times.js';
 import type {TargetLoss} from './stream-attempt.js';
 import {StreamAttempt} from './stream-attempt.js';
 
@@ -117,11 +117,11 @@
   /** Whether the remaining time is too short for any engine. */
   private cannotMeetDeadline(): boolean {
     const {req, service, deadlineAtMs} = this.work;
-    const need = toGenerationNeed(req, service);
+    const need = toGenerationSize(req, service);
     if (need === undefined) return false;
     const leftMs = deadlineAtMs - this.ctx.clock.now();
-    return this.ctx.streamDurations
-      .of(service.name)
+    return this.ctx.minGenerationTimes
+      .forService(service.name)
       .cannotFinish({need, leftMs});
   }
 
@@ -198,7 +198,7 @@
     // After several attempts, the request may have crashed earlier targets.
     if (this.attempts === 1) this.poisonDetector.recordServed();
     this.stop();
-    this.recordDurations();
+    this.recordGenerationTime();
     this.delivery.finish(head);
   }
 
@@ -313,9 +313,9 @@
     this.current = undefined;
   }
 
-  private recordDurations(): void {
+  private recordGenerationTime(): void {
     const {req, service} = this.work;
-    const need = toGenerationNeed(req, service);
+    const need = toGenerationSize(req, service);
     if (
       need === undefined ||
       need.receivedEvents > 0 ||
@@ -324,7 +324,7 @@
       return;
     const totalMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
-    this.ctx.streamDurations.of(service.name).addSample({
+    this.ctx.minGenerationTimes.forService(service.name).addSample({
       ...need,
       events: this.sequence.count,
       firstEventMs,
