--- a/src/direct/streams/kv-cache-replicator.ts
+++ b/src/direct/streams/kv-cache-replicator.ts
@@ -30,7 +30,7 @@
  *
  * @example
  * const replicator = new KvCacheReplicator(options);
- * replicator.check();
+ * replicator.maintainCopy();
  * const copy = replicator.copy;
  */
 export class KvCacheReplicator {
@@ -56,7 +56,7 @@
   }
 
   /** Refreshes or replaces the copy if needed; to be called on each event. */
-  check(): void {
+  maintainCopy(): void {
     if (this.isRequesting || this.current === undefined) return;
     const {holder} = this.current;
     const ageMs = this.options.ctx.clock.now() - this.requestedMs;
--- a/src/direct/streams/stream-attempt.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -80,7 +80,7 @@
   /** The body of a response that is not a stream. */
   private readonly body = new ResponseBody();
   private head?: TargetResponseHead;
-  private eventCount = 0;
+  private receivedCount = 0;
   private isOver = false;
 
   constructor(private readonly options: StreamAttemptOptions) {
@@ -130,8 +130,8 @@
   }
 
   /** Number of events received from this target. */
-  get events(): number {
-    return this.eventCount;
+  get eventCount(): number {
+    return this.receivedCount;
   }
 
   /** Cancels the work at the target. */
@@ -202,12 +202,12 @@
   }
 
   private recordEvent(): void {
-    this.eventCount++;
+    this.receivedCount++;
     this.work.isPrefilling = false;
     this.target.recordSeen();
     if (!this.options.work.admitted.route.isResumable) return;
     this.stallDetector.recordEvent();
-    this.replicator.check();
+    this.replicator.maintainCopy();
   }
 
   private onComplete(): void {
--- a/src/direct/streams/stream-delivery.ts
+++ b/src/direct/streams/stream-delivery.ts
@@ -16,7 +16,7 @@
 export class StreamDelivery {
   private readonly ctx: DirectContext;
   private readonly work: DirectWork;
-  private isOpened = false;
+  private isStarted = false;
   private isResuming = false;
   private firstEventAfterMs = 0;
   private longestPauseMs = 0;
@@ -28,8 +28,8 @@
   }
 
   /** Whether a part of the response was sent to the caller. */
-  get isOpen(): boolean {
-    return this.isOpened;
+  get hasStarted(): boolean {
+    return this.isStarted;
   }
 
   /** Time from the receipt of the request to the first event, in ms. */
@@ -39,25 +39,25 @@
 
   /** Marks that the next event comes from another attempt. */
   markResumed(): void {
-    this.isResuming = this.isOpened;
+    this.isResuming = this.isStarted;
   }
 
   writeEvent(head: TargetResponseHead, event: RawEvent): void {
-    this.open(head);
+    this.start(head);
     this.work.res.write(event.bytes);
     this.recordPause();
   }
 
   /** Ends the response as a complete one. */
   finish(head: TargetResponseHead): void {
-    this.open(head);
+    this.start(head);
     this.work.res.end();
     this.logIfLate();
   }
 
-  private open(head: TargetResponseHead): void {
-    if (this.isOpened) return;
-    this.isOpened = true;
+  private start(head: TargetResponseHead): void {
+    if (this.isStarted) return;
+    this.isStarted = true;
     this.work.res.writeHead(head);
   }
 
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -170,7 +170,7 @@
       chooseCopyHolder: () => this.placer.chooseCopyHolder(target),
       tokens: this.placer.tokens,
       lastEventId: this.sequence.lastId,
-      hasDelivered: this.delivery.isOpen,
+      hasDelivered: this.delivery.hasStarted,
       copyFrom,
       listener: {
         onEvent: (head, event) => this.onEvent(head, event),
@@ -204,7 +204,7 @@
 
   private onOtherResponse(head: TargetResponseHead, body: Uint8Array): void {
     const isFailure = head.status >= MIN_FAILURE_STATUS;
-    if (isFailure || this.delivery.isOpen) {
+    if (isFailure || this.delivery.hasStarted) {
       const reason = RetryReason.TARGET_REFUSED;
       this.mayHaveRun = true;
       this.onLost({reason, detail: `status ${head.status}`});
@@ -228,11 +228,11 @@
     if (mayBeCrash) this.poisonDetector.recordLoss(lost);
     if (!DATA_CENTRE_ALIVE_REASONS.has(reason))
       this.placer.avoidDataCentreOf(lost.target);
-    if (!this.mayResume(reason, lost.events > 0)) {
+    if (!this.mayResume(reason, lost.eventCount > 0)) {
       this.fail(false);
       return;
     }
-    if (lost.events >= MIN_EVENTS_FOR_COPY) this.resumableCopy = lost.copy;
+    if (lost.eventCount >= MIN_EVENTS_FOR_COPY) this.resumableCopy = lost.copy;
     this.ctx.metrics.countRetry(reason);
     this.delivery.markResumed();
     if (mayBeCrash && this.poisonDetector.isSuspect())
@@ -263,8 +263,9 @@
 
   private fail(isTimedOut: boolean): void {
     if (this.isOver) return;
-    const {isOpen} = this.delivery;
-    const mayHaveRun = this.mayHaveRun || this.current !== undefined || isOpen;
+    const {hasStarted} = this.delivery;
+    const mayHaveRun =
+      this.mayHaveRun || this.current !== undefined || hasStarted;
     const target = this.current?.target;
     this.abandon();
     const {status, reason} = toFailureResponse({mayHaveRun, isTimedOut});
@@ -280,7 +281,7 @@
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
     });
-    if (isOpen) {
+    if (hasStarted) {
       this.work.res.abort();
       return;
     }
