--- a/src/direct/call-handler.ts
+++ b/src/direct/call-handler.ts
@@ -52,8 +52,10 @@
   private current?: CallAttempt;
   private head?: TargetResponseHead;
   private body = new ResponseBody();
+  /** Finished attempts that count towards the maximum of the route. */
   private sentCount = 0;
   private isOver = false;
+  /** Whether a finished attempt may have run the call. */
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
@@ -77,7 +79,10 @@
     else this.sendFirst();
   }
 
-  /** Earlier attempts of the request lost targets, at any entry. */
+  /**
+   * Sends a call whose earlier attempts, at any entry, lost targets, unless the
+   * diagnosis of these losses shows that it is poison.
+   */
   private async sendAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
@@ -117,7 +122,7 @@
           if (head.load !== undefined) target.recordLoad(head.load);
         },
         onData: (chunk) => this.onData(chunk),
-        onComplete: () => this.onEnd({status: this.head!.status}),
+        onComplete: () => this.onAttemptEnd({status: this.head!.status}),
         onFailure: (failure, detail) => this.onFailure(failure, detail),
       },
     });
@@ -135,7 +140,10 @@
     this.onFailure(ExchangeFailure.BROKEN, TOO_LARGE_DETAIL);
   }
 
-  /** An idempotent call leaves time for another attempt. */
+  /**
+   * Time after which an idempotent call is sent to another target. For its last
+   * attempt and for other calls it is longer than the deadline allows.
+   */
   private attemptTimeoutMs(leftMs: number): number {
     const {operation, maxAttempts} = this.work.admitted.route;
     const mayRetry = operation === OperationKind.SAFE;
@@ -157,7 +165,7 @@
     this.closeAttempt();
     this.sentCount++;
     this.mayHaveRun = true;
-    this.logRetry(RetryReason.CALL_SLOW, current.target);
+    this.recordRetry(RetryReason.CALL_SLOW, current.target);
     this.send(nextTarget);
   }
 
@@ -174,30 +182,30 @@
       detail,
     });
     recordTargetFailure(target, failure);
-    this.onEnd({failure});
+    this.onAttemptEnd({failure});
   }
 
-  private onEnd(end: AttemptResult): void {
+  private onAttemptEnd(result: AttemptResult): void {
     const {target} = this.current!;
-    target.recordResponse(isTargetFailure(end));
+    target.recordResponse(isTargetFailure(result));
     this.closeAttempt();
-    if (countsAsSent(end.failure)) this.sentCount++;
+    if (countsAsSent(result.failure)) this.sentCount++;
     const nextTarget = this.chooseTarget();
     const {operation, maxAttempts} = this.work.admitted.route;
-    const reason = retryReasonOf(end.failure, RetryReason.CALL_LOST);
-    const verdict = decideRetry({
+    const reason = retryReasonOf(result.failure, RetryReason.CALL_LOST);
+    const decision = decideRetry({
       operation,
-      result: end,
+      result,
       sentCount: this.sentCount,
       maxAttempts,
       hasOtherTarget: nextTarget !== undefined,
       takeFromBudget: () => this.takeRetry(reason),
     });
-    if (verdict === RetryDecision.PASS_ON) {
+    if (decision === RetryDecision.PASS_ON) {
       target.recordSuccess();
       this.forwardResponse();
-    } else if (verdict === RetryDecision.RETRY) {
-      this.logRetry(reason, target);
+    } else if (decision === RetryDecision.RETRY) {
+      this.recordRetry(reason, target);
       if (this.poisonDetector.isSuspect()) void this.retryAfterDiagnosis();
       else this.send(nextTarget!);
     } else {
@@ -205,7 +213,7 @@
     }
   }
 
-  /** A call that lost several targets waits for the loss diagnosis. */
+  /** Retries a call that lost several targets once the losses are diagnosed. */
   private async retryAfterDiagnosis(): Promise<void> {
     const mayRetry = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
@@ -226,10 +234,10 @@
     this.stop();
     const ms = this.ctx.clock.now() - this.work.req.receivedMs;
     this.ctx.metrics.observe({name: LatencyName.PLAIN_CALL, ms});
-    const {status, headers, isSelfDelimited: hasLength} = this.head!;
+    const {status, headers, isSelfDelimited} = this.head!;
     const body = this.body.toBytes();
     const {res} = this.work;
-    if (hasLength) res.sendComplete({status, headers}, body);
+    if (isSelfDelimited) res.sendComplete({status, headers}, body);
     else res.sendCloseDelimited({status, headers}, body);
   }
 
@@ -254,7 +262,7 @@
     this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
-  /** The request was quarantined while this handler ran. */
+  /** Ends the call because its request was quarantined meanwhile. */
   private failAsPoison(): void {
     if (this.isOver) return;
     const isUnsent = !this.mayHaveRun && this.current === undefined;
@@ -262,7 +270,10 @@
     else this.fail(false);
   }
 
-  /** Ends without a response; the caller may retry at another entry. */
+  /**
+   * Stops the call without sending a response. A caller that has disconnected
+   * may retry at another entry.
+   */
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
@@ -303,7 +314,7 @@
     });
   }
 
-  private logRetry(reason: RetryReason, from: Target): void {
+  private recordRetry(reason: RetryReason, from: Target): void {
     this.ctx.metrics.countRetry(reason);
     this.ctx.logger.info('call retried at another target', {
       id: this.work.req.attemptId,
--- a/src/direct/consts.ts
+++ b/src/direct/consts.ts
@@ -13,7 +13,7 @@
 /** Longest long poll for configuration changes, in milliseconds. */
 export const CONFIG_LONG_POLL_MS = 2_000;
 
-/** Longest such poll, as a share of the time for which keys are trusted. */
+/** Longest such poll, as a share of the bound on the revocation of keys. */
 export const CONFIG_LONG_POLL_SHARE = 0.4;
 
 /** Longest long poll for changes of the targets, in milliseconds. */
@@ -28,13 +28,13 @@
 /** Share of the configured retry ratio for retries after losses. */
 export const LOSS_BUDGET_SHARE = 0.9;
 
-/** Retries after losses that an entry always allows in a window. */
+/** Retries after losses that an entry always allows in a retry window. */
 export const MIN_LOSS_RETRIES = 24;
 
 /** How many of these may follow attempts without any output. */
 export const MIN_NO_OUTPUT_RETRIES = 12;
 
-/** Retries after rejections that an entry always allows in a window. */
+/** Retries after rejections that an entry always allows in a retry window. */
 export const MIN_REJECTION_RETRIES = 4;
 
 /** Number of entries among which the slack of the retry budget is divided. */
@@ -68,12 +68,16 @@
 export const SHORTLIST_SIZE = 3;
 
 /**
- * Time after the start of its drain for which a target still accepts a resumed
- * stream whose KV cache copy it holds, in milliseconds.
+ * Time after the start of its drain in which a target still completes work that
+ * it accepts, so that a stream whose KV cache copy it holds can be resumed
+ * there, in milliseconds.
  */
 export const DRAINING_RESUME_WINDOW_MS = 800;
 
-/** Time until the first probe of a target that resumes from a copy, in ms. */
+/**
+ * Time in which a target that resumes from a KV cache copy should send an
+ * event, in milliseconds; after it, the target is probed.
+ */
 export const RESUME_CHECK_MS = 350;
 
 /** Time between two probes of a target during prefill, in milliseconds. */
@@ -85,7 +89,10 @@
 /** Time in which other entries diagnose and share a loss, in milliseconds. */
 export const REMOTE_DIAGNOSIS_MS = 350;
 
-/** Time by which data sent before a loss has arrived, in milliseconds. */
+/**
+ * Time after a loss in which data that the target sent before may still arrive,
+ * in milliseconds.
+ */
 export const IN_FLIGHT_DATA_MS = 50;
 
 /** Time until the store shows that an incarnation ended, in milliseconds. */
@@ -121,5 +128,8 @@
 /** Age at which a requested KV cache copy is refreshed, in milliseconds. */
 export const COPY_REFRESH_MS = 2_000;
 
-/** Share of the configured retry ratio for rejected requests. */
+/**
+ * Share of the configured retry ratio for retries of requests that a target
+ * rejected for lack of capacity.
+ */
 export const REJECTION_BUDGET_SHARE = 0.5;
--- a/src/direct/direct-process.ts
+++ b/src/direct/direct-process.ts
@@ -79,9 +79,10 @@
   private readonly ctx: DirectContext;
   private readonly quarantineSync: QuarantineSync;
   private readonly followers: Array<Follower<unknown>> = [];
-  private configs?: Follower<RoutingConfig>;
+  private configFollower?: Follower<RoutingConfig>;
   private hasLoadedTargets = false;
   private startedMs = 0;
+  /** End of the grace period, in ms on the monotonic clock, once draining. */
   private killAtMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: DirectProcessOptions) {
@@ -94,7 +95,7 @@
         logger.warn(
           'API keys not trusted: wall clock and monotonic clock diverged',
         );
-        this.configs?.refresh();
+        this.configFollower?.refresh();
       },
     });
     const targets = new TargetSet({
@@ -216,10 +217,10 @@
     });
     this.ctx.metrics.count(CounterName.REQUESTS);
     if (admitted.isErr()) this.refuse(req, res, admitted.error);
-    else this.run(req, res, admitted.value);
+    else this.dispatch(req, res, admitted.value);
   }
 
-  private run(
+  private dispatch(
     req: CallerRequest,
     res: CallerResponse,
     admitted: AdmittedRequest,
@@ -308,17 +309,17 @@
         onError: (err) => outageLog.recordFailure(err),
       },
     });
-    this.configs = follower;
+    this.configFollower = follower;
     this.followers.push(follower);
     follower.start();
   }
 
-  /** Two long polls in a row must fit into the key trust time. */
+  /** Two long polls in a row must fit into the bound on key revocation. */
   private configLongPollMs(): number {
-    const {keyRevocationMs: keyTrustMs = Infinity} = this.settings;
+    const {keyRevocationMs = Infinity} = this.settings;
     return Math.min(
       CONFIG_LONG_POLL_MS,
-      Math.floor(keyTrustMs * CONFIG_LONG_POLL_SHARE),
+      Math.floor(keyRevocationMs * CONFIG_LONG_POLL_SHARE),
     );
   }
 
--- a/src/direct/poison/loss-diagnosis.ts
+++ b/src/direct/poison/loss-diagnosis.ts
@@ -74,7 +74,7 @@
   private readonly diagnoses = new Map<string, Promise<void>>();
   /** Losses seen by this entry and attributed to requests, by request. */
   private readonly attributed = new Map<string, AttributedLosses>();
-  /** Requests recently withdrawn from targets that had not finished them. */
+  /** Requests recently withdrawn before their targets had finished them. */
   private readonly withdrawn = new Set<RequestLoss>();
 
   constructor(private readonly options: LossDiagnosisOptions) {}
@@ -160,13 +160,14 @@
   private async awaitIncarnationEnd(loss: RequestLoss): Promise<void> {
     const {clock, targets, ledger} = this.options;
     const {request, target} = loss;
-    const atMs = clock.now();
+    const withdrawnAtMs = clock.now();
     const wasLeaving = target.record.isDraining;
     await sleep(clock, LOSS_DIAGNOSIS_MS);
-    const cause = this.causeOf(loss, atMs);
+    const cause = this.causeOf(loss, withdrawnAtMs);
     if (wasLeaving || cause !== LossCause.UNEXPLAINED) return;
     await sleep(clock, INCARNATION_CHECK_MS - LOSS_DIAGNOSIS_MS);
-    const hasEnded = !targets.isCurrent(target) && target.lastSeenAtMs < atMs;
+    const hasEnded =
+      !targets.isCurrent(target) && target.lastSeenAtMs < withdrawnAtMs;
     if (!hasEnded || !this.withdrawn.has(loss)) return;
     ledger.recordLoss({request, incarnation: incarnationOf(target.record)});
     this.recordCause(loss, LossCause.UNEXPLAINED);
@@ -181,10 +182,10 @@
 
   private async findCause(loss: RequestLoss): Promise<void> {
     const {clock, prober} = this.options;
-    const atMs = clock.now();
+    const lostAtMs = clock.now();
     const timeout = sleep(clock, LOSS_DIAGNOSIS_MS);
     const isAlive = await Promise.race([
-      prober.isAliveSince(loss.target, atMs),
+      prober.isAliveSince(loss.target, lostAtMs),
       timeout.then(() => false),
     ]);
     if (isAlive) {
@@ -192,17 +193,17 @@
       return;
     }
     await timeout;
-    this.recordCause(loss, this.causeOf(loss, atMs));
+    this.recordCause(loss, this.causeOf(loss, lostAtMs));
   }
 
-  private causeOf(loss: RequestLoss, atMs: number): LossCause {
+  private causeOf(loss: RequestLoss, lostAtMs: number): LossCause {
     const {request, target, startedMs} = loss;
     const {ledger, targets} = this.options;
-    if (target.lastSeenAtMs > atMs + IN_FLIGHT_DATA_MS)
+    if (target.lastSeenAtMs > lostAtMs + IN_FLIGHT_DATA_MS)
       return LossCause.TARGET_ALIVE;
     const isOutage = isDataCentreOutage({
       lost: target,
-      lostAtMs: atMs,
+      lostAtMs,
       targets: targets.all(),
       crashedBefore: ledger.incarnationsBefore(request, startedMs),
     });
--- a/src/direct/poison/loss-sync.ts
+++ b/src/direct/poison/loss-sync.ts
@@ -84,7 +84,8 @@
 
   /** Schedules a write of the current losses. */
   publish(): void {
-    // The losses of an earlier incarnation of this entry must be read first.
+    // A write before the first read would overwrite the losses that an earlier
+    // incarnation of this entry stored.
     if (this.isStopped || !this.hasLoadedAll) return;
     if (this.isWriting || this.timer !== undefined) return;
     const dueMs =
--- a/src/direct/poison/loss-tracker.ts
+++ b/src/direct/poison/loss-tracker.ts
@@ -5,7 +5,7 @@
 import type {LossSyncOptions} from './loss-sync.js';
 import {LossSync} from './loss-sync.js';
 
-/** Dependencies that the parts do not get from each other. */
+/** Dependencies of the parts, except those that `LossTracker` creates. */
 export type LossTrackerOptions = Omit<
   LossDiagnosisOptions,
   'ledger' | 'onChanged'
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Losses of other entries may complete the evidence against a request to
-   * which this entry has attributed losses.
+   * Checks the requests to which this entry has attributed losses again, as the
+   * losses received from another entry may show that one of them is poison.
    */
   private diagnoseOwn(requests: readonly string[]): void {
     const {quarantine} = this.options;
--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -70,7 +70,7 @@
     this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(attempt));
   }
 
-  /** Records that the request is withdrawn from a target that has not finished. */
+  /** Records that the request is withdrawn before its target finished it. */
   recordWithdrawn(attempt: TargetAttempt): void {
     const {diagnosis} = this.ctx.lossTracker;
     const loss = this.toLoss(attempt);
@@ -130,7 +130,7 @@
     };
   }
 
-  /** A caller's retry has the same account, path and body. */
+  /** Uses the account, path and body, which a caller's retry repeats. */
   private computeFingerprint(): string {
     const {req, admitted} = this.work;
     const clientAccount = admitted.account?.clientAccount ?? '';
--- a/src/direct/poison/quarantine-sync.ts
+++ b/src/direct/poison/quarantine-sync.ts
@@ -16,7 +16,10 @@
 } from '../consts.js';
 import {StoreOutageLog} from '../store-outage-log.js';
 
-/** Factor for the expiry at entries that only read the quarantine. */
+/**
+ * Factor by which an entry that only read a record keeps it longer, so that the
+ * entry that wrote the record removes it first.
+ */
 const REMOTE_EXPIRY_FACTOR = 2;
 
 /** Dependencies of the synchronization. */
--- a/src/direct/prober.ts
+++ b/src/direct/prober.ts
@@ -14,8 +14,10 @@
   DATA_CENTRE_PROBE_INTERVAL_MS,
 } from './consts.js';
 
+/** A probe in progress or finished. */
 interface Probe {
   readonly startedMs: number;
+  /** Whether the target responded. */
   readonly outcome: Promise<boolean>;
 }
 
@@ -28,6 +30,7 @@
  */
 export class Prober {
   private readonly probes = new WeakMap<Target, Probe>();
+  /** Times of the last probes, by data centre and service. */
   private readonly dataCentreProbedMs = new Map<string, number>();
 
   constructor(
@@ -57,7 +60,7 @@
     return outcome;
   }
 
-  /** Whether a target responds to a probe that was sent after `sinceMs`. */
+  /** Whether a target responds to a probe sent at or after `sinceMs`. */
   isAliveSince(target: Target, sinceMs: number): Promise<boolean> {
     const cached = this.probes.get(target);
     if (cached === undefined || cached.startedMs < sinceMs) {
@@ -79,7 +82,7 @@
     await Promise.all(stale.map((target) => this.isAlive(target)));
   }
 
-  /** Probes the other engines of the service in the lost one's data centre. */
+  /** Probes the other engines of the service in a lost engine's data centre. */
   probeDataCentreOf(lost: Target): void {
     const {clock, targets} = this.options;
     if (!this.options.isEngine(lost)) return;
@@ -95,7 +98,7 @@
     }
   }
 
-  /** The timeout also covers the connection setup. */
+  /** Queries the load of an engine; the timeout covers the connection setup. */
   private requestReport(target: Target): Promise<Result<ReportedLoad, string>> {
     const {client, clock} = this.options;
     return new Promise((resolve) => {
@@ -160,11 +163,12 @@
   }
 }
 
-/** Whether another target, or a restarted one, now has the address. */
+/** Whether another target, or the same one after a restart, has responded. */
 function isOtherIncarnation(
   {record}: Target,
-  {startedAtMs: bornMs}: ReportedLoad,
+  {startedAtMs}: ReportedLoad,
 ): boolean {
-  const isReported = bornMs !== undefined && record.startedAtMs !== undefined;
-  return isReported && bornMs !== record.startedAtMs;
+  const isReported =
+    startedAtMs !== undefined && record.startedAtMs !== undefined;
+  return isReported && startedAtMs !== record.startedAtMs;
 }
--- a/src/direct/service-retry-budgets.ts
+++ b/src/direct/service-retry-budgets.ts
@@ -64,7 +64,7 @@
     /** Whether the lost attempt had produced output. */
     hadOutput?: boolean;
   }): boolean {
-    const {service, reason, hadOutput: hadOutput = false} = options;
+    const {service, reason, hadOutput = false} = options;
     const [losses, noOutput, rejections] = this.budgetsOf(service);
     switch (reason) {
       case RetryReason.NOT_SENT:
--- a/src/direct/settings-watcher.ts
+++ b/src/direct/settings-watcher.ts
@@ -46,7 +46,10 @@
     this.timer?.cancel();
   }
 
-  /** Compares the file with the text that was read last. */
+  /**
+   * Applies the file if its text differs from the one that was read last. The
+   * first call only records the text.
+   */
   async check(): Promise<void> {
     const {path, logger} = this.options;
     let text: string;
--- a/src/direct/store-outage-log.ts
+++ b/src/direct/store-outage-log.ts
@@ -13,7 +13,7 @@
  * outageLog.recordSuccess();
  */
 export class StoreOutageLog {
-  private lostSinceMs?: number;
+  private failingSinceMs?: number;
   private failures = 0;
 
   constructor(
@@ -28,21 +28,21 @@
   recordFailure(err: SourceError): void {
     const {what, clock, logger} = this.options;
     this.failures++;
-    if (this.lostSinceMs !== undefined) return;
-    this.lostSinceMs = clock.now();
+    if (this.failingSinceMs !== undefined) return;
+    this.failingSinceMs = clock.now();
     logger.warn('store reads fail', {what, kind: err.kind, detail: err.detail});
   }
 
   recordSuccess(): void {
     const {what, clock, logger} = this.options;
-    if (this.lostSinceMs === undefined) return;
-    const lostForMs = Math.round(clock.now() - this.lostSinceMs);
+    if (this.failingSinceMs === undefined) return;
+    const lostForMs = Math.round(clock.now() - this.failingSinceMs);
     logger.info('store reads succeed again', {
       what,
       lostForMs,
       failures: this.failures,
     });
-    this.lostSinceMs = undefined;
+    this.failingSinceMs = undefined;
     this.failures = 0;
   }
 }
--- a/src/direct/streams/kv-cache-replicator.ts
+++ b/src/direct/streams/kv-cache-replicator.ts
@@ -11,10 +11,11 @@
   readonly reference: KvCopyReference;
 }
 
-/** The generation that is replicated, with its dependencies. */
+/** The generation whose KV cache is copied, and the dependencies. */
 export interface KvCacheReplicatorOptions {
   readonly ctx: DirectContext;
   readonly work: DirectWork;
+  /** The target that runs the generation. */
   readonly runner: Target;
   /** Tokens in the KV cache at the end of the generation. */
   readonly tokens: number;
@@ -23,10 +24,11 @@
 }
 
 /**
- * The request names the holder of the first copy, which the runner makes by
- * itself. When this holder is lost or drains, the runner is requested to make
- * another copy, which is refreshed at intervals. So a generation can be resumed
- * even if several data centres fail one after the other.
+ * Maintains a copy of the KV cache of one generation at another target. The
+ * request names the holder of the first copy, which the runner makes by itself.
+ * When this holder is lost or drains, the runner is requested to make another
+ * copy, which is refreshed at intervals. So a generation can be resumed even if
+ * several data centres fail one after the other.
  *
  * @example
  * const replicator = new KvCacheReplicator(options);
@@ -35,10 +37,11 @@
  */
 export class KvCacheReplicator {
   private current?: KvCacheCopy;
-  /** Whether the copy was requested by a call and has to be refreshed. */
+  /** Whether the copy was requested by a call, so that it must be refreshed. */
   private isCopyRequested = false;
   private isRequesting = false;
   private isOver = false;
+  /** When a copy was last requested, with the generation or by a call. */
   private requestedMs: number;
 
   constructor(private readonly options: KvCacheReplicatorOptions) {
@@ -71,7 +74,10 @@
     if (next !== undefined && canResumeAt(next)) void this.requestCopy(next);
   }
 
-  /** Ends the replication. The copy is needed if the generation was lost. */
+  /**
+   * Ends the replication. `isNeeded` says that the generation was lost and may
+   * be resumed from the copy, which is then not freed.
+   */
   close(options: {isNeeded: boolean}): void {
     this.isOver = true;
     if (this.current === undefined) return;
--- a/src/direct/streams/stall-detector.ts
+++ b/src/direct/streams/stall-detector.ts
@@ -8,7 +8,10 @@
 /** Factor by which the widest gap decays with each further gap. */
 const GAP_DECAY = 0.98;
 
-/** Called once, when the target counts as lost. */
+/**
+ * Called once, when the target counts as lost; `silentMs` is the time since its
+ * last event.
+ */
 export type StallListener = (silentMs: number) => void;
 
 /**
@@ -22,7 +25,7 @@
  * detector.recordEvent();
  */
 export class StallDetector {
-  private events = 0;
+  private eventCount = 0;
   private lastEventMs: number;
   private widestGapMs = 0;
   private timer?: TimerHandle;
@@ -47,10 +50,10 @@
 
   recordEvent(): void {
     const nowMs = this.options.ctx.clock.now();
-    if (this.events > 0) this.recordGap(nowMs - this.lastEventMs);
-    this.events++;
+    if (this.eventCount > 0) this.recordGap(nowMs - this.lastEventMs);
+    this.eventCount++;
     this.lastEventMs = nowMs;
-    if (this.events === 1) this.watchSilence();
+    if (this.eventCount === 1) this.watchSilence();
   }
 
   stop(): void {
@@ -65,33 +68,33 @@
 
   private async checkPrefill(): Promise<void> {
     const isAlive = await this.probeTarget();
-    if (this.isOver || this.events > 0) return;
+    if (this.isOver || this.eventCount > 0) return;
     if (isAlive) this.start(PREFILL_CHECK_MS);
     else this.reportStall();
   }
 
   /** Waits until the current gap is long enough for a probe. */
   private watchSilence(): void {
-    const leftMs = probeDelayMs(this.limitOptions()) - this.silentMs();
+    const leftMs = probeDelayMs(this.timeoutOptions()) - this.silentMs();
     if (leftMs <= 0) void this.probeSilent();
     else this.schedule(leftMs, () => this.watchSilence());
   }
 
   private async probeSilent(): Promise<void> {
-    const {events} = this;
+    const {eventCount: eventsBefore} = this;
     const isAlive = await this.probeTarget();
     if (this.isOver) return;
-    if (this.events > events) this.watchSilence();
-    else if (isAlive) this.watchStall(events);
+    if (this.eventCount > eventsBefore) this.watchSilence();
+    else if (isAlive) this.watchStall(eventsBefore);
     else this.reportStall();
   }
 
   /** The target responds to probes but sends no events. */
-  private watchStall(events: number): void {
-    const leftMs = stallTimeoutMs(this.limitOptions()) - this.silentMs();
-    if (this.events > events) this.watchSilence();
+  private watchStall(eventsBefore: number): void {
+    const leftMs = stallTimeoutMs(this.timeoutOptions()) - this.silentMs();
+    if (this.eventCount > eventsBefore) this.watchSilence();
     else if (leftMs <= 0) this.reportStall();
-    else this.schedule(leftMs, () => this.watchStall(events));
+    else this.schedule(leftMs, () => this.watchStall(eventsBefore));
   }
 
   private probeTarget(): Promise<boolean> {
@@ -120,7 +123,7 @@
     return this.options.ctx.clock.now() - this.lastEventMs;
   }
 
-  private limitOptions() {
+  private timeoutOptions() {
     const {maxPauseMs} = this.options;
     return {maxPauseMs, widestGapMs: this.widestGapMs};
   }
--- a/src/direct/streams/stream-attempt.ts
+++ b/src/direct/streams/stream-attempt.ts
@@ -41,6 +41,7 @@
   onEnd(head: TargetResponseHead): void;
   /** The target sent a response that is not a stream. */
   onOtherResponse(head: TargetResponseHead, body: Uint8Array): void;
+  /** The target failed, stalled or did not accept the request. */
   onLost(loss: TargetLoss): void;
 }
 
@@ -73,7 +74,7 @@
 export class StreamAttempt {
   readonly target: Target;
   private readonly replicator: KvCacheReplicator;
-  private readonly work: TargetWork;
+  private readonly targetWork: TargetWork;
   private readonly exchange: Exchange;
   private readonly stallDetector: StallDetector;
   private readonly splitter = new EventSplitter();
@@ -84,21 +85,15 @@
   private isOver = false;
 
   constructor(private readonly options: StreamAttemptOptions) {
-    const {
-      ctx,
-      target,
-      tokens,
-      copyFrom,
-      chooseCopyHolder: chooseCopy,
-    } = options;
+    const {ctx, target, tokens, copyFrom, chooseCopyHolder} = options;
     this.target = target;
-    this.work = target.begin({tokens});
+    this.targetWork = target.begin({tokens});
     this.replicator = new KvCacheReplicator({
       ctx,
       work: options.work,
       runner: target,
       tokens,
-      chooseHolder: chooseCopy,
+      chooseHolder: chooseCopyHolder,
     });
     const {isResumable, maxPauseMs} = options.work.admitted.route;
     this.stallDetector = new StallDetector({
@@ -126,7 +121,7 @@
 
   /** When the attempt started, in milliseconds on the monotonic clock. */
   get startedMs(): number {
-    return this.work.startedAtMs;
+    return this.targetWork.startedAtMs;
   }
 
   /** Number of events received from this target. */
@@ -203,7 +198,7 @@
 
   private recordEvent(): void {
     this.receivedCount++;
-    this.work.isPrefilling = false;
+    this.targetWork.isPrefilling = false;
     this.target.recordSeen();
     if (!this.options.work.admitted.route.isResumable) return;
     this.stallDetector.recordEvent();
@@ -242,7 +237,7 @@
   private close({copyIsNeeded}: {copyIsNeeded: boolean}): void {
     this.isOver = true;
     this.stallDetector.stop();
-    this.target.end(this.work);
+    this.target.end(this.targetWork);
     this.replicator.close({isNeeded: copyIsNeeded});
   }
 }
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -71,6 +71,7 @@
   private promptAttempts = 0;
   /** All attempts, including those that resumed from a copy. */
   private attempts = 0;
+  /** Whether a finished attempt may have run the request. */
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
@@ -106,7 +107,10 @@
     else void this.place();
   }
 
-  /** Earlier attempts of the request lost targets, at any entry. */
+  /**
+   * Places a stream whose earlier attempts, at any entry, lost targets, unless
+   * the diagnosis of these losses shows that it is poison.
+   */
   private async placeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
@@ -131,6 +135,10 @@
     refuseUnsent({ctx, work, reason});
   }
 
+  /**
+   * Sends the stream to the holder of its KV cache copy or to another target;
+   * tries again after a pause if no target is available.
+   */
   private async place(): Promise<void> {
     const {resumableCopy} = this;
     this.resumableCopy = undefined;
@@ -184,11 +192,11 @@
   }
 
   private onEvent(head: TargetResponseHead, event: RawEvent): void {
-    const verdict = this.sequence.check(event.id);
-    if (verdict === SequenceCheck.PASS) {
+    const result = this.sequence.check(event.id);
+    if (result === SequenceCheck.PASS) {
       this.delivery.writeEvent(head, event);
     }
-    if (verdict !== SequenceCheck.GAP) return;
+    if (result !== SequenceCheck.GAP) return;
     this.current?.cancel();
     const reason = RetryReason.ENGINE_DIED;
     this.onLost({reason, detail: `event ${event.id} is out of order`});
@@ -240,7 +248,7 @@
     else void this.place();
   }
 
-  /** A stream that lost several targets waits for the loss diagnosis. */
+  /** Resumes a stream that lost several targets after their diagnosis. */
   private async resumeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
@@ -289,7 +297,7 @@
     this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
-  /** The request was quarantined while this handler ran. */
+  /** Ends the stream because its request was quarantined meanwhile. */
   private failAsPoison(): void {
     if (this.isOver) return;
     const isUnsent = !this.mayHaveRun && this.current === undefined;
@@ -297,7 +305,10 @@
     else this.fail(false);
   }
 
-  /** Ends without a response; the caller may retry at another entry. */
+  /**
+   * Stops the stream without ending the response. A caller that has
+   * disconnected may retry at another entry.
+   */
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
--- a/src/direct/streams/stream-placer.ts
+++ b/src/direct/streams/stream-placer.ts
@@ -40,7 +40,10 @@
       (generation?.promptTokens ?? 0) + (generation?.maxOutputTokens ?? 0);
   }
 
-  /** Isolates the stream from others that lost the same targets. */
+  /**
+   * Isolates the stream from others that lost the same targets: from now on its
+   * targets are ranked by its fingerprint, which differs from that of others.
+   */
   isolate(fingerprint: string): void {
     this.isolatedFingerprint = fingerprint;
   }
@@ -51,7 +54,7 @@
     await this.ctx.prober.refreshReports(candidates);
     if (this.isolatedFingerprint !== undefined)
       return candidates.find(isAvailable);
-    const target = chooseEngine({...this.engineChoice(), targets: candidates});
+    const target = chooseEngine({...this.engineQuery(), targets: candidates});
     const isUsable = target !== undefined && isAvailable(target);
     return isUsable ? target : undefined;
   }
@@ -64,7 +67,7 @@
       return undefined;
     }
     return chooseEngine({
-      ...this.engineChoice(),
+      ...this.engineQuery(),
       excluded: new Set([runner.id]),
       avoidedDataCentres: new Set([
         ...this.avoidedDataCentres,
@@ -96,15 +99,15 @@
   private shortlist(): Target[] {
     const {isolatedFingerprint} = this;
     if (isolatedFingerprint === undefined)
-      return shortlistEngines(this.engineChoice(), SHORTLIST_SIZE);
-    const all = shortlistEngines(this.engineChoice(), Number.POSITIVE_INFINITY);
+      return shortlistEngines(this.engineQuery(), SHORTLIST_SIZE);
+    const all = shortlistEngines(this.engineQuery(), Number.POSITIVE_INFINITY);
     return rankByFingerprint(
       isolatedFingerprint,
       all.filter(isAvailable),
     ).slice(0, SHORTLIST_SIZE);
   }
 
-  private engineChoice(): EngineQuery {
+  private engineQuery(): EngineQuery {
     const {ctx, work, tokens} = this;
     return {
       targets: ctx.targets.ofService(work.service.name),
@@ -118,15 +121,15 @@
 }
 
 /**
- * Whether a target accepts a stream whose KV cache copy it holds. A target that
- * began to drain only a moment ago still does.
+ * Whether a target accepts a stream whose KV cache copy it holds. A target does
+ * so for a short time after it began to drain.
  *
  * @example
  * if (canResumeAt(holder)) resumeAt(holder);
  */
 export function canResumeAt(holder: Target): boolean {
-  const leavingForMs = holder.drainingForMs() ?? 0;
-  return leavingForMs < DRAINING_RESUME_WINDOW_MS && !holder.isPaused();
+  const drainingForMs = holder.drainingForMs() ?? 0;
+  return drainingForMs < DRAINING_RESUME_WINDOW_MS && !holder.isPaused();
 }
 
 function isAvailable(target: Target): boolean {
