--- a/test/direct/calls.test.ts
+++ b/test/direct/calls.test.ts
@@ -70,7 +70,10 @@
 socket.resume();
 `;
 
-/** Time for which the event loop of the entry is blocked, in milliseconds. */
+/**
+ * Time for which the event loop of the entry is blocked, in milliseconds, so
+ * that the request and the disconnect are both pending when it reads them.
+ */
 const BUSY_MS = 250;
 
 function blockEventLoop(ms: number): void {
@@ -164,7 +167,7 @@
     },
   );
 
-  it('sends nothing to targets that no longer exist', async () => {
+  it('is refused as not run when all targets have crashed', async () => {
     far.crash();
     near.crash();
     const reply = await site.call({path: UNSAFE});
--- a/test/direct/control.test.ts
+++ b/test/direct/control.test.ts
@@ -61,7 +61,7 @@
     expect(activeVersion()).toBe(7);
   });
 
-  it('refuses all requests once the store has not responded for long', async () => {
+  it('refuses all requests when the store is silent for the revocation bound', async () => {
     site.store.mode = StoreMode.SILENT;
     expect(await status()).toBe(200);
     await sleep(REVOKE_MS);
@@ -118,7 +118,7 @@
     expect(site.entry.usableTargetIds()).toEqual([first!.id]);
   });
 
-  it('keeps targets for a while whose registrations expire in an outage', async () => {
+  it('keeps targets for two seconds whose registrations expired in an outage', async () => {
     const [first] = site.targets;
     site.store.mode = StoreMode.RESET;
     site.store.endLongPolls();
@@ -136,7 +136,7 @@
     expect(performance.now() - recoveredMs).toBeGreaterThan(MIN_REMOVAL_MS);
   });
 
-  it('closes callers’ connections after their responses when it stops', async () => {
+  it('closes callers’ connections after their responses when it drains', async () => {
     const before = await site.call({path: SitePath.SAFE});
     expect(before.headers.connection).not.toBe('close');
     site.entry.startDraining();
--- a/test/direct/endless-responses.test.ts
+++ b/test/direct/endless-responses.test.ts
@@ -41,7 +41,7 @@
 
   afterEach(() => site.stop());
 
-  it.each(CASES)('of $fault to $path is closed', async (row) => {
+  it.each(CASES)('to $path is cut off: target fault $fault', async (row) => {
     const {fault, path, status} = row;
     const isStream = path === STREAM;
     const service = isStream ? SiteService.WRITERS : SiteService.DESK;
--- a/test/direct/graceful-shutdown.test.ts
+++ b/test/direct/graceful-shutdown.test.ts
@@ -53,7 +53,7 @@
     expect(listener.calls).toEqual([]);
   });
 
-  it('stops soon after that if no request is open', () => {
+  it('stops once the load balancer has reacted if no request is open', () => {
     shutdown.begin();
     clock.advance(3_000);
     expect(stoppedMs).toBeLessThan(3_000);
--- a/test/direct/loss-sync.test.ts
+++ b/test/direct/loss-sync.test.ts
@@ -15,11 +15,11 @@
 import {LossSync} from '../../src/direct/poison/loss-sync.js';
 
 const VM = 'entry-1';
-const OTHER = 'entry-2';
+const OTHER_VM = 'entry-2';
 const REQUEST = 'a request';
 const INCARNATION = 'i-1@1000';
 
-const recordsOf = (...incarnations: string[]): RecordedLosses => ({
+const recordedLossesOf = (...incarnations: string[]): RecordedLosses => ({
   losses: incarnations.map((incarnation) => ({
     request: REQUEST,
     life: incarnation,
@@ -28,14 +28,15 @@
   harmless: [],
 });
 
-/** Returns the given items from pending lists when `respond` is called. */
+/** A store whose pending lists resolve when `respond` is called. */
 class ManualSource implements StateSource<RecordedLosses> {
-  private waiting: Array<(items: Array<SourceItem<RecordedLosses>>) => void> =
-    [];
+  private pendingLists: Array<
+    (items: Array<SourceItem<RecordedLosses>>) => void
+  > = [];
 
   list() {
     const items = new Promise<Array<SourceItem<RecordedLosses>>>((resolve) => {
-      this.waiting.push(resolve);
+      this.pendingLists.push(resolve);
     });
     return ResultAsync.fromSafePromise(
       items.then((all): Snapshot<RecordedLosses> => ({
@@ -52,7 +53,7 @@
 
   async respond(items: Record<string, RecordedLosses>): Promise<void> {
     const all = Object.entries(items).map(([name, value]) => ({name, value}));
-    for (const resolve of this.waiting.splice(0)) resolve(all);
+    for (const resolve of this.pendingLists.splice(0)) resolve(all);
     await flushMicrotasks();
   }
 }
@@ -108,7 +109,7 @@
   it('keeps the losses of an earlier incarnation of the entry', async () => {
     recordLoss('i-2@1000');
     await advance();
-    await source.respond({[VM]: recordsOf(INCARNATION)});
+    await source.respond({[VM]: recordedLossesOf(INCARNATION)});
     await advance();
     const incarnations = written.map(({losses}) =>
       losses.map(({life: incarnation}) => incarnation).sort(),
@@ -117,7 +118,7 @@
   });
 
   it('forgets the losses of entries whose objects were removed', async () => {
-    await source.respond({[OTHER]: recordsOf(INCARNATION)});
+    await source.respond({[OTHER_VM]: recordedLossesOf(INCARNATION)});
     expect(ledger.incarnationsOf(REQUEST).size).toBe(1);
     await source.respond({});
     expect(ledger.incarnationsOf(REQUEST).size).toBe(0);
--- a/test/direct/poison-unrelated.test.ts
+++ b/test/direct/poison-unrelated.test.ts
@@ -59,10 +59,14 @@
     Math.floor(site.targets.indexOf(target) / TARGETS_PER_DATA_CENTRE);
 
   function crashDataCentre(i: number): void {
-    const here = site;
+    // The next test may have replaced `site` when the timer fires.
+    const crashedSite = site;
     for (const target of targetsInDataCentre(site, i)) {
       target.crash();
-      setTimeout(() => void here.restartTarget(target), RESTART_DELAY_MS);
+      setTimeout(
+        () => void crashedSite.restartTarget(target),
+        RESTART_DELAY_MS,
+      );
     }
   }
 
@@ -106,12 +110,12 @@
   );
 
   const latestTarget = (body: string): StandInTarget => {
-    const lastRun = (target: StandInTarget) =>
+    const lastRunMs = (target: StandInTarget) =>
       Math.max(
         -1,
         ...target.runs.filter((r) => r.body === body).map((r) => r.atMs),
       );
-    return [...site.targets].sort((a, b) => lastRun(b) - lastRun(a))[0]!;
+    return [...site.targets].sort((a, b) => lastRunMs(b) - lastRunMs(a))[0]!;
   };
 
   it(
@@ -151,7 +155,7 @@
   );
 
   it(
-    'is served again as a call after running targets broke its connections',
+    'is served again as a plain call after running targets broke its connections',
     {timeout: TIMEOUT_MS},
     async () => {
       const zones = ['a', 'b', 'c', 'a'];
--- a/test/direct/poison.test.ts
+++ b/test/direct/poison.test.ts
@@ -53,7 +53,7 @@
   disturbance: Disturbance.NONE,
   maxLosses: LOSSES_TO_QUARANTINE + SHARED_LOSS_MARGIN,
 };
-const STREAM_HANGS = {path: STREAM, afterEvents: 0, caller: HANGS_UP};
+const STREAM_HANGS_UP = {path: STREAM, afterEvents: 0, caller: HANGS_UP};
 
 /** Each entry may have one attempt in progress at the third loss. */
 const CONCURRENT = {...UNDISTURBED, maxLosses: LOSSES_TO_QUARANTINE + ENTRIES};
@@ -74,29 +74,29 @@
   {path: SAFE, afterEvents: 0, caller: ALL_ENTRIES, ...CONCURRENT},
   {path: UNSAFE, afterEvents: 0, caller: ALL_ENTRIES, ...CONCURRENT},
   {
-    ...STREAM_HANGS,
+    ...STREAM_HANGS_UP,
     disturbance: Disturbance.STORE_UNAVAILABLE,
     maxLosses: MAX_UNSHARED_LOSSES,
   },
   {
-    ...STREAM_HANGS,
+    ...STREAM_HANGS_UP,
     disturbance: Disturbance.STORE_SLOW,
     maxLosses: CONCURRENT.maxLosses,
   },
   {
-    ...STREAM_HANGS,
+    ...STREAM_HANGS_UP,
     disturbance: Disturbance.STORE_REJECTS_ONE_ENTRY,
     maxLosses: LOSSES_TO_QUARANTINE * 2,
   },
-  {...STREAM_HANGS, ...UNDISTURBED, disturbance: Disturbance.ENTRY_RESTARTS},
-  {...STREAM_HANGS, ...UNDISTURBED, disturbance: Disturbance.POWER_LOSS},
+  {...STREAM_HANGS_UP, ...UNDISTURBED, disturbance: Disturbance.ENTRY_RESTARTS},
+  {...STREAM_HANGS_UP, ...UNDISTURBED, disturbance: Disturbance.POWER_LOSS},
   {
-    ...STREAM_HANGS,
+    ...STREAM_HANGS_UP,
     ...UNDISTURBED,
     disturbance: Disturbance.DATA_CENTRE_OUTAGE,
   },
   {
-    ...STREAM_HANGS,
+    ...STREAM_HANGS_UP,
     ...UNDISTURBED,
     caller: WAITS_FOR_RESPONSE,
     disturbance: Disturbance.DATA_CENTRE_OUTAGE,
@@ -114,18 +114,18 @@
   disturbance: Disturbance,
   round: number,
 ) {
-  const isBegin = round === DISTURBANCE_ROUND;
-  const isEnd = round === STORE_RECOVERY_ROUND;
+  const beginsNow = round === DISTURBANCE_ROUND;
+  const endsNow = round === STORE_RECOVERY_ROUND;
   switch (disturbance) {
     case Disturbance.STORE_UNAVAILABLE:
-      if (isBegin) site.store.mode = StoreMode.BUSY;
-      if (isEnd) site.store.mode = StoreMode.UP;
+      if (beginsNow) site.store.mode = StoreMode.BUSY;
+      if (endsNow) site.store.mode = StoreMode.UP;
       break;
     case Disturbance.STORE_SLOW:
-      if (isBegin) site.store.delayMs = 100;
+      if (beginsNow) site.store.delayMs = 100;
       break;
     case Disturbance.STORE_REJECTS_ONE_ENTRY:
-      if (isBegin) site.storeEndpoints[0]!.mode = StoreMode.BUSY;
+      if (beginsNow) site.storeEndpoints[0]!.mode = StoreMode.BUSY;
       break;
     case Disturbance.ENTRY_RESTARTS:
       await restartEntries(site, [round % ENTRIES]);
--- a/test/direct/service-retry-budgets.test.ts
+++ b/test/direct/service-retry-budgets.test.ts
@@ -60,15 +60,15 @@
   });
 
   it('allows a retry of every generation lost with one data centre', () => {
-    // This entry has more than its share of the generations there.
+    // This entry has more than its share of the lost generations.
     const clock = new ManualClock();
     const budgets = new ServiceRetryBudgets({clock, settings: () => SETTINGS});
     for (let i = 0; i < 8; i++) budgets.recordFirstAttempt('s');
     const reason = RetryReason.ENGINE_DIED;
-    const runs = Array.from({length: 19}, () =>
+    const retries = Array.from({length: 19}, () =>
       budgets.takeRetry({service: 's', reason, hadOutput: true}),
     );
-    expect(runs).not.toContain(false);
+    expect(retries).not.toContain(false);
   });
 
   it('allows retries of requests that were sent to replaced targets', () => {
@@ -80,10 +80,10 @@
       ExchangeFailure.WRONG_TARGET,
       RetryReason.ENGINE_DIED,
     );
-    const requests = Array.from({length: 10}, () =>
+    const retries = Array.from({length: 10}, () =>
       budgets.takeRetry({service: 's', reason}),
     );
-    expect(requests).not.toContain(false);
+    expect(retries).not.toContain(false);
   });
 
   it('does not count requests that never reached a target', () => {
