--- a/src/direct/poison/poison-detector.ts
+++ b/src/direct/poison/poison-detector.ts
@@ -70,13 +70,13 @@
     this.ctx.lossTracker.diagnosis.diagnose(this.toLoss(attempt));
   }
 
-  /** Records that the request is withdrawn from an unresponsive target. */
-  recordUnresponsive(attempt: TargetAttempt): void {
+  /** Records that the request is withdrawn before its target finished it. */
+  recordWithdrawn(attempt: TargetAttempt): void {
     const {diagnosis} = this.ctx.lossTracker;
     const loss = this.toLoss(attempt);
     // After an earlier loss, this target may have crashed too, undetected.
     if (this.hasLostTarget) diagnosis.diagnose(loss);
-    else diagnosis.watchUnresponsive(loss);
+    else diagnosis.watchWithdrawn(loss);
   }
 
   /** Records that one target served the whole request and still runs. */
@@ -130,7 +130,7 @@
     };
   }
 
-  /** A caller's retry has the same account, path and body. */
+  /** Uses the account, path and body, which a caller's retry repeats. */
   private computeFingerprint(): string {
     const {req, admitted} = this.work;
     const clientAccount = admitted.account?.clientAccount ?? '';
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -28,7 +28,7 @@
 import type {KvCacheCopy} from './kv-cache-replicator.js';
 import {StreamDelivery} from './stream-delivery.js';
 import {canResumeAt, StreamPlacer} from './stream-placer.js';
-import {toGenerationNeed} from './stream-durations.js';
+import {toGenerationSize} from './min-generation-times.js';
 import type {TargetLoss} from './stream-attempt.js';
 import {StreamAttempt} from './stream-attempt.js';
 
@@ -71,6 +71,7 @@
   private promptAttempts = 0;
   /** All attempts, including those that resumed from a copy. */
   private attempts = 0;
+  /** Whether a finished attempt may have run the request. */
   private mayHaveRun = false;
 
   constructor(options: {ctx: DirectContext; work: DirectWork}) {
@@ -106,7 +107,10 @@
     else void this.place();
   }
 
-  /** Earlier attempts of the request lost targets, at any entry. */
+  /**
+   * Places a stream whose earlier attempts, at any entry, lost targets, unless
+   * the diagnosis of these losses shows that it is poison.
+   */
   private async placeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.maySend();
     if (this.isOver) return;
@@ -117,11 +121,11 @@
   /** Whether the remaining time is too short for any engine. */
   private cannotMeetDeadline(): boolean {
     const {req, service, deadlineAtMs} = this.work;
-    const need = toGenerationNeed(req, service);
+    const need = toGenerationSize(req, service);
     if (need === undefined) return false;
     const leftMs = deadlineAtMs - this.ctx.clock.now();
-    return this.ctx.streamDurations
-      .of(service.name)
+    return this.ctx.minGenerationTimes
+      .forService(service.name)
       .cannotFinish({need, leftMs});
   }
 
@@ -131,6 +135,10 @@
     refuseUnsent({ctx, work, reason});
   }
 
+  /**
+   * Sends the stream to the holder of its KV cache copy or to another target;
+   * tries again after a pause if no target is available.
+   */
   private async place(): Promise<void> {
     const {resumableCopy} = this;
     this.resumableCopy = undefined;
@@ -170,7 +178,7 @@
       chooseCopyHolder: () => this.placer.chooseCopyHolder(target),
       tokens: this.placer.tokens,
       lastEventId: this.sequence.lastId,
-      hasDelivered: this.delivery.isOpen,
+      hasDelivered: this.delivery.hasStarted,
       copyFrom,
       listener: {
         onEvent: (head, event) => this.onEvent(head, event),
@@ -184,11 +192,11 @@
   }
 
   private onEvent(head: TargetResponseHead, event: RawEvent): void {
-    const verdict = this.sequence.check(event.id);
-    if (verdict === SequenceCheck.PASS) {
+    const result = this.sequence.check(event.id);
+    if (result === SequenceCheck.PASS) {
       this.delivery.writeEvent(head, event);
     }
-    if (verdict !== SequenceCheck.GAP) return;
+    if (result !== SequenceCheck.GAP) return;
     this.current?.cancel();
     const reason = RetryReason.ENGINE_DIED;
     this.onLost({reason, detail: `event ${event.id} is out of order`});
@@ -198,13 +206,13 @@
     // After several attempts, the request may have crashed earlier targets.
     if (this.attempts === 1) this.poisonDetector.recordServed();
     this.stop();
-    this.recordDurations();
+    this.recordGenerationTime();
     this.delivery.finish(head);
   }
 
   private onOtherResponse(head: TargetResponseHead, body: Uint8Array): void {
     const isFailure = head.status >= MIN_FAILURE_STATUS;
-    if (isFailure || this.delivery.isOpen) {
+    if (isFailure || this.delivery.hasStarted) {
       const reason = RetryReason.TARGET_REFUSED;
       this.mayHaveRun = true;
       this.onLost({reason, detail: `status ${head.status}`});
@@ -228,11 +236,11 @@
     if (mayBeCrash) this.poisonDetector.recordLoss(lost);
     if (!DATA_CENTRE_ALIVE_REASONS.has(reason))
       this.placer.avoidDataCentreOf(lost.target);
-    if (!this.mayResume(reason, lost.events > 0)) {
+    if (!this.mayResume(reason, lost.eventCount > 0)) {
       this.fail(false);
       return;
     }
-    if (lost.events >= MIN_EVENTS_FOR_COPY) this.resumableCopy = lost.copy;
+    if (lost.eventCount >= MIN_EVENTS_FOR_COPY) this.resumableCopy = lost.copy;
     this.ctx.metrics.countRetry(reason);
     this.delivery.markResumed();
     if (mayBeCrash && this.poisonDetector.isSuspect())
@@ -240,7 +248,7 @@
     else void this.place();
   }
 
-  /** A stream that lost several targets waits for the loss diagnosis. */
+  /** Resumes a stream that lost several targets after their diagnosis. */
   private async resumeAfterDiagnosis(): Promise<void> {
     const maySend = await this.poisonDetector.mayRetry();
     if (this.isOver) return;
@@ -263,8 +271,9 @@
 
   private fail(isTimedOut: boolean): void {
     if (this.isOver) return;
-    const {isOpen} = this.delivery;
-    const mayHaveRun = this.mayHaveRun || this.current !== undefined || isOpen;
+    const {hasStarted} = this.delivery;
+    const mayHaveRun =
+      this.mayHaveRun || this.current !== undefined || hasStarted;
     const target = this.current?.target;
     this.abandon();
     const {status, reason} = toFailureResponse({mayHaveRun, isTimedOut});
@@ -280,7 +289,7 @@
       heldMs: Math.round(this.ctx.clock.now() - this.work.req.receivedMs),
       deadlineMs: this.work.req.deadlineMs,
     });
-    if (isOpen) {
+    if (hasStarted) {
       this.work.res.abort();
       return;
     }
@@ -288,7 +297,7 @@
     this.work.res.sendRefusal({status, reason, retryAfterMs});
   }
 
-  /** The request was quarantined while this handler ran. */
+  /** Ends the stream because its request was quarantined meanwhile. */
   private failAsPoison(): void {
     if (this.isOver) return;
     const isUnsent = !this.mayHaveRun && this.current === undefined;
@@ -296,11 +305,14 @@
     else this.fail(false);
   }
 
-  /** Ends without a response; the caller may retry at another entry. */
+  /**
+   * Stops the stream without ending the response. A caller that has
+   * disconnected may retry at another entry.
+   */
   private abandon(): void {
     const {current} = this;
     if (this.isOver) return;
-    if (current !== undefined) this.poisonDetector.recordUnresponsive(current);
+    if (current !== undefined) this.poisonDetector.recordWithdrawn(current);
     this.stop();
   }
 
@@ -313,9 +325,9 @@
     this.current = undefined;
   }
 
-  private recordDurations(): void {
+  private recordGenerationTime(): void {
     const {req, service} = this.work;
-    const need = toGenerationNeed(req, service);
+    const need = toGenerationSize(req, service);
     if (
       need === undefined ||
       need.receivedEvents > 0 ||
@@ -324,7 +336,7 @@
       return;
     const totalMs = this.ctx.clock.now() - req.receivedMs;
     const {firstEventMs} = this.delivery;
-    this.ctx.streamDurations.of(service.name).addSample({
+    this.ctx.minGenerationTimes.forService(service.name).addSample({
       ...need,
       events: this.sequence.count,
       firstEventMs,
