--- a/src/direct/streams/min-generation-times.ts
+++ b/src/direct/streams/min-generation-times.ts
@@ -28,9 +28,9 @@
  * none or the service has no engines.
  *
  * @example
- * const need = toGenerationSize(req, service);
+ * const need = toGenerationNeed(req, service);
  */
-export function toGenerationSize(
+export function toGenerationNeed(
   req: CallerRequest,
   service: RoutedService,
 ): GenerationNeed | undefined {
