--- a/src/adapters/callers/completion-writer.ts
+++ b/src/adapters/callers/completion-formatter.ts
@@ -9,15 +9,15 @@
 }
 
 /** Formats one completion as its endpoint returns it. */
-export interface CompletionWriter {
+export interface CompletionFormatter {
   /** A part of the text, as the data of one event. */
-  delta(text: string): unknown;
+  formatDelta(text: string): unknown;
   /** The end, as the data of one event. */
-  end(reason: FinishReason): unknown;
+  formatEnd(reason: FinishReason): unknown;
   /** The usage, as the data of one event. */
-  usage(usage: Usage): unknown;
+  formatUsage(usage: Usage): unknown;
   /** The complete document. */
-  completion(options: {
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
@@ -32,22 +32,22 @@
 }
 
 /** Format of `/v1/completions`. */
-export class TextCompletionWriter implements CompletionWriter {
+export class TextCompletionFormatter implements CompletionFormatter {
   constructor(private readonly metadata: CompletionMetadata) {}
 
-  delta(text: string): unknown {
+  formatDelta(text: string): unknown {
     return {...this.fields(), choices: [createTextChoice(text, null)]};
   }
 
-  end(reason: FinishReason): unknown {
+  formatEnd(reason: FinishReason): unknown {
     return {...this.fields(), choices: [createTextChoice('', reason)]};
   }
 
-  usage(usage: Usage): unknown {
+  formatUsage(usage: Usage): unknown {
     return {...this.fields(), choices: [], usage: createUsage(usage)};
   }
 
-  completion(options: {
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
@@ -67,27 +67,27 @@
 }
 
 /** Format of `/v1/chat/completions`. */
-export class ChatCompletionWriter implements CompletionWriter {
+export class ChatCompletionFormatter implements CompletionFormatter {
   private hasStarted = false;
 
   constructor(private readonly metadata: CompletionMetadata) {}
 
-  delta(text: string): unknown {
+  formatDelta(text: string): unknown {
     const role = this.hasStarted ? {} : {role: 'assistant'};
     this.hasStarted = true;
     const delta = {...role, content: text};
     return this.chunk([{index: 0, delta, finish_reason: null}]);
   }
 
-  end(reason: FinishReason): unknown {
+  formatEnd(reason: FinishReason): unknown {
     return this.chunk([{index: 0, delta: {}, finish_reason: reason}]);
   }
 
-  usage(usage: Usage): unknown {
+  formatUsage(usage: Usage): unknown {
     return {...this.chunk([]), usage: createUsage(usage)};
   }
 
-  completion(options: {
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
--- a/src/adapters/callers/completion-response.ts
+++ b/src/adapters/callers/completion-response.ts
@@ -5,7 +5,7 @@
 import {OutputPartKind} from '../../core/edges/index.js';
 import {EventStreamWriter} from './event-stream-writer.js';
 import {createProblem, createProblemResponse} from './problem.js';
-import type {CompletionWriter} from './completion-writer.js';
+import type {CompletionFormatter} from './completion-formatter.js';
 
 interface EventFields {
   readonly event?: string;
@@ -17,7 +17,7 @@
 export interface CompletionResponseOptions {
   readonly ctx: Context;
   readonly reader: OutputReader;
-  readonly writer: CompletionWriter;
+  readonly formatter: CompletionFormatter;
   readonly includeUsage: boolean;
 }
 
@@ -55,7 +55,7 @@
 export async function sendCompletion(
   options: CompletionResponseOptions,
 ): Promise<Response> {
-  const {ctx, reader, writer} = options;
+  const {ctx, reader, formatter} = options;
   ctx.req.raw.signal.addEventListener('abort', () => reader.close());
   let text = '';
   for (;;) {
@@ -70,7 +70,9 @@
     }
     const {finishReason: reason, completionTokens} = part;
     const usage = {completionTokens};
-    return ctx.json(writer.completion({text, reason, usage}) as object);
+    return ctx.json(
+      formatter.formatCompletion({text, reason, usage}) as object,
+    );
   }
 }
 
@@ -78,18 +80,18 @@
   part: OutputPart,
   options: CompletionResponseOptions,
 ): string {
-  const {writer, includeUsage} = options;
+  const {formatter, includeUsage} = options;
   switch (part.kind) {
     case OutputPartKind.TOKENS: {
-      const data = JSON.stringify(writer.delta(textOf(part)));
+      const data = JSON.stringify(formatter.formatDelta(textOf(part)));
       return formatEvent({id: part.eventId, data});
     }
     case OutputPartKind.FINISHED: {
       const {eventId, finishReason, completionTokens} = part;
-      const end = JSON.stringify(writer.end(finishReason));
+      const end = JSON.stringify(formatter.formatEnd(finishReason));
       const events = [formatEvent({id: eventId, data: end})];
       if (includeUsage) {
-        const usage = writer.usage({completionTokens});
+        const usage = formatter.formatUsage({completionTokens});
         events.push(formatEvent({data: JSON.stringify(usage)}));
       }
       events.push(formatEvent({data: '[DONE]'}));
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -20,12 +20,12 @@
 import {decodeChat, decodeCompletion} from './callers/completion-codec.js';
 import type {
   CompletionMetadata,
-  CompletionWriter,
-} from './callers/completion-writer.js';
+  CompletionFormatter,
+} from './callers/completion-formatter.js';
 import {
-  ChatCompletionWriter,
-  TextCompletionWriter,
-} from './callers/completion-writer.js';
+  ChatCompletionFormatter,
+  TextCompletionFormatter,
+} from './callers/completion-formatter.js';
 import {createProblemResponse} from './callers/problem.js';
 import {readBody, readJson} from './callers/read-body.js';
 import {
@@ -58,17 +58,17 @@
 
 interface Endpoint {
   decode(body: unknown): Result<CompletionRequest, Refusal>;
-  createWriter(metadata: CompletionMetadata): CompletionWriter;
+  createFormatter(metadata: CompletionMetadata): CompletionFormatter;
 }
 
 const COMPLETIONS: Endpoint = {
   decode: decodeCompletion,
-  createWriter: (metadata) => new TextCompletionWriter(metadata),
+  createFormatter: (metadata) => new TextCompletionFormatter(metadata),
 };
 
 const CHAT: Endpoint = {
   decode: decodeChat,
-  createWriter: (metadata) => new ChatCompletionWriter(metadata),
+  createFormatter: (metadata) => new ChatCompletionFormatter(metadata),
 };
 
 /**
@@ -139,13 +139,15 @@
   });
   if (generation.isErr()) return createProblemResponse(generation.error);
   const reader = generation.value;
-  const writer = endpoint.createWriter({
+  const formatter = endpoint.createFormatter({
     requestId: reader.requestId,
     model: spec.model,
     createdMs: Date.now(),
   });
-  const parts = {ctx, reader, writer, includeUsage};
-  return stream ? streamCompletion(parts) : sendCompletion(parts);
+  const responseOptions = {ctx, reader, formatter, includeUsage};
+  return stream
+    ? streamCompletion(responseOptions)
+    : sendCompletion(responseOptions);
 }
 
 async function callService(
--- a/test/processes/end-to-end.test.ts
+++ b/test/processes/end-to-end.test.ts
@@ -1,7 +1,7 @@
 /** Requests through separate processes, checked at both ends. */
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 
-import {ChatCompletionWriter} from '../../src/adapters/callers/completion-writer.js';
+import {ChatCompletionFormatter} from '../../src/adapters/callers/completion-formatter.js';
 import {renderChat} from '../../src/adapters/callers/completion-codec.js';
 import {RefusalReason, RetryReason} from '../../src/core/errors/index.js';
 import {CounterName, LatencyName} from '../../src/core/metrics/index.js';
@@ -168,8 +168,8 @@
 describe('a chat chunk', () => {
   it('carries the role in the first delta only', () => {
     const head = {requestId: 'r', model: 'm', createdMs: 0};
-    const writer = new ChatCompletionWriter(head);
-    const deltas = ['a', 'b'].map((text) => writer.delta(text) as Chunk);
+    const writer = new ChatCompletionFormatter(head);
+    const deltas = ['a', 'b'].map((text) => writer.formatDelta(text) as Chunk);
     expect(deltas.map(({choices}) => choices[0]?.delta)).toEqual([
       {role: 'assistant', content: 'a'},
       {content: 'b'},
