--- a/src/adapters/driver-errors.ts
+++ b/src/adapters/driver-errors.ts
@@ -16,9 +16,9 @@
  * Creates an error of the driver layer.
  *
  * @example
- * err(driverError(DriverErrorKind.REFUSED, 'status 503'));
+ * err(createDriverError(DriverErrorKind.REFUSED, 'status 503'));
  */
-export function driverError(
+export function createDriverError(
   kind: DriverErrorKind,
   detail: string,
 ): DriverError {
@@ -32,5 +32,5 @@
  * callHttp(options).mapErr(toDriverError);
  */
 export function toDriverError({kind, detail}: HttpFailure): DriverError {
-  return driverError(KINDS[kind], detail);
+  return createDriverError(KINDS[kind], detail);
 }
--- a/src/adapters/driver-probe.ts
+++ b/src/adapters/driver-probe.ts
@@ -7,7 +7,7 @@
 import {decodeValue} from '../core/codec/decode-value.js';
 import type {DriverError} from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
-import {driverError, toDriverError} from './driver-errors.js';
+import {createDriverError, toDriverError} from './driver-errors.js';
 import type {HttpResponse} from './http-call.js';
 import {callHttp, FIRST_ERROR_STATUS, parseJson} from './http-call.js';
 
@@ -43,7 +43,7 @@
 ): Result<HttpResponse, DriverError> {
   if (res.status < FIRST_ERROR_STATUS) return ok(res);
   const detail = `status ${res.status}`;
-  return err(driverError(DriverErrorKind.REFUSED, detail));
+  return err(createDriverError(DriverErrorKind.REFUSED, detail));
 }
 
 function decode<T>(
@@ -51,6 +51,6 @@
   {body}: HttpResponse,
 ): Result<T, DriverError> {
   return decodeValue(codec, parseJson(body)).mapErr((detail) =>
-    driverError(DriverErrorKind.MALFORMED, detail),
+    createDriverError(DriverErrorKind.MALFORMED, detail),
   );
 }
--- a/src/adapters/engine-http-stream.ts
+++ b/src/adapters/engine-http-stream.ts
@@ -20,11 +20,11 @@
   Token,
 } from '../core/edges/index.js';
 import {DriverErrorKind, FinishReason} from '../core/edges/index.js';
-import {driverError, toDriverError} from './driver-errors.js';
+import {createDriverError, toDriverError} from './driver-errors.js';
 import {
+  decodeUtf8,
   FIRST_ERROR_STATUS,
   parseJson,
-  textOf,
   toHttpFailure,
 } from './http-call.js';
 
@@ -89,7 +89,7 @@
     if (res.statusCode >= FIRST_ERROR_STATUS) {
       return this.failRefused(res.statusCode);
     }
-    for await (const text of textOf(res.body)) {
+    for await (const text of decodeUtf8(res.body)) {
       if (this.isClosed) return;
       this.parser.feed(text);
     }
@@ -101,7 +101,7 @@
     if (data === DONE) return this.failLost('done without a finish reason');
     CHUNK.decode(parseJson(data)).caseOf({
       Left: (detail) =>
-        this.fail(driverError(DriverErrorKind.MALFORMED, detail)),
+        this.fail(createDriverError(DriverErrorKind.MALFORMED, detail)),
       Right: ({choices}) =>
         choices.forEach((choice) => this.handleChoice(choice)),
     });
@@ -128,11 +128,11 @@
   }
 
   private failRefused(status: number): void {
-    this.fail(driverError(DriverErrorKind.REFUSED, `status ${status}`));
+    this.fail(createDriverError(DriverErrorKind.REFUSED, `status ${status}`));
   }
 
   private failLost(detail: string): void {
-    this.fail(driverError(DriverErrorKind.LOST, detail));
+    this.fail(createDriverError(DriverErrorKind.LOST, detail));
   }
 
   private fail(err: DriverError): void {
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -130,9 +130,9 @@
  * effect on its iterator.
  *
  * @example
- * for await (const text of textOf(res.body)) parser.feed(text);
+ * for await (const text of decodeUtf8(res.body)) parser.feed(text);
  */
-export async function* textOf(
+export async function* decodeUtf8(
   body: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string> {
   const decoder = new TextDecoder();
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -34,11 +34,11 @@
 } from './http-call.js';
 import {HttpWatch} from './http-watch.js';
 import {
-  fromFailure,
-  fromMalformed,
-  fromStatus,
+  createMalformedError,
+  createStatusError,
+  createStoreError,
   StoreCall,
-  storeError,
+  toStoreError,
 } from './store-errors.js';
 
 /** Timeout of a call to the store, in milliseconds. */
@@ -172,7 +172,7 @@
       headers: body === undefined ? headers : [...headers, json],
       body,
       timeoutMs: this.timeoutMs,
-    }).mapErr((failure) => fromFailure(call, failure));
+    }).mapErr((failure) => toStoreError(call, failure));
   }
 }
 
@@ -190,9 +190,9 @@
     if (text !== undefined) return ok(`{"value":${text}}`);
   } catch (e) {
     const detail = e instanceof Error ? e.message : String(e);
-    return err(storeError(StoreErrorKind.INVALID, detail));
+    return err(createStoreError(StoreErrorKind.INVALID, detail));
   }
-  return err(storeError(StoreErrorKind.INVALID, 'no JSON value'));
+  return err(createStoreError(StoreErrorKind.INVALID, 'no JSON value'));
 }
 
 function checkStatus(
@@ -200,7 +200,7 @@
   res: HttpResponse,
 ): Result<HttpResponse, StoreError> {
   if (res.status < FIRST_ERROR_STATUS) return ok(res);
-  return err(fromStatus(call, res.status));
+  return err(createStatusError(call, res.status));
 }
 
 function decodeResponse<T>(options: {
@@ -211,7 +211,7 @@
   const {call, res, codec} = options;
   return checkStatus(call, res).andThen(({body}) =>
     decodeValue(codec, parseJson(body)).mapErr((detail) =>
-      fromMalformed(call, detail),
+      createMalformedError(call, detail),
     ),
   );
 }
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -11,7 +11,7 @@
   ServiceReport,
 } from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
-import {driverError, toDriverError} from './driver-errors.js';
+import {createDriverError, toDriverError} from './driver-errors.js';
 import {fetchReport} from './driver-probe.js';
 import {callHttp, createPool} from './http-call.js';
 
@@ -65,7 +65,7 @@
     const url = buildUrl(this.baseUrl, req.path);
     if (!isBelowRoot(this.baseUrl, url)) {
       const detail = 'the path leaves the root of the service';
-      return errAsync(driverError(DriverErrorKind.NOT_SENT, detail));
+      return errAsync(createDriverError(DriverErrorKind.NOT_SENT, detail));
     }
     return callHttp({
       dispatcher: this.dispatcher,
--- a/src/adapters/http-watch.ts
+++ b/src/adapters/http-watch.ts
@@ -5,12 +5,12 @@
 
 import type {StoreError, WatchEvent, WatchHandle} from '../core/edges/index.js';
 import {ObjectKind, StoreErrorKind} from '../core/edges/index.js';
-import {parseJson, textOf, toHttpFailure} from './http-call.js';
+import {decodeUtf8, parseJson, toHttpFailure} from './http-call.js';
 import {
-  fromFailure,
-  fromStatus,
+  createStatusError,
+  createStoreError,
   StoreCall,
-  storeError,
+  toStoreError,
 } from './store-errors.js';
 
 /** A watch without data for longer is closed as broken, in milliseconds. */
@@ -47,7 +47,7 @@
   /** Sends the request. */
   start(): void {
     this.run().catch((e: unknown) =>
-      this.end(fromFailure(StoreCall.READ, toHttpFailure(e))),
+      this.end(toStoreError(StoreCall.READ, toHttpFailure(e))),
     );
   }
 
@@ -65,12 +65,12 @@
       signal: this.abort.signal,
     });
     if (res.statusCode !== STATUS_OK) {
-      return this.end(fromStatus(StoreCall.READ, res.statusCode));
+      return this.end(createStatusError(StoreCall.READ, res.statusCode));
     }
-    for await (const text of textOf(res.body)) {
+    for await (const text of decodeUtf8(res.body)) {
       this.handleText(text);
     }
-    this.end(storeError(StoreErrorKind.UNAVAILABLE, 'the watch ended'));
+    this.end(createStoreError(StoreErrorKind.UNAVAILABLE, 'the watch ended'));
   }
 
   private handleText(text: string): void {
@@ -84,7 +84,8 @@
 
   private handleLine(line: string): void {
     WATCH_EVENT.decode(parseJson(line)).caseOf({
-      Left: (detail) => this.end(storeError(StoreErrorKind.INVALID, detail)),
+      Left: (detail) =>
+        this.end(createStoreError(StoreErrorKind.INVALID, detail)),
       Right: (event) => this.options.onEvent(event),
     });
   }
--- a/src/adapters/store-errors.ts
+++ b/src/adapters/store-errors.ts
@@ -18,9 +18,12 @@
  * Creates an error of the store layer.
  *
  * @example
- * err(storeError(StoreErrorKind.INVALID, 'no JSON value'));
+ * err(createStoreError(StoreErrorKind.INVALID, 'no JSON value'));
  */
-export function storeError(kind: StoreErrorKind, detail: string): StoreError {
+export function createStoreError(
+  kind: StoreErrorKind,
+  detail: string,
+): StoreError {
   return {layer: Layer.STORE, kind, detail};
 }
 
@@ -29,25 +32,28 @@
  * have taken effect; a read has no effect.
  *
  * @example
- * callHttp(options).mapErr((failure) => fromFailure(StoreCall.READ, failure));
+ * callHttp(options).mapErr((failure) => toStoreError(StoreCall.READ, failure));
  */
-export function fromFailure(call: StoreCall, failure: HttpFailure): StoreError {
+export function toStoreError(
+  call: StoreCall,
+  failure: HttpFailure,
+): StoreError {
   const hadNoEffect =
     call === StoreCall.READ || failure.kind === HttpFailureKind.NOT_SENT;
   const kind = hadNoEffect
     ? StoreErrorKind.UNAVAILABLE
     : StoreErrorKind.UNKNOWN;
-  return storeError(kind, failure.detail);
+  return createStoreError(kind, failure.detail);
 }
 
 /**
  * Converts an error status to an error of the store layer.
  *
  * @example
- * err(fromStatus(StoreCall.CREATE, 409));
+ * err(createStatusError(StoreCall.CREATE, 409));
  */
-export function fromStatus(call: StoreCall, status: number): StoreError {
-  return storeError(kindOfStatus(call, status), `status ${status}`);
+export function createStatusError(call: StoreCall, status: number): StoreError {
+  return createStoreError(kindOfStatus(call, status), `status ${status}`);
 }
 
 /**
@@ -55,12 +61,15 @@
  * have taken effect.
  *
  * @example
- * err(fromMalformed(StoreCall.READ, detail));
+ * err(createMalformedError(StoreCall.READ, detail));
  */
-export function fromMalformed(call: StoreCall, detail: string): StoreError {
+export function createMalformedError(
+  call: StoreCall,
+  detail: string,
+): StoreError {
   const isRead = call === StoreCall.READ;
   const kind = isRead ? StoreErrorKind.INVALID : StoreErrorKind.UNKNOWN;
-  return storeError(kind, detail);
+  return createStoreError(kind, detail);
 }
 
 function kindOfStatus(call: StoreCall, status: number): StoreErrorKind {
