--- a/test/cli/apply.test.ts
+++ b/test/cli/apply.test.ts
@@ -3,7 +3,7 @@
 import {ExitStatus} from '../../src/cli/types.js';
 import {CONFIG_OBJECT} from '../../src/core/config/index.js';
 import {MemoryStore, WriteFault} from './lib/memory-store.js';
-import {runTool, type ToolRun} from './lib/run-tool.js';
+import {runTool, type ToolResult} from './lib/run-tool.js';
 
 const FILES = 'examples/quickstart';
 const PLATFORM = ['--platform', 'http://127.0.0.1:7000'];
@@ -14,7 +14,7 @@
   document: {base: {deployment: 'other'}, overlays: []},
 };
 
-function apply(store: MemoryStore, ...more: string[]): Promise<ToolRun> {
+function apply(store: MemoryStore, ...more: string[]): Promise<ToolResult> {
   return runTool(['apply', '-f', FILES, ...PLATFORM, ...more], store);
 }
 
@@ -118,7 +118,7 @@
 });
 
 describe('diff', () => {
-  const diff = (store: MemoryStore): Promise<ToolRun> =>
+  const diff = (store: MemoryStore): Promise<ToolResult> =>
     runTool(['diff', '-f', FILES, ...PLATFORM, '--json'], store);
 
   it('lists the differences by scope and path', async () => {
--- a/test/cli/lib/run-tool.ts
+++ b/test/cli/lib/run-tool.ts
@@ -7,8 +7,8 @@
 
 const SEED = 20261204;
 
-/** Exit status and output of a run of the tool. */
-export interface ToolRun {
+/** Exit status and output of one call of the tool. */
+export interface ToolResult {
   readonly status: ExitStatus;
   readonly out: string;
   readonly err: string;
@@ -18,7 +18,7 @@
 export async function runTool(
   args: readonly string[],
   store: MemoryStore = new MemoryStore(),
-): Promise<ToolRun> {
+): Promise<ToolResult> {
   let out = '';
   let err = '';
   const status = await runCli({
