--- a/src/adapters/callers/completion-codec.ts
+++ b/src/adapters/callers/completion-codec.ts
@@ -1,4 +1,4 @@
-/** Validates bodies of completion requests and converts them to specs. */
+/** Decodes the bodies of completion requests. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {GetType} from 'purify-ts';
@@ -55,7 +55,9 @@
 /** A decoded completion request. */
 export interface CompletionRequest {
   readonly spec: GenerationSpec;
+  /** Whether to send the output as server-sent events. */
   readonly stream: boolean;
+  /** Whether an event stream has an event with the number of tokens. */
   readonly includeUsage: boolean;
 }
 
@@ -71,7 +73,7 @@
   return COMPLETION_BODY.decode(body).caseOf<
     Result<CompletionRequest, Refusal>
   >({
-    Left: (detail) => err(badRequest(detail)),
+    Left: (detail) => err(createBadRequest(detail)),
     Right: (fields) => createRequest(fields, fields.prompt, fields.max_tokens),
   });
 }
@@ -84,10 +86,10 @@
  */
 export function decodeChat(body: unknown): Result<CompletionRequest, Refusal> {
   return CHAT_BODY.decode(body).caseOf<Result<CompletionRequest, Refusal>>({
-    Left: (detail) => err(badRequest(detail)),
+    Left: (detail) => err(createBadRequest(detail)),
     Right: (fields) => {
       if (fields.messages.length === 0) {
-        return err(badRequest('messages holds at least one message'));
+        return err(createBadRequest('messages holds at least one message'));
       }
       const maxTokens = fields.max_completion_tokens ?? fields.max_tokens;
       return createRequest(fields, renderChat(fields.messages), maxTokens);
@@ -95,17 +97,26 @@
   });
 }
 
-/** Renders a conversation as a prompt for the engine. */
+/**
+ * Renders a conversation as a prompt for the engine: one line per message, and
+ * `assistant:` for the engine to continue.
+ *
+ * @example
+ * // 'user: hoops?\nassistant:'
+ * renderChat([{role: 'user', content: 'hoops?'}]);
+ */
 export function renderChat(
   messages: ReadonlyArray<GetType<typeof CHAT_MESSAGE>>,
 ): string {
   const lines = messages.map(
-    ({role, content}) => `${role}: ${textOf(content)}\n`,
+    ({role, content}) => `${role}: ${getMessageText(content)}\n`,
   );
   return `${lines.join('')}assistant:`;
 }
 
-function textOf(content: GetType<typeof CHAT_MESSAGE>['content']): string {
+function getMessageText(
+  content: GetType<typeof CHAT_MESSAGE>['content'],
+): string {
   if (typeof content === 'string') return content;
   return content.map(({text}) => text).join('');
 }
@@ -116,18 +127,18 @@
   requestedMaxTokens: number | null | undefined,
 ): Result<CompletionRequest, Refusal> {
   const maxTokens = requestedMaxTokens ?? DEFAULT_MAX_TOKENS;
-  const stop = stopStrings(fields.stop);
+  const stop = toStopStrings(fields.stop);
   if (!Number.isInteger(maxTokens) || maxTokens < 1) {
-    return err(badRequest('max_tokens is a whole number of at least 1'));
+    return err(createBadRequest('max_tokens is a whole number of at least 1'));
   }
-  if ((fields.n ?? 1) !== 1) return err(badRequest('n is 1'));
+  if ((fields.n ?? 1) !== 1) return err(createBadRequest('n is 1'));
   if (stop.length > MAX_STOP_STRINGS || stop.includes('')) {
     const detail = `stop holds up to ${MAX_STOP_STRINGS} non-empty strings`;
-    return err(badRequest(detail));
+    return err(createBadRequest(detail));
   }
   const temperature = fields.temperature ?? DEFAULT_TEMPERATURE;
   if (temperature < 0 || temperature > MAX_TEMPERATURE) {
-    return err(badRequest(`temperature is from 0 to ${MAX_TEMPERATURE}`));
+    return err(createBadRequest(`temperature is from 0 to ${MAX_TEMPERATURE}`));
   }
   const spec = {
     model: fields.model,
@@ -144,11 +155,11 @@
   });
 }
 
-function stopStrings(stop: string | string[] | null | undefined): string[] {
+function toStopStrings(stop: string | string[] | null | undefined): string[] {
   if (stop == null) return [];
   return typeof stop === 'string' ? [stop] : stop;
 }
 
-function badRequest(detail: string): Refusal {
+function createBadRequest(detail: string): Refusal {
   return {reason: RefusalReason.BAD_REQUEST, ran: Executed.NO, detail};
 }
--- a/src/adapters/callers/completion-formatter.ts
+++ b/src/adapters/callers/completion-formatter.ts
@@ -1,4 +1,4 @@
-/** Formats output as OpenAI completions, as events or as one document. */
+/** Formats output as objects of the OpenAI API, for events or one document. */
 import type {FinishReason} from '../../core/edges/index.js';
 
 const MS_PER_SECOND = 1_000;
@@ -8,15 +8,15 @@
   readonly completionTokens: number;
 }
 
-/** Formats one completion as its endpoint returns it. */
+/** Formats one completion for its endpoint. */
 export interface CompletionFormatter {
-  /** A part of the text, as the data of one event. */
+  /** Returns the data of an event with a part of the text. */
   formatDelta(text: string): unknown;
-  /** The end, as the data of one event. */
+  /** Returns the data of the event with the finish reason. */
   formatEnd(reason: FinishReason): unknown;
-  /** The usage, as the data of one event. */
+  /** Returns the data of the event with the number of tokens. */
   formatUsage(usage: Usage): unknown;
-  /** The complete document. */
+  /** Returns the document with the complete text. */
   formatCompletion(options: {
     text: string;
     reason: FinishReason;
@@ -31,7 +31,12 @@
   readonly createdMs: number;
 }
 
-/** Format of `/v1/completions`. */
+/**
+ * Formats completions for `/v1/completions`.
+ *
+ * @example
+ * new TextCompletionFormatter(metadata).formatDelta('Ten pallets');
+ */
 export class TextCompletionFormatter implements CompletionFormatter {
   constructor(private readonly metadata: CompletionMetadata) {}
 
@@ -66,7 +71,13 @@
   }
 }
 
-/** Format of `/v1/chat/completions`. */
+/**
+ * Formats completions for `/v1/chat/completions`. The first event of a
+ * completion has the role of the message.
+ *
+ * @example
+ * new ChatCompletionFormatter(metadata).formatDelta('Ten pallets');
+ */
 export class ChatCompletionFormatter implements CompletionFormatter {
   private hasStarted = false;
 
--- a/src/adapters/callers/completion-response.ts
+++ b/src/adapters/callers/completion-response.ts
@@ -13,17 +13,21 @@
   readonly data: string;
 }
 
-/** Output to send, and its format. */
+/** The output of a generation, and the format in which it is sent. */
 export interface CompletionResponseOptions {
   readonly ctx: Context;
   readonly reader: OutputReader;
   readonly formatter: CompletionFormatter;
+  /** Whether an event stream has an event with the number of tokens. */
   readonly includeUsage: boolean;
 }
 
 /**
- * Sends one event per part of the output; a problem document if the first part
- * is a refusal.
+ * Sends one event per part of the output. If the first part is a refusal, the
+ * response is a problem document instead.
+ *
+ * @example
+ * return streamCompletion({ctx, reader, formatter, includeUsage: false});
  */
 export async function streamCompletion(
   options: CompletionResponseOptions,
@@ -51,7 +55,13 @@
   return out.end();
 }
 
-/** Sends one document once the output is complete. */
+/**
+ * Sends one document once the output is complete; a problem document if the
+ * generation is refused.
+ *
+ * @example
+ * return sendCompletion({ctx, reader, formatter, includeUsage: false});
+ */
 export async function sendCompletion(
   options: CompletionResponseOptions,
 ): Promise<Response> {
@@ -61,7 +71,7 @@
   for (;;) {
     const part = await reader.next();
     if (part.kind === OutputPartKind.TOKENS) {
-      text += textOf(part);
+      text += joinTokens(part);
       continue;
     }
     reader.close();
@@ -83,7 +93,7 @@
   const {formatter, includeUsage} = options;
   switch (part.kind) {
     case OutputPartKind.TOKENS: {
-      const data = JSON.stringify(formatter.formatDelta(textOf(part)));
+      const data = JSON.stringify(formatter.formatDelta(joinTokens(part)));
       return formatEvent({id: part.eventId, data});
     }
     case OutputPartKind.FINISHED: {
@@ -104,7 +114,7 @@
   }
 }
 
-function textOf(part: OutputPart): string {
+function joinTokens(part: OutputPart): string {
   if (part.kind !== OutputPartKind.TOKENS) return '';
   return part.tokens.map((token) => token.text).join('');
 }
--- a/src/adapters/callers/event-stream-writer.ts
+++ b/src/adapters/callers/event-stream-writer.ts
@@ -14,8 +14,12 @@
 };
 
 /**
- * One event stream. Web streams would cost more per event than all other work
- * of an entry for a token.
+ * Writes one event stream to the response of Node. Web streams, which Hono
+ * itself uses, would cost more per event than all other work of an entry for a
+ * token.
+ *
+ * @example
+ * const out = new EventStreamWriter(ctx, () => reader.close());
  */
 export class EventStreamWriter {
   private readonly res: ServerResponse;
@@ -31,7 +35,7 @@
     return this.res.destroyed || this.res.writableEnded;
   }
 
-  /** Writes text; resolves once the next part can be written. */
+  /** Writes text; resolves once the response can buffer more or is closed. */
   async write(text: string): Promise<void> {
     if (this.isClosed || this.res.write(text)) return;
     const closeController = new AbortController();
@@ -45,7 +49,7 @@
     this.res.off('close', abort);
   }
 
-  /** Ends the stream; returns the marker of a response that is already sent. */
+  /** Ends the stream; returns the value that keeps Hono from responding too. */
   end(): Response {
     if (!this.isClosed) this.res.end();
     return RESPONSE_ALREADY_SENT;
--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -14,6 +14,7 @@
   readonly status: number;
   readonly detail: string;
   readonly reason: string;
+  /** Whether the request was executed: `no`, `yes` or `unknown`. */
   readonly ran: string;
   readonly hint: string;
   readonly retryAfterMs?: number;
@@ -48,7 +49,13 @@
   };
 }
 
-/** Creates the response for a refusal; `Retry-After` is in whole seconds. */
+/**
+ * Creates the response for a refusal, with the time to wait before a retry in
+ * `Retry-After`, rounded up to whole seconds.
+ *
+ * @example
+ * return createProblemResponse(refusal);
+ */
 export function createProblemResponse(refusal: Refusal): Response {
   const problem = createProblem(refusal);
   const headers = new Headers({'content-type': PROBLEM_CONTENT_TYPE});
--- a/src/adapters/callers/read-body.ts
+++ b/src/adapters/callers/read-body.ts
@@ -18,7 +18,7 @@
 }): Promise<Result<Uint8Array, Refusal>> {
   const {req, limits} = options;
   const declared = Number(req.headers.get('content-length') ?? 0);
-  if (declared > limits.bodyBytes) return err(tooLarge(limits));
+  if (declared > limits.bodyBytes) return err(refuseTooLarge(limits));
   const reader = req.body?.getReader();
   if (reader === undefined) return ok(new Uint8Array());
   const timeout = createTimeout(limits.bodyTimeoutMs);
@@ -26,12 +26,12 @@
   let size = 0;
   try {
     for (;;) {
-      const step = await Promise.race([reader.read(), timeout.expired]);
-      if (step === undefined) return err(tooSlow(limits));
-      if (step.done) return ok(Buffer.concat(chunks));
-      const chunk = step.value as Uint8Array;
+      const result = await Promise.race([reader.read(), timeout.expired]);
+      if (result === undefined) return err(refuseTooSlow(limits));
+      if (result.done) return ok(Buffer.concat(chunks));
+      const chunk = result.value as Uint8Array;
       size += chunk.length;
-      if (size > limits.bodyBytes) return err(tooLarge(limits));
+      if (size > limits.bodyBytes) return err(refuseTooLarge(limits));
       chunks.push(chunk);
     }
   } catch {
@@ -41,7 +41,12 @@
   }
 }
 
-/** Reads a body as JSON. */
+/**
+ * Reads a body as JSON; a body that is not JSON is refused.
+ *
+ * @example
+ * const value = await readJson({req, limits});
+ */
 export async function readJson(options: {
   req: Request;
   limits: LimitsConfig;
@@ -66,12 +71,12 @@
   return {expired, cancel: () => clearTimeout(timer)};
 }
 
-function tooLarge(limits: LimitsConfig): Refusal {
+function refuseTooLarge(limits: LimitsConfig): Refusal {
   const detail = `a body is at most ${limits.bodyBytes} bytes`;
   return refuse(RefusalReason.BODY_TOO_LARGE, detail);
 }
 
-function tooSlow(limits: LimitsConfig): Refusal {
+function refuseTooSlow(limits: LimitsConfig): Refusal {
   const detail = `a body is sent within ${limits.bodyTimeoutMs} ms`;
   return refuse(RefusalReason.BODY_TOO_SLOW, detail);
 }
--- a/src/adapters/callers/service-path.ts
+++ b/src/adapters/callers/service-path.ts
@@ -1,4 +1,4 @@
-/** Request targets as sent by the caller, not normalized by a URL parser. */
+/** Checks request targets as the caller sent them, without normalization. */
 import type {IncomingMessage} from 'node:http';
 
 import type {Context} from 'hono';
@@ -7,7 +7,7 @@
 const SERVICE_PREFIX = /^\/services\/[^/?#]*/;
 const DOT_SEGMENTS: ReadonlySet<string> = new Set(['.', '..']);
 
-/** Bindings that the HTTP server passes to the application. */
+/** The part of the HTTP server's bindings that is used here. */
 interface ServerBindings {
   readonly incoming?: IncomingMessage;
 }
@@ -15,6 +15,9 @@
 /**
  * Returns path and query as they were sent. A URL parser would resolve dot
  * segments first, which can change a path of one service to one of another.
+ *
+ * @example
+ * readRequestTarget(ctx); // '/services/stock/items/7?unit=bag'
  */
 export function readRequestTarget(ctx: Context): string {
   const bindings = ctx.env as ServerBindings | undefined;
@@ -23,17 +26,18 @@
 }
 
 /**
- * Whether a request target stays below its root with any decoder: it has no
- * plain or encoded dot segments or backslashes, and no malformed escapes.
+ * Whether a request target stays below its root however a server decodes it.
+ * It must have no plain or encoded dot segments, backslashes or NUL characters,
+ * and no malformed escapes.
  *
  * @example
  * isSafeRequestTarget('/services/orders/%2e%2e/stock'); // false
  */
 export function isSafeRequestTarget(target: string): boolean {
   const [path = ''] = target.split(/[?#]/, 1);
-  const once = decodeOnce(path);
-  if (once === undefined) return false;
-  const decoded = decodeFully(once);
+  const decodedOnce = decodeOnce(path);
+  if (decodedOnce === undefined) return false;
+  const decoded = decodeFully(decodedOnce);
   return !/[\\\0]/.test(decoded) && !decoded.split('/').some(isDotSegment);
 }
 
@@ -48,7 +52,7 @@
   return target.replace(SERVICE_PREFIX, '');
 }
 
-/** Some servers ignore the part of a segment after a semicolon. */
+/** The part after a semicolon is ignored here, as some servers ignore it. */
 function isDotSegment(segment: string): boolean {
   const [name = ''] = segment.split(';', 1);
   return DOT_SEGMENTS.has(name);
--- a/src/adapters/counted-store.ts
+++ b/src/adapters/counted-store.ts
@@ -1,4 +1,4 @@
-/** Counts calls to an object store and their errors. */
+/** Counts the calls to an object store and the errors that they return. */
 import type {ResultAsync} from 'neverthrow';
 
 import type {
@@ -11,7 +11,7 @@
 import type {Metrics} from '../core/metrics/index.js';
 import {CounterName} from '../core/metrics/index.js';
 
-/** Kinds of calls; the labels of the counters. */
+/** Kinds of calls to the store; label values of the counter of calls. */
 export enum StoreVerb {
   CREATE = 'create',
   UPDATE = 'update',
@@ -22,7 +22,7 @@
 }
 
 /**
- * Wraps an object store and counts its calls.
+ * Wraps an object store and counts its calls and their errors.
  *
  * @example
  * new CountedStore({store: new HttpObjectStore({baseUrl}), metrics});
--- a/src/adapters/driver-errors.ts
+++ b/src/adapters/driver-errors.ts
@@ -5,7 +5,7 @@
 import type {HttpFailure} from './http-call.js';
 import {HttpFailureKind} from './http-call.js';
 
-const KINDS: Readonly<Record<HttpFailureKind, DriverErrorKind>> = {
+const DRIVER_ERROR_KINDS: Readonly<Record<HttpFailureKind, DriverErrorKind>> = {
   [HttpFailureKind.NOT_SENT]: DriverErrorKind.NOT_SENT,
   [HttpFailureKind.TIMEOUT]: DriverErrorKind.TIMEOUT,
   [HttpFailureKind.BROKEN]: DriverErrorKind.LOST,
@@ -32,5 +32,5 @@
  * callHttp(options).mapErr(toDriverError);
  */
 export function toDriverError({kind, detail}: HttpFailure): DriverError {
-  return createDriverError(KINDS[kind], detail);
+  return createDriverError(DRIVER_ERROR_KINDS[kind], detail);
 }
--- a/src/adapters/driver-probe.ts
+++ b/src/adapters/driver-probe.ts
@@ -12,7 +12,7 @@
 import {callHttp, FIRST_ERROR_STATUS, parseJson} from './http-call.js';
 
 /**
- * Reads `GET /health` of a target.
+ * Requests and decodes the report at `/health` of a target.
  *
  * @example
  * fetchReport({dispatcher, baseUrl, codec, timeoutMs: 500});
--- a/src/adapters/engine-http-stream.ts
+++ b/src/adapters/engine-http-stream.ts
@@ -52,7 +52,13 @@
   readonly sink: EngineSink;
 }
 
-/** Reads the output of one generation and passes it to its sink. */
+/**
+ * Reads the output of one generation and passes it to its sink.
+ *
+ * @example
+ * const stream = new EngineHttpStream({dispatcher, url, body, position, sink});
+ * stream.start();
+ */
 export class EngineHttpStream implements EngineStream {
   private readonly abort = new AbortController();
   private readonly parser = createParser({
@@ -67,7 +73,7 @@
 
   /** Sends the request. */
   start(): void {
-    this.run().catch((e: unknown) =>
+    this.readStream().catch((e: unknown) =>
       this.fail(toDriverError(toHttpFailure(e))),
     );
   }
@@ -77,7 +83,7 @@
     this.abort.abort();
   }
 
-  private async run(): Promise<void> {
+  private async readStream(): Promise<void> {
     const {dispatcher, url, body} = this.options;
     const res = await request(url, {
       dispatcher,
@@ -142,7 +148,10 @@
   }
 }
 
-/** The last token of a chunk gets its text, as it completes the text. */
+/**
+ * Assigns the text of a chunk to its last token, which completes the text; the
+ * tokens before it have empty texts.
+ */
 function toTokens(ids: readonly number[], text: string): Token[] {
   const last = ids.length - 1;
   return ids.map((id, index) => ({id, text: index === last ? text : ''}));
--- a/src/adapters/http-call.ts
+++ b/src/adapters/http-call.ts
@@ -31,9 +31,9 @@
 export enum HttpFailureKind {
   /** The request never reached the server. */
   NOT_SENT = 'not_sent',
-  /** No complete response within the time allowed. */
+  /** No complete response was received within the timeout. */
   TIMEOUT = 'timeout',
-  /** The connection broke. */
+  /** The connection broke, or any other error after the request was sent. */
   BROKEN = 'broken',
   /** The body of the response exceeds the limit. */
   TOO_LARGE = 'too_large',
@@ -59,6 +59,7 @@
   readonly method: string;
   readonly headers: readonly HeaderField[];
   readonly body?: Uint8Array | string;
+  /** Timeout of the call, including the body of its response. */
   readonly timeoutMs: number;
   /** Largest body of a response in bytes; unlimited by default. */
   readonly maxBodyBytes?: number;
@@ -68,14 +69,16 @@
 class BodyTooLargeError extends Error {}
 
 /**
- * Creates a connection pool without limits on the number of connections and on
- * the time of a response.
+ * Creates a connection pool. It limits neither the number of connections nor
+ * the time of a response; callers set their own timeouts.
  *
  * @example
  * const dispatcher = createPool({keepsAlive: true});
  */
 export function createPool(options: {
+  /** Whether calls reuse connections. */
   keepsAlive: boolean;
+  /** CONNECT_TIMEOUT_MS by default. */
   connectTimeoutMs?: number;
 }): Dispatcher {
   return new Agent({
@@ -107,7 +110,7 @@
  */
 export function toHttpFailure(e: unknown): HttpFailure {
   const detail = e instanceof Error ? e.message : String(e);
-  return {kind: failureKindOf(e), detail};
+  return {kind: toFailureKind(e), detail};
 }
 
 /**
@@ -179,7 +182,7 @@
   return values.map((single) => ({name, value: single}));
 }
 
-function failureKindOf(e: unknown): HttpFailureKind {
+function toFailureKind(e: unknown): HttpFailureKind {
   if (e instanceof BodyTooLargeError) return HttpFailureKind.TOO_LARGE;
   if (e instanceof AggregateError && e.errors.every(isNotSent)) {
     return HttpFailureKind.NOT_SENT;
@@ -190,15 +193,15 @@
 }
 
 function isNotSent(e: unknown): boolean {
-  return NOT_SENT_CODES.has(codeOf(e));
+  return NOT_SENT_CODES.has(getErrorCode(e));
 }
 
 function isTimeout(e: unknown): boolean {
   if (e instanceof Error && e.name === 'TimeoutError') return true;
-  return TIMEOUT_CODES.has(codeOf(e));
+  return TIMEOUT_CODES.has(getErrorCode(e));
 }
 
-function codeOf(e: unknown): string {
+function getErrorCode(e: unknown): string {
   if (typeof e !== 'object' || e === null) return '';
   return String(Reflect.get(e, 'code'));
 }
--- a/src/adapters/http-callers.ts
+++ b/src/adapters/http-callers.ts
@@ -37,7 +37,10 @@
 const BEARER_PREFIX = 'Bearer ';
 const MAX_DEADLINE_MS = 24 * 60 * 60 * 1_000;
 
-/** Headers that are not forwarded: hop-by-hop ones and the system's own. */
+/**
+ * Headers of requests and responses that are not forwarded: hop-by-hop headers
+ * and those that the entry itself evaluates.
+ */
 const DROPPED_HEADERS = new Set([
   'authorization',
   'connection',
@@ -90,7 +93,7 @@
     const detail = `nothing is served under ${ctx.req.path}`;
     return refuse(handler, RefusalReason.UNKNOWN_SERVICE, detail);
   });
-  app.onError((err) => sendRefusal(handler, invalidResponse(err)));
+  app.onError((err) => sendRefusal(handler, createInvalidResponseRefusal(err)));
   return app;
 }
 
@@ -111,7 +114,7 @@
   return createMiddleware(async (ctx, next) => {
     const auth = handler.authenticate({
       bearer: readBearer(ctx),
-      headers: forwardedHeaders(ctx),
+      headers: getForwardedHeaders(ctx),
       idempotencyKey: ctx.req.header(IDEMPOTENCY_KEY_HEADER) ?? '',
     });
     if (auth.isErr()) return createProblemResponse(auth.error);
@@ -163,7 +166,7 @@
     service,
     method: ctx.req.method,
     path: stripServicePrefix(readRequestTarget(ctx)),
-    headers: forwardedHeaders(ctx),
+    headers: getForwardedHeaders(ctx),
     body: body.value,
     idempotencyKey: ctx.req.header(IDEMPOTENCY_KEY_HEADER) ?? '',
     deadlineMs: readDeadline(ctx),
@@ -185,7 +188,7 @@
   return !STATUSES_WITHOUT_BODY.has(status);
 }
 
-function forwardedHeaders(ctx: Context): HeaderField[] {
+function getForwardedHeaders(ctx: Context): HeaderField[] {
   const fields: HeaderField[] = [];
   ctx.req.raw.headers.forEach((value, name) => {
     if (!DROPPED_HEADERS.has(name)) fields.push({name, value});
@@ -214,8 +217,8 @@
   return refuse(handler, RefusalReason.BAD_REQUEST, detail);
 }
 
-/** Refusal for a response of a service that cannot be forwarded as HTTP. */
-function invalidResponse(err: Error): Refusal {
+/** Creates the refusal for a service's response that HTTP cannot represent. */
+function createInvalidResponseRefusal(err: Error): Refusal {
   const detail = `the answer cannot be passed on: ${err.message}`;
   return {reason: RefusalReason.TARGET_FAILED, ran: Executed.UNKNOWN, detail};
 }
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -82,7 +82,10 @@
   ): ResultAsync<StoredObject, StoreError> {
     const {value, ...key} = options;
     const call = StoreCall.CREATE;
-    return this.write({call, method: 'POST', path: objectPath(key)}, value);
+    return this.write(
+      {call, method: 'POST', path: buildObjectPath(key)},
+      value,
+    );
   }
 
   update(
@@ -90,8 +93,8 @@
   ): ResultAsync<StoredObject, StoreError> {
     const {value, expectedVersion, ...key} = options;
     const call = StoreCall.CHANGE;
-    const headers = [ifMatch(expectedVersion)];
-    const req = {call, method: 'PUT', path: objectPath(key), headers};
+    const headers = [createIfMatchHeader(expectedVersion)];
+    const req = {call, method: 'PUT', path: buildObjectPath(key), headers};
     return this.write(req, value);
   }
 
@@ -99,8 +102,8 @@
     options: ObjectKey & {expectedVersion: number},
   ): ResultAsync<void, StoreError> {
     const call = StoreCall.CHANGE;
-    const headers = [ifMatch(options.expectedVersion)];
-    const path = objectPath(options);
+    const headers = [createIfMatchHeader(options.expectedVersion)];
+    const path = buildObjectPath(options);
     return this.send({call, method: 'DELETE', path, headers})
       .andThen((res) => checkStatus(call, res))
       .map(() => undefined);
@@ -108,7 +111,7 @@
 
   read(key: ObjectKey): ResultAsync<Maybe<StoredObject>, StoreError> {
     const call = StoreCall.READ;
-    return this.send({call, method: 'GET', path: objectPath(key)}).andThen(
+    return this.send({call, method: 'GET', path: buildObjectPath(key)}).andThen(
       (res): Result<Maybe<StoredObject>, StoreError> =>
         res.status === 404
           ? ok(Nothing)
@@ -164,23 +167,23 @@
 
   private send(req: StoreRequest): ResultAsync<HttpResponse, StoreError> {
     const {call, method, path, headers = [], body} = req;
-    const json = {name: 'content-type', value: 'application/json'};
+    const contentType = {name: 'content-type', value: 'application/json'};
     return callHttp({
       dispatcher: this.dispatcher,
       url: `${this.baseUrl}${path}`,
       method,
-      headers: body === undefined ? headers : [...headers, json],
+      headers: body === undefined ? headers : [...headers, contentType],
       body,
       timeoutMs: this.timeoutMs,
     }).mapErr((failure) => toStoreError(call, failure));
   }
 }
 
-function objectPath({kind, name}: ObjectKey): string {
+function buildObjectPath({kind, name}: ObjectKey): string {
   return `/objects/${kind}/${encodeURIComponent(name)}`;
 }
 
-function ifMatch(version: number): HeaderField {
+function createIfMatchHeader(version: number): HeaderField {
   return {name: 'if-match', value: `"${version}"`};
 }
 
--- a/src/adapters/http-server.ts
+++ b/src/adapters/http-server.ts
@@ -63,13 +63,22 @@
   countRefusal(refusal: Refusal): void;
 }
 
-/** Starts to listen; rejects if the address is in use. */
+/**
+ * Starts to listen; rejects if the address is in use.
+ *
+ * @example
+ * const {port} = await listenHttp({app, address: '127.0.0.1', port: 0});
+ */
 export function listenHttp(options: {
   app: Hono;
   address: string;
+  /** 0 for any free port. */
   port: number;
   counter?: RefusalCounter;
-  /** Whether to keep the connection open after a response; true by default. */
+  /**
+   * Whether to keep the connection open after a response; called for each one.
+   * Always true by default.
+   */
   keepsAlive?: () => boolean;
 }): Promise<HttpListener> {
   const {app, address, port, counter, keepsAlive = () => true} = options;
@@ -99,7 +108,7 @@
 /** Error for a request that could not be read, with the code of its cause. */
 type ClientError = Error & {readonly code?: string};
 
-/** A socket with the response that is being sent, a private field of Node. */
+/** Node's private field for the response that is being sent on a socket. */
 type RequestSocket = Socket & {readonly _httpMessage?: object};
 
 /** Refuses a request whose target and Host header do not form a URL. */
@@ -117,6 +126,7 @@
   counter: RefusalCounter | undefined;
 }): void {
   const {err, socket, counter} = options;
+  // A refusal in the middle of another response would corrupt it.
   const hasResponse = socket._httpMessage !== undefined;
   if (!socket.writable || err.code === 'ECONNRESET' || hasResponse) {
     socket.destroy();
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -90,12 +90,12 @@
   }
 }
 
-/** Without the slash, a path such as `@host` could address another host. */
+/** Adds the slash without which a path such as `@host` names another host. */
 function buildUrl(baseUrl: string, path: string): string {
   return path.startsWith('/') ? `${baseUrl}${path}` : `${baseUrl}/${path}`;
 }
 
-/** URL parsers resolve dot segments, which could lead outside the root. */
+/** Whether a URL is below its root also after its dot segments are resolved. */
 function isBelowRoot(baseUrl: string, url: string): boolean {
   if (!URL.canParse(url)) return false;
   const root = new URL(baseUrl);
--- a/src/adapters/http-vm-list.ts
+++ b/src/adapters/http-vm-list.ts
@@ -54,7 +54,9 @@
       headers: [],
       timeoutMs: this.timeoutMs,
     })
-      .mapErr(({detail}) => vmListError(VmListErrorKind.UNAVAILABLE, detail))
+      .mapErr(({detail}) =>
+        createVmListError(VmListErrorKind.UNAVAILABLE, detail),
+      )
       .andThen(decode);
   }
 }
@@ -62,13 +64,13 @@
 function decode({status, body}: HttpResponse): Result<VmRecord[], VmListError> {
   if (status !== STATUS_OK) {
     const detail = `status ${status}`;
-    return err(vmListError(VmListErrorKind.UNAVAILABLE, detail));
+    return err(createVmListError(VmListErrorKind.UNAVAILABLE, detail));
   }
   return decodeValue(VM_RECORDS, parseJson(body))
     .map(({vms}) => vms)
-    .mapErr((detail) => vmListError(VmListErrorKind.MALFORMED, detail));
+    .mapErr((detail) => createVmListError(VmListErrorKind.MALFORMED, detail));
 }
 
-function vmListError(kind: VmListErrorKind, detail: string): VmListError {
+function createVmListError(kind: VmListErrorKind, detail: string): VmListError {
   return {layer: Layer.VM_LIST, kind, detail};
 }
--- a/src/adapters/http-watch.ts
+++ b/src/adapters/http-watch.ts
@@ -1,4 +1,4 @@
-/** A watch of the platform's object API: one JSON document per line. */
+/** Watches the platform's object API, which sends a JSON document per line. */
 import {Codec, enumeration, number, optional, string, unknown} from 'purify-ts';
 import type {Dispatcher} from 'undici';
 import {request} from 'undici';
@@ -13,7 +13,7 @@
   toStoreError,
 } from './store-errors.js';
 
-/** A watch without data for longer is closed as broken, in milliseconds. */
+/** Time without data after which a watch is closed as broken, in ms. */
 export const WATCH_IDLE_TIMEOUT_MS = 15_000;
 
 const STATUS_OK = 200;
@@ -32,21 +32,29 @@
   /** Timeout for the headers of the response, in milliseconds. */
   readonly timeoutMs: number;
   readonly onEvent: (event: WatchEvent) => void;
+  /** Called for all data, also if it contains no event. */
   readonly onAlive?: () => void;
+  /** Called once if the watch ends other than by `close`. */
   readonly onClosed: (err: StoreError) => void;
 }
 
-/** An active watch. */
+/**
+ * Reads the events of one watch and passes them to its callbacks.
+ *
+ * @example
+ * const watch = new HttpWatch({dispatcher, url, timeoutMs, onEvent, onClosed});
+ * watch.start();
+ */
 export class HttpWatch implements WatchHandle {
   private readonly abort = new AbortController();
-  private pending = '';
+  private incompleteLine = '';
   private isClosed = false;
 
   constructor(private readonly options: HttpWatchOptions) {}
 
   /** Sends the request. */
   start(): void {
-    this.run().catch((e: unknown) =>
+    this.readEvents().catch((e: unknown) =>
       this.end(toStoreError(StoreCall.READ, toHttpFailure(e))),
     );
   }
@@ -56,7 +64,7 @@
     this.abort.abort();
   }
 
-  private async run(): Promise<void> {
+  private async readEvents(): Promise<void> {
     const {dispatcher, url, timeoutMs} = this.options;
     const res = await request(url, {
       dispatcher,
@@ -75,8 +83,8 @@
 
   private handleText(text: string): void {
     if (!this.isClosed) this.options.onAlive?.();
-    const lines = (this.pending + text).split('\n');
-    this.pending = lines.pop() ?? '';
+    const lines = (this.incompleteLine + text).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
     for (const line of lines) {
       if (!this.isClosed && line !== '') this.handleLine(line);
     }
--- a/src/adapters/store-errors.ts
+++ b/src/adapters/store-errors.ts
@@ -5,14 +5,16 @@
 import type {HttpFailure} from './http-call.js';
 import {HttpFailureKind} from './http-call.js';
 
-/** Kinds of calls, as far as their errors differ. */
+/** Kinds of calls to the store; the same failure is another error for each. */
 export enum StoreCall {
   CREATE = 'create',
+  /** An update or a removal. */
   CHANGE = 'change',
+  /** A read, a list or a watch. */
   READ = 'read',
 }
 
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
  * Creates an error of the store layer.
@@ -53,7 +55,7 @@
  * err(createStatusError(StoreCall.CREATE, 409));
  */
 export function createStatusError(call: StoreCall, status: number): StoreError {
-  return createStoreError(kindOfStatus(call, status), `status ${status}`);
+  return createStoreError(toErrorKind(call, status), `status ${status}`);
 }
 
 /**
@@ -72,7 +74,7 @@
   return createStoreError(kind, detail);
 }
 
-function kindOfStatus(call: StoreCall, status: number): StoreErrorKind {
+function toErrorKind(call: StoreCall, status: number): StoreErrorKind {
   switch (status) {
     case 404:
     case 410:
@@ -86,12 +88,12 @@
     case 503:
       return StoreErrorKind.UNAVAILABLE;
     default:
-      return kindOfOtherStatus(call, status);
+      return toErrorKindByRange(call, status);
   }
 }
 
-function kindOfOtherStatus(call: StoreCall, status: number): StoreErrorKind {
-  if (status < FIRST_SERVER_ERROR) return StoreErrorKind.INVALID;
+function toErrorKindByRange(call: StoreCall, status: number): StoreErrorKind {
+  if (status < FIRST_SERVER_ERROR_STATUS) return StoreErrorKind.INVALID;
   if (call === StoreCall.READ) return StoreErrorKind.UNAVAILABLE;
   return StoreErrorKind.UNKNOWN;
 }
