--- a/src/daemon/create-metrics.ts
+++ b/src/daemon/create-metrics.ts
@@ -3,7 +3,7 @@
 import {CounterName, Metrics} from '../core/metrics/index.js';
 import {TransportErrorKind} from '../core/protocol/index.js';
 
-/** Creates the metrics of a process; each known label starts at 0. */
+/** Creates the metrics of a process; counters of known labels start at 0. */
 export function createMetrics(): Metrics {
   const metrics = new Metrics();
   metrics.declareLabels({
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -31,7 +31,7 @@
 const STDOUT = 1;
 const MAX_PORT = 65_535;
 
-/** Port of the metrics if the command line sets none. */
+/** Default port of the metrics. */
 const DEFAULT_METRICS_PORT = 9_464;
 
 /** Time to write the last log lines before the exit, in milliseconds. */
@@ -72,10 +72,14 @@
     process.stderr.write(`${settings.error}\n`);
     process.exit(EXIT_BAD_SETTINGS);
   }
-  await run({path, settings: settings.value, metricsPort: flags.metricsPort});
+  await startEntry({
+    path,
+    settings: settings.value,
+    metricsPort: flags.metricsPort,
+  });
 }
 
-async function run(options: {
+async function startEntry(options: {
   path: string;
   settings: DirectSettings;
   metricsPort: number;
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon `plantainrilld`: runs one process in the role of its settings. */
+/** The daemon `plantainrilld`: runs an entry or an agent, per its settings. */
 import {Command} from 'commander';
 
 import {loadDaemonSettings, ProcessRole} from '../core/settings/index.js';
@@ -45,8 +45,9 @@
     process.stderr.write(`${lines.join('\n')}\n`);
     process.exit(EXIT_BAD_SETTINGS);
   }
-  const run = settings.value.role === ProcessRole.ENTRY ? runEntry : runAgent;
-  await run(settings.value);
+  const runRole =
+    settings.value.role === ProcessRole.ENTRY ? runEntry : runAgent;
+  await runRole(settings.value);
 }
 
 function appendValue(value: string, previous: string[]): string[] {
--- a/src/daemon/process-lifecycle.ts
+++ b/src/daemon/process-lifecycle.ts
@@ -1,4 +1,4 @@
-/** Startup and shutdown shared by both roles: listening, signals and exit. */
+/** Startup and shutdown of entries and agents: listening, signals and exit. */
 import {createOperatorsApp} from '../adapters/http-operators.js';
 import type {HttpListener} from '../adapters/http-server.js';
 import {listenHttp} from '../adapters/http-server.js';
@@ -7,15 +7,21 @@
 import type {DaemonSettings} from '../core/settings/index.js';
 import {EXIT_CANNOT_LISTEN, EXIT_FLUSH_MS} from './consts.js';
 
-/** Ports that a process listens on, as printed to standard output. */
+/** The line that a process prints to standard output once it listens. */
 export interface ReadyLine {
   readonly vm: string;
   readonly operatorsPort: number;
   readonly peersPort?: number;
+  /** Undefined for an agent. */
   readonly callersPort?: number;
 }
 
-/** Starts the operators' server; SIGTERM and SIGINT start a drain. */
+/**
+ * Starts the operators' server, and starts a drain on SIGTERM and SIGINT.
+ *
+ * @example
+ * const operators = await startOperatorsServer({handler: agent, settings});
+ */
 export async function startOperatorsServer(options: {
   handler: OperatorHandler;
   settings: DaemonSettings;
@@ -27,7 +33,13 @@
   return listenHttp({app, ...settings.operators});
 }
 
-/** Prints a line of JSON once the process listens, for its supervisor. */
+/**
+ * Prints the ready line as JSON, for the supervisor of the process.
+ *
+ * @example
+ * // {"ready":true,"vm":"agent-1","operatorsPort":7002}
+ * printReadyLine({vm: 'agent-1', operatorsPort: 7002});
+ */
 export function printReadyLine(line: ReadyLine): void {
   process.stdout.write(`${JSON.stringify({ready: true, ...line})}\n`);
 }
@@ -35,9 +47,13 @@
 /**
  * Ends the process once the last responses are sent, including those to
  * requests that arrived shortly before the listener was closed.
+ *
+ * @example
+ * const onDrained = () => exitAfterFlush({stop: () => entry.stop(), callers});
  */
 export function exitAfterFlush(options: {
   stop: () => void;
+  /** Listener of an entry; undefined for an agent. */
   callers?: HttpListener;
 }): void {
   const {stop, callers} = options;
--- a/src/daemon/read-with-retry.ts
+++ b/src/daemon/read-with-retry.ts
@@ -1,4 +1,4 @@
-/** Reads settings that may still be partly written at startup. */
+/** Reads settings whose file may still be incomplete when a process starts. */
 import type {Result} from 'neverthrow';
 
 import type {Clock} from '../core/clock/index.js';
@@ -6,7 +6,7 @@
 /** Longest time to wait for valid settings, in milliseconds. */
 export const READ_TIMEOUT_MS = 6_000;
 
-/** Wait before the settings are read again, in milliseconds. */
+/** Time between two reads of the settings, in milliseconds. */
 const RETRY_INTERVAL_MS = 200;
 
 /**
--- a/test/daemon/read-with-retry.test.ts
+++ b/test/daemon/read-with-retry.test.ts
@@ -1,4 +1,7 @@
-/** Settings that are written while a process starts. */
+/**
+ * A process that starts while its settings file is being written must wait for
+ * the complete file instead of exiting with bad settings.
+ */
 import {err, ok} from 'neverthrow';
 import {describe, expect, it} from 'vitest';
 
@@ -29,14 +32,14 @@
   }
 
   it.each([
-    {name: 'valid settings at once', validAtMs: 0, isOk: true},
-    {name: 'settings that become valid', validAtMs: 2_000, isOk: true},
+    {name: 'returns valid settings at once', validAtMs: 0, isOk: true},
+    {name: 'waits until settings are valid', validAtMs: 2_000, isOk: true},
     {
-      name: 'settings that stay invalid until the timeout',
+      name: 'returns the error of settings that are invalid at the timeout',
       validAtMs: READ_TIMEOUT_MS * 10,
       isOk: false,
     },
-  ])('reads $name', async ({validAtMs, isOk}) => {
+  ])('$name', async ({validAtMs, isOk}) => {
     const {settings, tookMs} = await readUntilValid(validAtMs);
     expect(settings.isOk()).toBe(isOk);
     expect(tookMs).toBeLessThan(READ_TIMEOUT_MS * 2);
--- a/test/daemon/startup-signals.test.ts
+++ b/test/daemon/startup-signals.test.ts
@@ -1,4 +1,4 @@
-/** Signals that reach a process while it is starting. */
+/** A signal during startup must not end the process with a failure. */
 import {EventEmitter} from 'node:events';
 
 import {describe, expect, it} from 'vitest';
@@ -15,8 +15,8 @@
 
 describe('handleStartupSignals', () => {
   it.each([
-    {signal: 'SIGTERM', exits: [0], does: 'exits with status 0'},
-    {signal: 'SIGHUP', exits: [], does: 'keeps running'},
+    {signal: 'SIGTERM', exits: [0], action: 'exits with status 0'},
+    {signal: 'SIGHUP', exits: [], action: 'keeps running'},
   ])('$does on $signal', ({signal, exits}) => {
     const source = new FakeProcess();
     handleStartupSignals(source);
