--- a/src/cli/add-help.ts
+++ b/src/cli/add-help.ts
@@ -2,7 +2,12 @@
 
 import {EXIT_STATUS_HELP} from './consts.js';
 
-/** Adds examples and the exit statuses to a command's help. */
+/**
+ * Adds examples and the exit statuses to a command's help.
+ *
+ * @example
+ * addHelp(command, ['plantainrill check -f examples/quickstart']);
+ */
 export function addHelp(
   command: Command,
   examples: readonly string[],
--- a/src/cli/backoff.ts
+++ b/src/cli/backoff.ts
@@ -2,6 +2,7 @@
 
 /** Bounds of an exponential backoff, in milliseconds. */
 export interface BackoffRange {
+  /** Delay before the first retry. */
   readonly firstMs: number;
   readonly maxMs: number;
 }
--- a/src/cli/commands/apply/config-writer.ts
+++ b/src/cli/commands/apply/config-writer.ts
@@ -21,9 +21,9 @@
 
 /**
  * Writes the accepted configuration with a conditional update. All attempts to
- * write a document carry the same nonce, so that reading it back shows whether
- * a write without a response took effect. They also have the same condition,
- * so that at most one of them takes effect.
+ * write a document carry the same nonce, so that reading the object back shows
+ * whether a write without a response took effect. They also expect the same
+ * version, so that at most one of them takes effect.
  */
 export class ConfigWriter {
   private readonly store: ObjectStore;
@@ -107,8 +107,9 @@
   }
 
   /**
-   * Reads the configuration back; undefined if the read fails or the store
-   * still holds `previous`.
+   * Reads the configuration back after a failed write. Returns undefined if the
+   * read fails or the store still has the previous version; then the write is
+   * tried again.
    */
   private async readBackOutcome(
     previous: CurrentConfig,
@@ -139,7 +140,12 @@
   }
 }
 
-/** Reads the accepted configuration. */
+/**
+ * Reads the accepted configuration.
+ *
+ * @example
+ * const current = await readCurrentConfig(store);
+ */
 export async function readCurrentConfig(
   store: ObjectStore,
 ): Promise<Result<CurrentConfig, StoreError>> {
--- a/src/cli/commands/apply/run-apply.ts
+++ b/src/cli/commands/apply/run-apply.ts
@@ -39,10 +39,10 @@
   } else {
     reportOutcome(ctx, outcome, document);
   }
-  return resolveStatus(outcome);
+  return toExitStatus(outcome);
 }
 
-function resolveStatus({kind}: AcceptOutcome): ExitStatus {
+function toExitStatus({kind}: AcceptOutcome): ExitStatus {
   switch (kind) {
     case AcceptKind.ACCEPTED:
     case AcceptKind.UNCHANGED:
@@ -106,10 +106,10 @@
   current: CurrentConfig,
   document: ConfigDocument,
 ): string[] {
-  return resolveChanges(current, document).map(formatChange);
+  return diffWithCurrent(current, document).map(formatChange);
 }
 
-function resolveChanges(current: CurrentConfig, after: ConfigDocument) {
+function diffWithCurrent(current: CurrentConfig, after: ConfigDocument) {
   const before = current.stored.map((stored) => stored.document).extract();
   return diffDocuments({before, after});
 }
@@ -118,13 +118,13 @@
   switch (outcome.kind) {
     case AcceptKind.ACCEPTED: {
       const {kind, version, previous} = outcome;
-      const changes = resolveChanges(previous, document);
+      const changes = diffWithCurrent(previous, document);
       return {kind, version, previousVersion: previous.version, changes};
     }
     case AcceptKind.CONFLICT: {
       const {kind, current, isInDoubt} = outcome;
       const operator = current.stored.map((s) => s.operator).extract();
-      const changes = resolveChanges(current, document);
+      const changes = diffWithCurrent(current, document);
       const {version} = current;
       return {kind, version, operator, isInDoubt, changes};
     }
--- a/src/cli/commands/apply/types.ts
+++ b/src/cli/commands/apply/types.ts
@@ -6,6 +6,7 @@
 export interface ApplyOptions {
   readonly files: string;
   readonly platform: string;
+  /** Name of the operator; the user name of the process by default. */
   readonly operator?: string;
   readonly expectVersion?: number;
   readonly json?: boolean;
@@ -15,7 +16,10 @@
 export interface AcceptRequest {
   readonly document: ConfigDocument;
   readonly operator: string;
-  /** Version that the store must hold; 0 for none. */
+  /**
+   * Version that must be in the store; 0 for none. If undefined, any version is
+   * replaced unless its object is malformed.
+   */
   readonly expectedVersion?: number;
 }
 
@@ -27,7 +31,7 @@
   readonly stored: Maybe<StoredConfig>;
 }
 
-/** Results of the acceptance of a document. */
+/** Results of a request to accept a document. */
 export enum AcceptKind {
   ACCEPTED = 'accepted',
   UNCHANGED = 'unchanged',
@@ -35,7 +39,7 @@
   FAILED = 'failed',
 }
 
-/** The outcome of the acceptance of a document. */
+/** The outcome of a request to accept a document. */
 export type AcceptOutcome =
   | {
       readonly kind: AcceptKind.ACCEPTED;
@@ -46,12 +50,15 @@
   | {
       readonly kind: AcceptKind.CONFLICT;
       readonly current: CurrentConfig;
-      /** Whether an own write may have taken effect and been replaced. */
+      /**
+       * Whether this request's write may have taken effect and been replaced
+       * since.
+       */
       readonly isInDoubt: boolean;
     }
   | {
       readonly kind: AcceptKind.FAILED;
       readonly detail: string;
-      /** Whether an own write may have taken effect. */
+      /** Whether this request's write may have taken effect. */
       readonly isInDoubt: boolean;
     };
--- a/src/cli/commands/call/run-call.ts
+++ b/src/cli/commands/call/run-call.ts
@@ -12,7 +12,7 @@
 import {ExitStatus} from '../../types.js';
 import type {CallOptions} from './types.js';
 
-/** Time to wait for a response after the deadline, in milliseconds. */
+/** Time after the deadline in which a response may arrive, in milliseconds. */
 const RESPONSE_GRACE_MS = 1_000;
 
 /** Runs `call`. */
@@ -58,10 +58,10 @@
   const {status, body, problem, retryAfterMs} = response;
   const report = problem === undefined ? {status, body} : {status, problem};
   ctx.out(`${JSON.stringify({...report, retryAfterMs})}\n`);
-  return resolveStatus(response);
+  return toExitStatus(response);
 }
 
-function resolveStatus({status, problem}: HttpResponse): ExitStatus {
+function toExitStatus({status, problem}: HttpResponse): ExitStatus {
   if (problem !== undefined) return ExitStatus.REFUSED;
   return status < FIRST_ERROR_STATUS ? ExitStatus.OK : ExitStatus.FAILED;
 }
@@ -73,11 +73,11 @@
     ctx.err(
       retryAfterMs === undefined ? '' : `retry after ${retryAfterMs} ms\n`,
     );
-    return resolveStatus(response);
+    return toExitStatus(response);
   }
   ctx.err(`status ${status}\n`);
   ctx.out(body === '' || body.endsWith('\n') ? body : `${body}\n`);
-  return resolveStatus(response);
+  return toExitStatus(response);
 }
 
 function reportFailure(ctx: CliContext, error: HttpError): ExitStatus {
--- a/src/cli/commands/check-platform/run-check-platform.ts
+++ b/src/cli/commands/check-platform/run-check-platform.ts
@@ -8,9 +8,10 @@
 import {ExitStatus} from '../../types.js';
 import type {CheckPlatformOptions} from './types.js';
 
-/** A problem in a file; `subject` is the part of the file. */
+/** A problem in a file. */
 interface FileProblem {
   readonly file: string;
+  /** Part of the file, such as the path of a route. */
   readonly subject: string;
   readonly detail: string;
 }
@@ -57,8 +58,8 @@
 ): Promise<FileProblem[]> {
   const config = (await readText(file)).andThen(platform.parseConfig);
   return config.match(
-    (read) =>
-      findRoutingProblems(read).map(({subject, detail}) => ({
+    (parsedConfig) =>
+      findRoutingProblems(parsedConfig).map(({subject, detail}) => ({
         file,
         subject,
         detail,
--- a/src/cli/commands/check-platform/types.ts
+++ b/src/cli/commands/check-platform/types.ts
@@ -2,7 +2,7 @@
 export interface CheckPlatformOptions {
   /** File with a process's settings. */
   readonly settings?: string;
-  /** File with a configuration. */
+  /** File with routes, services, limits and keys. */
   readonly routes?: string;
   readonly json?: boolean;
 }
--- a/src/cli/commands/drain/run-drain.ts
+++ b/src/cli/commands/drain/run-drain.ts
@@ -15,10 +15,11 @@
 /** Time between two status requests to a draining process, in milliseconds. */
 const POLL_PERIOD_MS = 250;
 
-/** Progress of a graceful shutdown. */
+/** Progress of a graceful shutdown, as printed. */
 enum DrainState {
   DRAINING = 'draining',
-  GONE = 'gone',
+  /** The process refuses connections. */
+  STOPPED = 'gone',
 }
 
 /** Runs `drain`. */
@@ -43,7 +44,7 @@
     return ExitStatus.REFUSED;
   }
   reportState(ctx, options, DrainState.DRAINING);
-  return options.wait === true ? waitUntilGone(ctx, options) : ExitStatus.OK;
+  return options.wait === true ? waitUntilStopped(ctx, options) : ExitStatus.OK;
 }
 
 function reportState(
@@ -56,18 +57,18 @@
 }
 
 /**
- * Waits until connections to the process are refused; a missing response is
- * not enough.
+ * Waits until the process refuses connections. A request without a response
+ * does not show that the process has stopped.
  */
-async function waitUntilGone(
+async function waitUntilStopped(
   ctx: CliContext,
   options: DrainOptions,
 ): Promise<ExitStatus> {
-  const deadlineAt = ctx.clock.now() + options.deadline;
-  while (ctx.clock.now() < deadlineAt) {
+  const deadlineAtMs = ctx.clock.now() + options.deadline;
+  while (ctx.clock.now() < deadlineAtMs) {
     const status = await readStatus(options.operators);
     if (status.isErr() && status.error.kind === HttpErrorKind.NOT_SENT) {
-      reportState(ctx, options, DrainState.GONE);
+      reportState(ctx, options, DrainState.STOPPED);
       return ExitStatus.OK;
     }
     await sleep(ctx.clock, POLL_PERIOD_MS);
--- a/src/cli/commands/generate/generation-output.ts
+++ b/src/cli/commands/generate/generation-output.ts
@@ -19,7 +19,7 @@
 
 /** Types of events that carry no text; text events have no type. */
 enum EventType {
-  /** The previous output is void; new output starts at position 0. */
+  /** The output so far is to be discarded; new output starts at position 0. */
   RESTART = 'restart',
   /** A problem document that ends the output. */
   ERROR = 'error',
@@ -56,12 +56,12 @@
     return this.parts.join('');
   }
 
-  /** Id of the last processed event. */
+  /** Id of the last processed event; undefined before the first one. */
   get lastEventId(): string | undefined {
     return this.currentEventId;
   }
 
-  /** Why the engine ended the output. */
+  /** Why the engine ended the output; undefined before its end. */
   get finishReason(): string | undefined {
     return this.currentFinishReason;
   }
@@ -71,13 +71,13 @@
     return this.restartCount;
   }
 
-  /** Processes an event; returns how the stream ended if it is the last one. */
+  /** Processes an event; returns how the stream ended if the event ends it. */
   onEvent(event: EventSourceMessage): StreamEnd | undefined {
     switch (event.event) {
       case EventType.RESTART:
         return this.restart(event);
       case EventType.ERROR:
-        return resolveErrorEvent(event);
+        return parseErrorEvent(event);
       default:
         return this.append(event);
     }
@@ -124,7 +124,7 @@
     .extract();
 }
 
-function resolveErrorEvent({data}: EventSourceMessage): StreamEnd {
+function parseErrorEvent({data}: EventSourceMessage): StreamEnd {
   return parseProblem(data).caseOf<StreamEnd>({
     Just: (problem: ProblemDocument) => ({
       kind: StreamEndKind.REFUSED,
--- a/src/cli/commands/generate/read-stream.ts
+++ b/src/cli/commands/generate/read-stream.ts
@@ -30,9 +30,13 @@
 /**
  * Requests a completion from one entry and passes its events to `output`,
  * until the output ends or the connection breaks.
+ *
+ * @example
+ * await readStream({url, key, body, output, deadlineMs: 60_000, signal});
  */
 export async function readStream(options: {
   url: string;
+  /** Bearer key of a client account. */
   key: string;
   body: string;
   output: GenerationOutput;
@@ -109,14 +113,14 @@
     return {kind: StreamEndKind.REFUSED, problem, retryAfterMs};
   }
   if (status < FIRST_SERVER_ERROR_STATUS) {
-    const unnamed = createUnnamedProblem(status, text);
-    return {kind: StreamEndKind.REFUSED, problem: unnamed};
+    const unnamedProblem = createUnnamedProblem(status, text);
+    return {kind: StreamEndKind.REFUSED, problem: unnamedProblem};
   }
   const detail = `status ${status} without a problem document`;
   return {kind: StreamEndKind.BROKEN, detail, retryAfterMs};
 }
 
-/** Creates a problem document for a refusal that an entry did not generate. */
+/** Creates the problem document for a refusal that does not contain one. */
 function createUnnamedProblem(status: number, detail: string): ProblemDocument {
   return {status, title: '', detail, reason: 'unnamed', ran: Executed.UNKNOWN};
 }
--- a/src/cli/commands/generate/run-generate.ts
+++ b/src/cli/commands/generate/run-generate.ts
@@ -18,7 +18,7 @@
 
 const BACKOFF: BackoffRange = {firstMs: 100, maxMs: 2_000};
 
-/** Reasons for refusals that apply to one entry only. */
+/** Reasons for which one entry refuses requests that others may accept. */
 const ENTRY_SPECIFIC_REASONS: ReadonlySet<string> = new Set([
   RefusalReason.LEAVING,
   RefusalReason.NOT_READY,
@@ -29,13 +29,16 @@
   ctx: CliContext,
   options: GenerateOptions,
 ): Promise<ExitStatus> {
-  return new GenerateRun(ctx, options).run();
+  return new ResumableGeneration(ctx, options).run();
 }
 
-/** One generation, whose output is read from one or more streams. */
-class GenerateRun {
+/**
+ * One generation. If its stream ends early, the output is resumed at the next
+ * entry, until it is complete or the deadline passes.
+ */
+class ResumableGeneration {
   private readonly output: GenerationOutput;
-  private readonly deadlineAt: number;
+  private readonly deadlineAtMs: number;
   private readonly signal: AbortSignal;
   private readonly body: string;
   private streamCount = 0;
@@ -49,7 +52,7 @@
       onText: (text) => this.showText(text),
       onRestart: () => this.showRestart(),
     });
-    this.deadlineAt = ctx.clock.now() + options.deadline;
+    this.deadlineAtMs = ctx.clock.now() + options.deadline;
     this.signal = AbortSignal.timeout(options.deadline);
     this.body = createBody(options);
   }
@@ -57,7 +60,7 @@
   async run(): Promise<ExitStatus> {
     for (;;) {
       const previousEventId = this.output.lastEventId;
-      const end = await this.readNext();
+      const end = await this.readNextStream();
       if (end.kind === StreamEndKind.DONE) {
         return this.reportOutput();
       }
@@ -73,17 +76,22 @@
     }
   }
 
-  private readNext(): Promise<StreamEnd> {
+  private readNextStream(): Promise<StreamEnd> {
     const {entry, key} = this.options;
     const base = entry[this.streamCount % entry.length] ?? '';
     this.streamCount++;
     const {output, body, signal} = this;
     const url = `${base}${COMPLETIONS_PATH}`;
-    const leftMs = this.deadlineAt - this.ctx.clock.now();
+    const leftMs = this.deadlineAtMs - this.ctx.clock.now();
     const deadlineMs = Math.max(1, Math.floor(leftMs));
     return readStream({url, key, body, output, deadlineMs, signal});
   }
 
+  /**
+   * Whether to retry after a refusal. Only a request that was not executed is
+   * retried: a new one if another entry may accept it, a resumed one also if
+   * the refusal gives a retry delay.
+   */
   private canRetry(end: StreamEnd & {kind: StreamEndKind.REFUSED}): boolean {
     const {problem, retryAfterMs} = end;
     if (problem.ran !== Executed.NO) {
@@ -104,7 +112,7 @@
     const requestedMs =
       end.kind === StreamEndKind.DONE ? 0 : (end.retryAfterMs ?? 0);
     const delayMs = Math.max(backoffMs, requestedMs);
-    if (clock.now() + delayMs >= this.deadlineAt) {
+    if (clock.now() + delayMs >= this.deadlineAtMs) {
       return false;
     }
     this.ctx.err(`\n${describeEnd(end)}; trying again\n`);
--- a/src/cli/commands/generate/types.ts
+++ b/src/cli/commands/generate/types.ts
@@ -2,11 +2,14 @@
 
 /** Options of `generate`. */
 export interface GenerateOptions {
+  /** Base URLs of entries, which are tried in turn. */
   readonly entry: readonly string[];
+  /** Bearer key of a client account. */
   readonly key: string;
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
+  /** Time allowed for the complete output, in milliseconds. */
   readonly deadline: number;
   readonly json?: boolean;
 }
@@ -15,7 +18,7 @@
 export enum StreamEndKind {
   /** The output is complete. */
   DONE = 'done',
-  /** The connection broke; the generation can be resumed. */
+  /** The stream ended early; the generation can be resumed. */
   BROKEN = 'broken',
   /** The request was refused. */
   REFUSED = 'refused',
--- a/src/cli/config-files/diff-documents.ts
+++ b/src/cli/config-files/diff-documents.ts
@@ -27,15 +27,15 @@
   before: ConfigDocument | undefined;
   after: ConfigDocument | undefined;
 }): ConfigChange[] {
-  const before = contentByScope(options.before);
-  const after = contentByScope(options.after);
+  const before = groupContentByScope(options.before);
+  const after = groupContentByScope(options.after);
   const scopes = new Set([...before.keys(), ...after.keys()]);
   return [...scopes].flatMap((scope) =>
     diffValues(scope, [], before.get(scope), after.get(scope)),
   );
 }
 
-function contentByScope(
+function groupContentByScope(
   document: ConfigDocument | undefined,
 ): Map<string, unknown> {
   if (document === undefined) {
--- a/src/cli/config-files/index.ts
+++ b/src/cli/config-files/index.ts
@@ -1,4 +1,4 @@
-/** Loads a deployment's files and compares them with the accepted ones. */
+/** Loads the configuration files of a deployment and compares documents. */
 export * from './diff-documents.js';
 export * from './load-deployment.js';
 export * from './types.js';
--- a/src/cli/config-files/load-deployment.ts
+++ b/src/cli/config-files/load-deployment.ts
@@ -68,8 +68,10 @@
 }
 
 /**
- * Loads a deployment for a command; prints its problems and fails if it has
- * any.
+ * Loads a deployment; if it has problems, prints them and returns the error.
+ *
+ * @example
+ * const loaded = await loadDeploymentOrReport(ctx, options.files);
  */
 export async function loadDeploymentOrReport(
   ctx: CliContext,
--- a/src/cli/config-files/types.ts
+++ b/src/cli/config-files/types.ts
@@ -9,5 +9,6 @@
 
 /** An error of a deployment's files. */
 export interface FilesError extends LayerError<Layer.CLI, FilesErrorKind> {
+  /** Problems in the files; empty if the files cannot be read. */
   readonly problems: readonly Problem[];
 }
--- a/src/cli/create-store.ts
+++ b/src/cli/create-store.ts
@@ -1,6 +1,9 @@
 import type {ObjectStore} from '../core/edges/index.js';
 
-/** Creates a client for the platform's object store. */
+/**
+ * Creates a client of the platform's object API; its module is loaded only for
+ * the commands that need it.
+ */
 export async function createStore(options: {
   baseUrl: string;
 }): Promise<ObjectStore> {
--- a/src/cli/http/call-http.ts
+++ b/src/cli/http/call-http.ts
@@ -5,7 +5,7 @@
   HttpFailure,
 } from '../../adapters/http-call.js';
 import {
-  callHttp as exchange,
+  callHttp as sendRequest,
   createPool,
   HttpFailureKind,
 } from '../../adapters/http-call.js';
@@ -36,7 +36,7 @@
 }): Promise<Result<HttpResponse, HttpError>> {
   const {headers, ...rest} = options;
   const fields = Object.entries(headers);
-  const response = await exchange({
+  const response = await sendRequest({
     dispatcher: POOL,
     headers: fields.map(([name, value]) => ({name, value})),
     ...rest,
--- a/src/cli/http/problem-document.ts
+++ b/src/cli/http/problem-document.ts
@@ -20,19 +20,35 @@
 /** Header fields in the form used by the HTTP client. */
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Parses a problem document; Nothing if the text is not one. */
+/**
+ * Parses a problem document; returns Nothing if the text is not one.
+ *
+ * @example
+ * parseProblem(body).map(formatRefusal);
+ */
 export function parseProblem(text: string): Maybe<ProblemDocument> {
   return MaybeOf.encase((): unknown => JSON.parse(text)).chain((value) =>
     PROBLEM.decode(value).toMaybe(),
   );
 }
 
-/** Whether the content type of a response is that of a problem document. */
+/**
+ * Whether the content type of a response is that of a problem document.
+ *
+ * @example
+ * hasProblemContentType({'content-type': 'application/problem+json'}); // true
+ */
 export function hasProblemContentType(headers: HeaderMap): boolean {
   return String(headers['content-type'] ?? '').startsWith(PROBLEM_TYPE);
 }
 
-/** Returns `Retry-After`, given in whole seconds, in milliseconds. */
+/**
+ * Converts `Retry-After` from seconds to milliseconds; undefined if the header
+ * is absent or is not a number of seconds.
+ *
+ * @example
+ * parseRetryAfter({'retry-after': '2'}); // 2000
+ */
 export function parseRetryAfter(headers: HeaderMap): number | undefined {
   const text = headers['retry-after'];
   return typeof text === 'string' && /^\d+$/.test(text)
--- a/src/cli/http/types.ts
+++ b/src/cli/http/types.ts
@@ -2,7 +2,7 @@
 
 /** Why a call has no usable response. */
 export enum HttpErrorKind {
-  /** No connection was opened, so the request did not run. */
+  /** The request was not sent, so it did not run. */
   NOT_SENT = 'http_not_sent',
   /** The response was lost, so the request may have run. */
   LOST = 'http_lost',
@@ -19,6 +19,7 @@
   readonly title: string;
   readonly detail: string;
   readonly reason: string;
+  /** Whether the request was executed. */
   readonly ran: Executed;
 }
 
@@ -26,7 +27,7 @@
 export interface HttpResponse {
   readonly status: number;
   readonly body: string;
-  /** Present if the entry or process itself refused the request. */
+  /** Present if the called process itself refused the request. */
   readonly problem?: ProblemDocument;
   /** Present if the response has a `Retry-After` header. */
   readonly retryAfterMs?: number;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command-line tool. */
+/** The command-line tool `plantainrill`. */
 import {userInfo} from 'node:os';
 
 import {parseBootSettings} from '../../platform/boot-settings.js';
--- a/src/cli/operators/types.ts
+++ b/src/cli/operators/types.ts
@@ -3,9 +3,9 @@
   readonly vm: string;
   readonly role: string;
   readonly dataCentre: string;
-  /** Whether it accepts requests. */
+  /** Whether the process accepts requests. */
   readonly ready: boolean;
-  /** Whether it is shutting down. */
+  /** Whether the process is shutting down. */
   readonly leaving: boolean;
   /** Version of the active configuration; 0 for none. */
   readonly configVersion: number;
--- a/src/cli/parse-options.ts
+++ b/src/cli/parse-options.ts
@@ -1,7 +1,12 @@
 /** Parsers for option values. */
 import {InvalidArgumentError} from 'commander';
 
-/** Parses a non-negative integer. */
+/**
+ * Parses a non-negative integer.
+ *
+ * @example
+ * parseCount('0');
+ */
 export function parseCount(text: string): number {
   const value = Number(text);
   if (!/^\d+$/.test(text) || !Number.isSafeInteger(value)) {
@@ -10,7 +15,12 @@
   return value;
 }
 
-/** Parses a positive integer. */
+/**
+ * Parses a positive integer.
+ *
+ * @example
+ * parsePositive('60000');
+ */
 export function parsePositive(text: string): number {
   const value = parseCount(text);
   if (value === 0) {
@@ -19,7 +29,12 @@
   return value;
 }
 
-/** Parses a base URL; trailing slashes are removed. */
+/**
+ * Parses a base URL; trailing slashes are removed.
+ *
+ * @example
+ * parseUrl('http://10.0.1.1:8080/'); // 'http://10.0.1.1:8080'
+ */
 export function parseUrl(text: string): string {
   if (!URL.canParse(text) || !/^https?:$/.test(new URL(text).protocol)) {
     throw new InvalidArgumentError('It has to be an http or https URL.');
@@ -27,7 +42,12 @@
   return text.replace(/\/+$/, '');
 }
 
-/** Parses a comma-separated list of base URLs. */
+/**
+ * Parses a comma-separated list of base URLs.
+ *
+ * @example
+ * parseUrls('http://10.0.1.1:8080,http://10.0.1.2:8080');
+ */
 export function parseUrls(text: string): readonly string[] {
   return text.split(',').map((part) => parseUrl(part.trim()));
 }
--- a/src/cli/run-cli.ts
+++ b/src/cli/run-cli.ts
@@ -23,7 +23,7 @@
   try {
     await createProgram({ctx, finish}).parseAsync(args, {from: 'user'});
   } catch (thrown) {
-    return exitStatusOf(thrown);
+    return toExitStatus(thrown);
   }
   return status;
 }
@@ -50,7 +50,7 @@
 }
 
 /** Invalid command lines are bad input; a request for help is a success. */
-function exitStatusOf(thrown: unknown): ExitStatus {
+function toExitStatus(thrown: unknown): ExitStatus {
   if (!(thrown instanceof CommanderError)) {
     throw thrown;
   }
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -16,7 +16,7 @@
   REFUSED = 4,
 }
 
-/** Parsers for the platform's file formats; errors are a single line. */
+/** Parsers for the platform's file formats; an error is one line of text. */
 export interface PlatformParsers {
   readonly parseSettings: (text: string) => Result<DirectSettings, string>;
   readonly parseConfig: (text: string) => Result<RoutingConfig, string>;
@@ -36,12 +36,12 @@
   readonly operator: string;
 }
 
-/** Options of a CommandFactory. */
+/** Dependencies of a command. */
 export interface CommandOptions {
   readonly ctx: CliContext;
   /** Sets the exit status of the tool. */
   readonly finish: (status: ExitStatus) => void;
 }
 
-/** Declares a command, whose implementation is loaded when it runs. */
+/** Creates a command, whose implementation is loaded when it runs. */
 export type CommandFactory = (options: CommandOptions) => Command;
--- a/test/cli/check.test.ts
+++ b/test/cli/check.test.ts
@@ -61,8 +61,8 @@
 
 describe('check', () => {
   it.each(CASES)('reports $name', async ({args, status, text}) => {
-    const run = await runTool(args);
-    expect(run.status).toBe(status);
-    expect(run.out + run.err).toMatch(text);
+    const result = await runTool(args);
+    expect(result.status).toBe(status);
+    expect(result.out + result.err).toMatch(text);
   });
 });
--- a/test/cli/generate.test.ts
+++ b/test/cli/generate.test.ts
@@ -160,10 +160,10 @@
   it.each(CASES)('$name', async ({handlers, status, report, lastEventIds}) => {
     const {urls, requests} = await startEntries(handlers);
     const args = ['--key', 'k', '--model', 'm', '--prompt', 'p', '--json'];
-    const run = await runTool(['generate', '--entry', urls, ...args]);
-    expect(run.status).toBe(status);
+    const result = await runTool(['generate', '--entry', urls, ...args]);
+    expect(result.status).toBe(status);
     if (report !== undefined) {
-      expect(JSON.parse(run.out)).toMatchObject(report);
+      expect(JSON.parse(result.out)).toMatchObject(report);
     }
     expect(requests.map((req) => req.lastEventId)).toEqual(lastEventIds);
     expect(new Set(requests.map(({body}) => body)).size).toBe(1);
@@ -172,8 +172,8 @@
   it('fails at its deadline', async () => {
     const args = ['--key', 'k', '--model', 'm', '--prompt', 'p'];
     const entry = ['--entry', 'http://127.0.0.1:1', '--deadline', '300'];
-    const run = await runTool(['generate', ...entry, ...args]);
-    expect(run.status).toBe(ExitStatus.FAILED);
-    expect(run.err).toContain('Entry unreachable');
+    const result = await runTool(['generate', ...entry, ...args]);
+    expect(result.status).toBe(ExitStatus.FAILED);
+    expect(result.err).toContain('Entry unreachable');
   });
 });
--- a/test/cli/lib/memory-store.ts
+++ b/test/cli/lib/memory-store.ts
@@ -11,7 +11,7 @@
 import {StoreErrorKind} from '../../../src/core/edges/index.js';
 import {Layer} from '../../../src/core/errors/index.js';
 
-/** Faults of one write. */
+/** Faults that a write can have. */
 export enum WriteFault {
   /** The write takes effect, and its response is lost. */
   RESPONSE_LOST = 'answer_lost',
@@ -25,12 +25,14 @@
   REPLACED_BY_OTHER = 'replaced',
 }
 
-/** An object store in memory with faults for its next writes. */
+/** An object store in memory, whose next writes can be made to fail. */
 export class MemoryStore implements ObjectStore {
+  /** Faults of the next writes, in their order. */
   readonly faults: WriteFault[] = [];
-  /** Value written by the other operator. */
+  /** Value that the other operator writes. */
   otherOperatorValue: unknown;
   isReadable = true;
+  /** Number of conditional writes, also of those that failed. */
   writes = 0;
   private readonly objects = new Map<string, StoredObject>();
   private version = 0;
@@ -49,8 +51,8 @@
 
   read(key: ObjectKey): ResultAsync<Maybe<StoredObject>, StoreError> {
     return this.isReadable
-      ? okAsync(MaybeOf.fromNullable(this.objects.get(idOf(key))))
-      : errAsync(storeError(StoreErrorKind.UNAVAILABLE));
+      ? okAsync(MaybeOf.fromNullable(this.objects.get(toObjectId(key))))
+      : errAsync(createStoreError(StoreErrorKind.UNAVAILABLE));
   }
 
   remove(): ResultAsync<void, StoreError> {
@@ -70,9 +72,9 @@
     this.version++;
     const {kind, name} = key;
     // Values are stored as JSON, without undefined fields.
-    const sent: unknown = JSON.parse(JSON.stringify(value));
-    const object = {kind, name, version: this.version, value: sent};
-    this.objects.set(idOf(key), object);
+    const storedValue: unknown = JSON.parse(JSON.stringify(value));
+    const object = {kind, name, version: this.version, value: storedValue};
+    this.objects.set(toObjectId(key), object);
     return object;
   }
 
@@ -85,18 +87,18 @@
     const fault = this.faults.shift();
     switch (fault) {
       case WriteFault.WRITE_LOST:
-        return errAsync(storeError(StoreErrorKind.UNKNOWN));
+        return errAsync(createStoreError(StoreErrorKind.UNKNOWN));
       case WriteFault.UNAVAILABLE:
-        return errAsync(storeError(StoreErrorKind.UNAVAILABLE));
+        return errAsync(createStoreError(StoreErrorKind.UNAVAILABLE));
       case WriteFault.PRECEDED_BY_OTHER:
         this.put(key, this.otherOperatorValue);
         break;
     }
-    const current = this.objects.get(idOf(key))?.version ?? 0;
+    const current = this.objects.get(toObjectId(key))?.version ?? 0;
     if (current !== expectedVersion) {
       const isCreate = expectedVersion === 0;
       const {EXISTS, CONFLICT} = StoreErrorKind;
-      return errAsync(storeError(isCreate ? EXISTS : CONFLICT));
+      return errAsync(createStoreError(isCreate ? EXISTS : CONFLICT));
     }
     const object = this.put(key, value);
     if (fault === WriteFault.REPLACED_BY_OTHER) {
@@ -104,15 +106,15 @@
     }
     return fault === WriteFault.RESPONSE_LOST ||
       fault === WriteFault.REPLACED_BY_OTHER
-      ? errAsync(storeError(StoreErrorKind.UNKNOWN))
+      ? errAsync(createStoreError(StoreErrorKind.UNKNOWN))
       : okAsync(object);
   }
 }
 
-function idOf({kind, name}: ObjectKey): string {
+function toObjectId({kind, name}: ObjectKey): string {
   return `${kind}/${name}`;
 }
 
-function storeError(kind: StoreErrorKind): StoreError {
+function createStoreError(kind: StoreErrorKind): StoreError {
   return {layer: Layer.STORE, kind, detail: `store: ${kind}`};
 }
--- a/test/cli/operate.test.ts
+++ b/test/cli/operate.test.ts
@@ -32,15 +32,15 @@
 }
 
 describe('status', () => {
-  it('shows each process, also if it does not respond', async () => {
+  it('shows each process, also without a valid response', async () => {
     const {url} = await start((_req, res) => res.end(JSON.stringify(STATUS)));
-    const bad = await start((_req, res) => res.end('{}'));
-    const urls = [url, bad.url, UNREACHABLE_URL].join(',');
-    const run = await runTool(['status', '--operators', urls]);
-    expect(run.status).toBe(ExitStatus.FAILED);
-    expect(run.out).toMatch(/entry-1 +entry +waw +yes +no +4 +9 s\n/);
-    expect(run.out).toContain('unknown shape');
-    expect(run.out).toMatch(/:1 +no answer/);
+    const malformed = await start((_req, res) => res.end('{}'));
+    const urls = [url, malformed.url, UNREACHABLE_URL].join(',');
+    const result = await runTool(['status', '--operators', urls]);
+    expect(result.status).toBe(ExitStatus.FAILED);
+    expect(result.out).toMatch(/entry-1 +entry +waw +yes +no +4 +9 s\n/);
+    expect(result.out).toContain('unknown shape');
+    expect(result.out).toMatch(/:1 +no answer/);
   });
 });
 
@@ -56,16 +56,19 @@
       }
     });
     const args = ['drain', '--operators', process.url, '--wait'];
-    const run = await runTool(args);
-    expect(run).toMatchObject({status: ExitStatus.OK, out: 'draining\ngone\n'});
+    const result = await runTool(args);
+    expect(result).toMatchObject({
+      status: ExitStatus.OK,
+      out: 'draining\ngone\n',
+    });
     expect(statusRequests).toBe(2);
   });
 
   it('fails if the process still listens at the deadline', async () => {
     const {url} = await start((_req, res) => res.end(JSON.stringify(STATUS)));
     const args = ['--operators', url, '--wait', '--deadline', '100'];
-    const run = await runTool(['drain', ...args]);
-    expect(run.status).toBe(ExitStatus.FAILED);
+    const result = await runTool(['drain', ...args]);
+    expect(result.status).toBe(ExitStatus.FAILED);
   });
 });
 
@@ -130,8 +133,8 @@
     const target = ['--entry', entry, '--service', 'orders'];
     const key = ['--key', 'k', '--idempotency-key', 'key-1'];
     const req = ['--method', 'POST', '--path', '/new?x=1', '--body', '{}'];
-    const run = await runTool(['call', ...target, ...key, ...req]);
-    expect(run).toMatchObject({status, out});
-    expect(run.err).toMatch(err);
+    const result = await runTool(['call', ...target, ...key, ...req]);
+    expect(result).toMatchObject({status, out});
+    expect(result.err).toMatch(err);
   });
 });
