--- a/test/adapters/http-engine-driver.test.ts
+++ b/test/adapters/http-engine-driver.test.ts
@@ -23,7 +23,12 @@
   startStubServer,
 } from '../support/http.js';
 
-const FAST = {paceMs: 1, prefillUsPerToken: 0, capacity: 1_000, reportLagMs: 0};
+const FAST_ENGINE = {
+  paceMs: 1,
+  prefillUsPerToken: 0,
+  capacity: 1_000,
+  reportLagMs: 0,
+};
 const PROBE_TIMEOUT_MS = 10_000;
 const SHORT_TIMEOUT_MS = 100;
 const PART_GAP_MS = 20;
@@ -37,7 +42,7 @@
 }
 
 function openEngine(options: Partial<EngineOptions> = {}): Promise<string> {
-  return open(startEngine({...FAST, ...options}));
+  return open(startEngine({...FAST_ENGINE, ...options}));
 }
 
 afterEach(async () => {
@@ -129,7 +134,7 @@
   });
 });
 
-function event(finishReason: string | null): string {
+function createEvent(finishReason: string | null): string {
   const choice = {index: 0, text: 'a', token_ids: [1]};
   const body = {choices: [{...choice, finish_reason: finishReason}]};
   return `data: ${JSON.stringify(body)}\n\n`;
@@ -158,21 +163,27 @@
     name: 'a connection that breaks after a token',
     serve: () =>
       open(
-        startStubServer((res) => res.write(event(null), () => res.destroy())),
+        startStubServer((res) =>
+          res.write(createEvent(null), () => res.destroy()),
+        ),
       ),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'an end without a finish reason',
-    serve: () => open(startStubServer((res) => res.end(event(null)))),
+    serve: () => open(startStubServer((res) => res.end(createEvent(null)))),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
   {
     name: 'a DONE without a finish reason',
     serve: () =>
-      open(startStubServer((res) => res.end(`${event(null)}data: [DONE]\n\n`))),
+      open(
+        startStubServer((res) =>
+          res.end(`${createEvent(null)}data: [DONE]\n\n`),
+        ),
+      ),
     kind: DriverErrorKind.LOST,
     length: 1,
   },
@@ -184,7 +195,7 @@
   },
   {
     name: 'an unknown finish reason',
-    serve: () => open(startStubServer((res) => res.end(event('tired')))),
+    serve: () => open(startStubServer((res) => res.end(createEvent('tired')))),
     kind: DriverErrorKind.MALFORMED,
     length: 0,
   },
@@ -200,7 +211,7 @@
   });
 
   it('decodes a character that arrives in two parts', async () => {
-    const bytes = Buffer.from(event('stop').replace('"a"', '"é"'));
+    const bytes = Buffer.from(createEvent('stop').replace('"a"', '"é"'));
     const cut = bytes.indexOf('é') + 1;
     const sendInTwoParts = (res: ServerResponse): void => {
       res.write(bytes.subarray(0, cut));
@@ -213,7 +224,8 @@
   });
 
   it('ignores events after the finish reason', async () => {
-    const body = event('stop') + event(null) + event('length');
+    const body =
+      createEvent('stop') + createEvent(null) + createEvent('length');
     const url = await open(startStubServer((res) => res.end(body)));
     const driver = new HttpEngineDriver({baseUrl: url});
     const outcome = await generate({driver, spec: createSpec({})});
@@ -261,7 +273,11 @@
     await generate({driver, spec: createSpec({})});
     const report = await driver.probe({timeoutMs: PROBE_TIMEOUT_MS});
     const {instance, cachedPrefixes, ...load} = report._unsafeUnwrap();
-    expect(load).toEqual({running: 0, waiting: 0, capacity: FAST.capacity});
+    expect(load).toEqual({
+      running: 0,
+      waiting: 0,
+      capacity: FAST_ENGINE.capacity,
+    });
     expect(instance).not.toBe('');
     expect(cachedPrefixes).toHaveLength(1);
   });
--- a/test/adapters/http-object-store.test.ts
+++ b/test/adapters/http-object-store.test.ts
@@ -122,39 +122,39 @@
   },
 ];
 
-function fault(body: object): Promise<Response> {
+function injectFault(body: object): Promise<Response> {
   return post(`${platform.url}/faults`, body);
 }
 
-async function errorKindOf(run: Operation): Promise<StoreErrorKind> {
+async function runExpectingError(run: Operation): Promise<StoreErrorKind> {
   return (await run())._unsafeUnwrapErr().kind;
 }
 
 describe('HttpObjectStore errors', () => {
   it.each(FAILURES)('reports $name', async ({prepare, run, kind}) => {
     await prepare();
-    expect(await errorKindOf(run)).toBe(kind);
+    expect(await runExpectingError(run)).toBe(kind);
   });
 
   it.each(Object.entries(OPERATIONS))(
     'reports UNAVAILABLE for %s where nothing listens',
     async (_name, run) => {
       store = new HttpObjectStore({baseUrl: UNREACHABLE_URL});
-      expect(await errorKindOf(run)).toBe(StoreErrorKind.UNAVAILABLE);
+      expect(await runExpectingError(run)).toBe(StoreErrorKind.UNAVAILABLE);
     },
   );
 
   it.each(Object.entries(OPERATIONS))(
     'reports UNAVAILABLE for %s while the platform is down',
     async (_name, run) => {
-      await fault({mode: 'down'});
-      expect(await errorKindOf(run)).toBe(StoreErrorKind.UNAVAILABLE);
+      await injectFault({mode: 'down'});
+      expect(await runExpectingError(run)).toBe(StoreErrorKind.UNAVAILABLE);
     },
   );
 
   it('reports UNAVAILABLE for a write that failed before its effect', async () => {
-    await fault({mode: 'fail_before_effect', count: 1});
-    const kind = await errorKindOf(OPERATIONS.create);
+    await injectFault({mode: 'fail_before_effect', count: 1});
+    const kind = await runExpectingError(OPERATIONS.create);
     expect(kind).toBe(StoreErrorKind.UNAVAILABLE);
     expect((await OPERATIONS.create()).isOk()).toBe(true);
   });
@@ -168,20 +168,20 @@
   ] as const)('reports a timeout of %s as %s', async (name, kind) => {
     const timeoutMs = SHORT_TIMEOUT_MS;
     store = new HttpObjectStore({baseUrl: platform.url, timeoutMs});
-    await fault({mode: 'slow', delayMs: LONG_DELAY_MS});
-    expect(await errorKindOf(OPERATIONS[name])).toBe(kind);
+    await injectFault({mode: 'slow', delayMs: LONG_DELAY_MS});
+    expect(await runExpectingError(OPERATIONS[name])).toBe(kind);
   });
 
   it('reports UNKNOWN for writes whose response is lost after the effect', async () => {
-    await fault({mode: 'lose_write_answer', count: 3});
+    await injectFault({mode: 'lose_write_answer', count: 3});
     const unknown = StoreErrorKind.UNKNOWN;
-    expect(await errorKindOf(OPERATIONS.create)).toBe(unknown);
+    expect(await runExpectingError(OPERATIONS.create)).toBe(unknown);
     const created = (await store.read(KEY))._unsafeUnwrap().extract();
     expect(created?.value).toBe(1);
-    expect(await errorKindOf(OPERATIONS.update)).toBe(unknown);
+    expect(await runExpectingError(OPERATIONS.update)).toBe(unknown);
     const updated = (await store.read(KEY))._unsafeUnwrap().extract();
     expect(updated?.value).toBe(2);
-    const removed = await errorKindOf(() =>
+    const removed = await runExpectingError(() =>
       store.remove({...KEY, expectedVersion: 2}),
     );
     expect(removed).toBe(unknown);
@@ -190,13 +190,13 @@
   });
 });
 
-interface Watched {
+interface RecordedWatch {
   readonly handle: WatchHandle;
   readonly events: WatchEvent[];
   readonly closed: StoreError[];
 }
 
-function watch(since: number): Watched {
+function startWatch(since: number): RecordedWatch {
   const events: WatchEvent[] = [];
   const closed: StoreError[] = [];
   const handle = store.watch({
@@ -208,7 +208,10 @@
   return {handle, events, closed};
 }
 
-async function waitFor<T>(list: readonly T[], length: number): Promise<void> {
+async function waitForLength<T>(
+  list: readonly T[],
+  length: number,
+): Promise<void> {
   await vi.waitFor(() => expect(list).toHaveLength(length), 10_000);
 }
 
@@ -216,11 +219,11 @@
   it('reports past and new changes of its kind in order', async () => {
     await OPERATIONS.create();
     await OPERATIONS.update();
-    const {handle, events} = watch(1);
-    await waitFor(events, 1);
+    const {handle, events} = startWatch(1);
+    await waitForLength(events, 1);
     await store.create({kind: ObjectKind.LEASE, name: 'l', value: 0});
     await store.remove({...KEY, expectedVersion: 2});
-    await waitFor(events, 2);
+    await waitForLength(events, 2);
     handle.close();
     expect(events.map(({version, value}) => [version, value])).toEqual([
       [2, 2],
@@ -232,37 +235,37 @@
     const line = {kind: KIND, name: 'ż', version: 1, value: 'ż'};
     const bytes = Buffer.from(`${JSON.stringify(line)}\n`);
     const cut = bytes.indexOf('ż') + 1;
-    const scripted = await startStubServer((res) => {
+    const stubServer = await startStubServer((res) => {
       res.write(bytes.subarray(0, cut));
       setTimeout(() => res.write(bytes.subarray(cut)), PART_GAP_MS);
     });
-    store = new HttpObjectStore({baseUrl: scripted.url});
-    const {handle, events} = watch(0);
-    await waitFor(events, 1);
+    store = new HttpObjectStore({baseUrl: stubServer.url});
+    const {handle, events} = startWatch(0);
+    await waitForLength(events, 1);
     handle.close();
-    await scripted.close();
+    await stubServer.close();
     expect(events).toEqual([line]);
   });
 
   it('calls no callback after close', async () => {
-    const {handle, events, closed} = watch(0);
+    const {handle, events, closed} = startWatch(0);
     await OPERATIONS.create();
-    await waitFor(events, 1);
+    await waitForLength(events, 1);
     handle.close();
     await OPERATIONS.update();
-    await fault({mode: 'down'});
+    await injectFault({mode: 'down'});
     expect([events.length, closed.length]).toEqual([1, 0]);
   });
 
   it('closes once when the platform goes down', async () => {
-    const {events, closed} = watch(0);
+    const {events, closed} = startWatch(0);
     await OPERATIONS.create();
-    await waitFor(events, 1);
-    await fault({mode: 'down'});
-    await waitFor(closed, 1);
+    await waitForLength(events, 1);
+    await injectFault({mode: 'down'});
+    await waitForLength(closed, 1);
     expect(closed[0]?.kind).toBe(StoreErrorKind.UNAVAILABLE);
-    const refused = watch(0);
-    await waitFor(refused.closed, 1);
+    const refused = startWatch(0);
+    await waitForLength(refused.closed, 1);
     expect(refused.closed[0]?.kind).toBe(StoreErrorKind.UNAVAILABLE);
   });
 
@@ -270,11 +273,11 @@
     for (const name of ['a', 'b', 'c', 'd', 'e']) {
       await store.create({kind: KIND, name, value: name});
     }
-    const old = watch(0);
-    await waitFor(old.closed, 1);
+    const old = startWatch(0);
+    await waitForLength(old.closed, 1);
     expect(old.closed[0]?.kind).toBe(StoreErrorKind.NOT_FOUND);
-    const recent = watch(1);
-    await waitFor(recent.events, 4);
+    const recent = startWatch(1);
+    await waitForLength(recent.events, 4);
     recent.handle.close();
   });
 });
--- a/test/adapters/http-service-driver.test.ts
+++ b/test/adapters/http-service-driver.test.ts
@@ -44,7 +44,7 @@
   await Promise.all(servers.splice(0).map((server) => server.close()));
 });
 
-function textOf({body}: {body: Uint8Array}): string {
+function decodeBody({body}: {body: Uint8Array}): string {
   return Buffer.from(body).toString('utf8');
 }
 
@@ -55,7 +55,10 @@
     const called = await driver.call({req: BOOKING, timeoutMs: TIMEOUT_MS});
     const res = called._unsafeUnwrap();
     expect(res.status).toBe(201);
-    expect(JSON.parse(textOf(res))).toMatchObject({key: 'k1', execution: 1});
+    expect(JSON.parse(decodeBody(res))).toMatchObject({
+      key: 'k1',
+      execution: 1,
+    });
     const type = {name: 'content-type', value: 'application/json'};
     expect(res.headers).toContainEqual(type);
     expect(await getJson(`${url}/counts`)).toEqual({
@@ -69,7 +72,7 @@
     const driver = new HttpServiceDriver({baseUrl: url});
     const called = await driver.call({req: LOOKUP, timeoutMs: TIMEOUT_MS});
     const res = called._unsafeUnwrap();
-    expect([res.status, textOf(res)]).toEqual([
+    expect([res.status, decodeBody(res)]).toEqual([
       200,
       expect.stringContaining('"item":"pumice"'),
     ]);
--- a/test/adapters/http-vm-list.test.ts
+++ b/test/adapters/http-vm-list.test.ts
@@ -51,7 +51,7 @@
     expect((await list.read())._unsafeUnwrap()).toEqual([leaving]);
   });
 
-  it('returns the state before the lag', async () => {
+  it('returns no changes that are newer than the lag', async () => {
     const url = await open(startPlatform({vmLagMs: LONG_LAG_MS}));
     await register(url, VM);
     const list = new HttpVmList({baseUrl: url});
@@ -62,25 +62,25 @@
 const FAILURES = [
   {
     name: 'a refused connection',
-    target: () => Promise.resolve(UNREACHABLE_URL),
+    serve: () => Promise.resolve(UNREACHABLE_URL),
     timeoutMs: TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
     name: 'an error status',
-    target: () => open(startStubServer((res) => res.writeHead(503).end())),
+    serve: () => open(startStubServer((res) => res.writeHead(503).end())),
     timeoutMs: TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
     name: 'a missing response',
-    target: () => open(startStubServer(() => undefined)),
+    serve: () => open(startStubServer(() => undefined)),
     timeoutMs: SHORT_TIMEOUT_MS,
     kind: VmListErrorKind.UNAVAILABLE,
   },
   {
     name: 'an unknown state',
-    target: () => {
+    serve: () => {
       const body = JSON.stringify({vms: [{...VM, state: 'asleep'}]});
       return open(startStubServer((res) => res.end(body)));
     },
@@ -90,8 +90,8 @@
 ];
 
 describe('HttpVmList errors', () => {
-  it.each(FAILURES)('reports $name', async ({target, timeoutMs, kind}) => {
-    const baseUrl = await target();
+  it.each(FAILURES)('reports $name', async ({serve, timeoutMs, kind}) => {
+    const baseUrl = await serve();
     const list = new HttpVmList({baseUrl, timeoutMs});
     expect((await list.read())._unsafeUnwrapErr().kind).toBe(kind);
   });
--- a/test/adapters/service-path.test.ts
+++ b/test/adapters/service-path.test.ts
@@ -58,16 +58,19 @@
   });
 });
 
-const CUTS = [
-  {target: '/services/stock/items/7?unit=bag', rest: '/items/7?unit=bag'},
-  {target: '/services/stock', rest: ''},
-  {target: '/services/stock?unit=bag', rest: '?unit=bag'},
-  {target: '/services/stock//evil', rest: '//evil'},
-  {target: '/services/st%6fck/services/x', rest: '/services/x'},
+const PREFIXED_TARGETS = [
+  {target: '/services/stock/items/7?unit=bag', stripped: '/items/7?unit=bag'},
+  {target: '/services/stock', stripped: ''},
+  {target: '/services/stock?unit=bag', stripped: '?unit=bag'},
+  {target: '/services/stock//evil', stripped: '//evil'},
+  {target: '/services/st%6fck/services/x', stripped: '/services/x'},
 ];
 
 describe('stripServicePrefix', () => {
-  it.each(CUTS)('returns $rest for $target', ({target, rest}) => {
-    expect(stripServicePrefix(target)).toBe(rest);
-  });
+  it.each(PREFIXED_TARGETS)(
+    'returns $stripped for $target',
+    ({target, stripped}) => {
+      expect(stripServicePrefix(target)).toBe(stripped);
+    },
+  );
 });
