--- a/src/adapters/counted-store.ts
+++ b/src/adapters/counted-store.ts
@@ -11,7 +11,10 @@
 import type {Metrics} from '../core/metrics/index.js';
 import {CounterName} from '../core/metrics/index.js';
 
-/** Kinds of calls to the store; label values of the counter of calls. */
+/**
+ * Kinds of calls to the store, as the platform also counts them; label values of
+ * the counter of calls.
+ */
 export enum StoreVerb {
   CREATE = 'create',
   UPDATE = 'update',
--- a/src/daemon/direct-main.ts
+++ b/src/daemon/direct-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Daemon of an entry that calls its targets directly. */
+/** Daemon of an entry on the platform, which calls its targets directly. */
 // Imported first, as signals may arrive while the other modules are loaded.
 import {removeStartupHandlers} from './install-startup-signals.js';
 
