--- a/src/adapters/callers/completion-writer.ts
+++ b/src/adapters/callers/completion-formatter.ts
@@ -1,4 +1,4 @@
-/** Formats output as OpenAI completions, as events or as one document. */
+/** Formats output as objects of the OpenAI API, for events or one document. */
 import type {FinishReason} from '../../core/edges/index.js';
 
 const MS_PER_SECOND = 1_000;
@@ -8,16 +8,16 @@
   readonly completionTokens: number;
 }
 
-/** Formats one completion as its endpoint returns it. */
-export interface CompletionWriter {
-  /** A part of the text, as the data of one event. */
-  delta(text: string): unknown;
-  /** The end, as the data of one event. */
-  end(reason: FinishReason): unknown;
-  /** The usage, as the data of one event. */
-  usage(usage: Usage): unknown;
-  /** The complete document. */
-  completion(options: {
+/** Formats one completion for its endpoint. */
+export interface CompletionFormatter {
+  /** Returns the data of an event with a part of the text. */
+  formatDelta(text: string): unknown;
+  /** Returns the data of the event with the finish reason. */
+  formatEnd(reason: FinishReason): unknown;
+  /** Returns the data of the event with the number of tokens. */
+  formatUsage(usage: Usage): unknown;
+  /** Returns the document with the complete text. */
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
@@ -31,23 +31,28 @@
   readonly createdMs: number;
 }
 
-/** Format of `/v1/completions`. */
-export class TextCompletionWriter implements CompletionWriter {
+/**
+ * Formats completions for `/v1/completions`.
+ *
+ * @example
+ * new TextCompletionFormatter(metadata).formatDelta('Ten pallets');
+ */
+export class TextCompletionFormatter implements CompletionFormatter {
   constructor(private readonly metadata: CompletionMetadata) {}
 
-  delta(text: string): unknown {
+  formatDelta(text: string): unknown {
     return {...this.fields(), choices: [createTextChoice(text, null)]};
   }
 
-  end(reason: FinishReason): unknown {
+  formatEnd(reason: FinishReason): unknown {
     return {...this.fields(), choices: [createTextChoice('', reason)]};
   }
 
-  usage(usage: Usage): unknown {
+  formatUsage(usage: Usage): unknown {
     return {...this.fields(), choices: [], usage: createUsage(usage)};
   }
 
-  completion(options: {
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
@@ -66,28 +71,34 @@
   }
 }
 
-/** Format of `/v1/chat/completions`. */
-export class ChatCompletionWriter implements CompletionWriter {
+/**
+ * Formats completions for `/v1/chat/completions`. The first event of a
+ * completion has the role of the message.
+ *
+ * @example
+ * new ChatCompletionFormatter(metadata).formatDelta('Ten pallets');
+ */
+export class ChatCompletionFormatter implements CompletionFormatter {
   private hasStarted = false;
 
   constructor(private readonly metadata: CompletionMetadata) {}
 
-  delta(text: string): unknown {
+  formatDelta(text: string): unknown {
     const role = this.hasStarted ? {} : {role: 'assistant'};
     this.hasStarted = true;
     const delta = {...role, content: text};
     return this.chunk([{index: 0, delta, finish_reason: null}]);
   }
 
-  end(reason: FinishReason): unknown {
+  formatEnd(reason: FinishReason): unknown {
     return this.chunk([{index: 0, delta: {}, finish_reason: reason}]);
   }
 
-  usage(usage: Usage): unknown {
+  formatUsage(usage: Usage): unknown {
     return {...this.chunk([]), usage: createUsage(usage)};
   }
 
-  completion(options: {
+  formatCompletion(options: {
     text: string;
     reason: FinishReason;
     usage: Usage;
--- a/src/adapters/callers/completion-response.ts
+++ b/src/adapters/callers/completion-response.ts
@@ -5,7 +5,7 @@
 import {OutputPartKind} from '../../core/edges/index.js';
 import {EventStreamWriter} from './event-stream-writer.js';
 import {createProblem, createProblemResponse} from './problem.js';
-import type {CompletionWriter} from './completion-writer.js';
+import type {CompletionFormatter} from './completion-formatter.js';
 
 interface EventFields {
   readonly event?: string;
@@ -13,17 +13,21 @@
   readonly data: string;
 }
 
-/** Output to send, and its format. */
+/** The output of a generation, and the format in which it is sent. */
 export interface CompletionResponseOptions {
   readonly ctx: Context;
   readonly reader: OutputReader;
-  readonly writer: CompletionWriter;
+  readonly formatter: CompletionFormatter;
+  /** Whether an event stream has an event with the number of tokens. */
   readonly includeUsage: boolean;
 }
 
 /**
- * Sends one event per part of the output; a problem document if the first part
- * is a refusal.
+ * Sends one event per part of the output. If the first part is a refusal, the
+ * response is a problem document instead.
+ *
+ * @example
+ * return streamCompletion({ctx, reader, formatter, includeUsage: false});
  */
 export async function streamCompletion(
   options: CompletionResponseOptions,
@@ -51,17 +55,23 @@
   return out.end();
 }
 
-/** Sends one document once the output is complete. */
+/**
+ * Sends one document once the output is complete; a problem document if the
+ * generation is refused.
+ *
+ * @example
+ * return sendCompletion({ctx, reader, formatter, includeUsage: false});
+ */
 export async function sendCompletion(
   options: CompletionResponseOptions,
 ): Promise<Response> {
-  const {ctx, reader, writer} = options;
+  const {ctx, reader, formatter} = options;
   ctx.req.raw.signal.addEventListener('abort', () => reader.close());
   let text = '';
   for (;;) {
     const part = await reader.next();
     if (part.kind === OutputPartKind.TOKENS) {
-      text += textOf(part);
+      text += joinTokens(part);
       continue;
     }
     reader.close();
@@ -70,7 +80,9 @@
     }
     const {finishReason: reason, completionTokens} = part;
     const usage = {completionTokens};
-    return ctx.json(writer.completion({text, reason, usage}) as object);
+    return ctx.json(
+      formatter.formatCompletion({text, reason, usage}) as object,
+    );
   }
 }
 
@@ -78,18 +90,18 @@
   part: OutputPart,
   options: CompletionResponseOptions,
 ): string {
-  const {writer, includeUsage} = options;
+  const {formatter, includeUsage} = options;
   switch (part.kind) {
     case OutputPartKind.TOKENS: {
-      const data = JSON.stringify(writer.delta(textOf(part)));
+      const data = JSON.stringify(formatter.formatDelta(joinTokens(part)));
       return formatEvent({id: part.eventId, data});
     }
     case OutputPartKind.FINISHED: {
       const {eventId, finishReason, completionTokens} = part;
-      const end = JSON.stringify(writer.end(finishReason));
+      const end = JSON.stringify(formatter.formatEnd(finishReason));
       const events = [formatEvent({id: eventId, data: end})];
       if (includeUsage) {
-        const usage = writer.usage({completionTokens});
+        const usage = formatter.formatUsage({completionTokens});
         events.push(formatEvent({data: JSON.stringify(usage)}));
       }
       events.push(formatEvent({data: '[DONE]'}));
@@ -102,7 +114,7 @@
   }
 }
 
-function textOf(part: OutputPart): string {
+function joinTokens(part: OutputPart): string {
   if (part.kind !== OutputPartKind.TOKENS) return '';
   return part.tokens.map((token) => token.text).join('');
 }
--- a/src/adapters/engine-http-stream.ts
+++ b/src/adapters/engine-http-stream.ts
@@ -20,11 +20,11 @@
   Token,
 } from '../core/edges/index.js';
 import {DriverErrorKind, FinishReason} from '../core/edges/index.js';
-import {driverError, toDriverError} from './driver-errors.js';
+import {createDriverError, toDriverError} from './driver-errors.js';
 import {
+  decodeUtf8,
   FIRST_ERROR_STATUS,
   parseJson,
-  textOf,
   toHttpFailure,
 } from './http-call.js';
 
@@ -52,7 +52,13 @@
   readonly sink: EngineSink;
 }
 
-/** Reads the output of one generation and passes it to its sink. */
+/**
+ * Reads the output of one generation and passes it to its sink.
+ *
+ * @example
+ * const stream = new EngineHttpStream({dispatcher, url, body, position, sink});
+ * stream.start();
+ */
 export class EngineHttpStream implements EngineStream {
   private readonly abort = new AbortController();
   private readonly parser = createParser({
@@ -67,7 +73,7 @@
 
   /** Sends the request. */
   start(): void {
-    this.run().catch((e: unknown) =>
+    this.readStream().catch((e: unknown) =>
       this.fail(toDriverError(toHttpFailure(e))),
     );
   }
@@ -77,7 +83,7 @@
     this.abort.abort();
   }
 
-  private async run(): Promise<void> {
+  private async readStream(): Promise<void> {
     const {dispatcher, url, body} = this.options;
     const res = await request(url, {
       dispatcher,
@@ -89,7 +95,7 @@
     if (res.statusCode >= FIRST_ERROR_STATUS) {
       return this.failRefused(res.statusCode);
     }
-    for await (const text of textOf(res.body)) {
+    for await (const text of decodeUtf8(res.body)) {
       if (this.isClosed) return;
       this.parser.feed(text);
     }
@@ -101,7 +107,7 @@
     if (data === DONE) return this.failLost('done without a finish reason');
     CHUNK.decode(parseJson(data)).caseOf({
       Left: (detail) =>
-        this.fail(driverError(DriverErrorKind.MALFORMED, detail)),
+        this.fail(createDriverError(DriverErrorKind.MALFORMED, detail)),
       Right: ({choices}) =>
         choices.forEach((choice) => this.handleChoice(choice)),
     });
@@ -128,11 +134,11 @@
   }
 
   private failRefused(status: number): void {
-    this.fail(driverError(DriverErrorKind.REFUSED, `status ${status}`));
+    this.fail(createDriverError(DriverErrorKind.REFUSED, `status ${status}`));
   }
 
   private failLost(detail: string): void {
-    this.fail(driverError(DriverErrorKind.LOST, detail));
+    this.fail(createDriverError(DriverErrorKind.LOST, detail));
   }
 
   private fail(err: DriverError): void {
@@ -142,7 +148,10 @@
   }
 }
 
-/** The last token of a chunk gets its text, as it completes the text. */
+/**
+ * Assigns the text of a chunk to its last token, which completes the text; the
+ * tokens before it have empty texts.
+ */
 function toTokens(ids: readonly number[], text: string): Token[] {
   const last = ids.length - 1;
   return ids.map((id, index) => ({id, text: index === last ? text : ''}));
--- a/src/adapters/http-service-driver.ts
+++ b/src/adapters/http-service-driver.ts
@@ -11,7 +11,7 @@
   ServiceReport,
 } from '../core/edges/index.js';
 import {DriverErrorKind} from '../core/edges/index.js';
-import {driverError, toDriverError} from './driver-errors.js';
+import {createDriverError, toDriverError} from './driver-errors.js';
 import {fetchReport} from './driver-probe.js';
 import {callHttp, createPool} from './http-call.js';
 
@@ -65,7 +65,7 @@
     const url = buildUrl(this.baseUrl, req.path);
     if (!isBelowRoot(this.baseUrl, url)) {
       const detail = 'the path leaves the root of the service';
-      return errAsync(driverError(DriverErrorKind.NOT_SENT, detail));
+      return errAsync(createDriverError(DriverErrorKind.NOT_SENT, detail));
     }
     return callHttp({
       dispatcher: this.dispatcher,
@@ -90,12 +90,12 @@
   }
 }
 
-/** Without the slash, a path such as `@host` could address another host. */
+/** Adds the slash without which a path such as `@host` names another host. */
 function buildUrl(baseUrl: string, path: string): string {
   return path.startsWith('/') ? `${baseUrl}${path}` : `${baseUrl}/${path}`;
 }
 
-/** URL parsers resolve dot segments, which could lead outside the root. */
+/** Whether a URL is below its root also after its dot segments are resolved. */
 function isBelowRoot(baseUrl: string, url: string): boolean {
   if (!URL.canParse(url)) return false;
   const root = new URL(baseUrl);
--- a/src/adapters/store-errors.ts
+++ b/src/adapters/store-errors.ts
@@ -5,22 +5,27 @@
 import type {HttpFailure} from './http-call.js';
 import {HttpFailureKind} from './http-call.js';
 
-/** Kinds of calls, as far as their errors differ. */
+/** Kinds of calls to the store; the same failure is another error for each. */
 export enum StoreCall {
   CREATE = 'create',
+  /** An update or a removal. */
   CHANGE = 'change',
+  /** A read, a list or a watch. */
   READ = 'read',
 }
 
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /**
  * Creates an error of the store layer.
  *
  * @example
- * err(storeError(StoreErrorKind.INVALID, 'no JSON value'));
+ * err(createStoreError(StoreErrorKind.INVALID, 'no JSON value'));
  */
-export function storeError(kind: StoreErrorKind, detail: string): StoreError {
+export function createStoreError(
+  kind: StoreErrorKind,
+  detail: string,
+): StoreError {
   return {layer: Layer.STORE, kind, detail};
 }
 
@@ -29,25 +34,28 @@
  * have taken effect; a read has no effect.
  *
  * @example
- * callHttp(options).mapErr((failure) => fromFailure(StoreCall.READ, failure));
+ * callHttp(options).mapErr((failure) => toStoreError(StoreCall.READ, failure));
  */
-export function fromFailure(call: StoreCall, failure: HttpFailure): StoreError {
+export function toStoreError(
+  call: StoreCall,
+  failure: HttpFailure,
+): StoreError {
   const hadNoEffect =
     call === StoreCall.READ || failure.kind === HttpFailureKind.NOT_SENT;
   const kind = hadNoEffect
     ? StoreErrorKind.UNAVAILABLE
     : StoreErrorKind.UNKNOWN;
-  return storeError(kind, failure.detail);
+  return createStoreError(kind, failure.detail);
 }
 
 /**
  * Converts an error status to an error of the store layer.
  *
  * @example
- * err(fromStatus(StoreCall.CREATE, 409));
+ * err(createStatusError(StoreCall.CREATE, 409));
  */
-export function fromStatus(call: StoreCall, status: number): StoreError {
-  return storeError(kindOfStatus(call, status), `status ${status}`);
+export function createStatusError(call: StoreCall, status: number): StoreError {
+  return createStoreError(toErrorKind(call, status), `status ${status}`);
 }
 
 /**
@@ -55,15 +63,18 @@
  * have taken effect.
  *
  * @example
- * err(fromMalformed(StoreCall.READ, detail));
+ * err(createMalformedError(StoreCall.READ, detail));
  */
-export function fromMalformed(call: StoreCall, detail: string): StoreError {
+export function createMalformedError(
+  call: StoreCall,
+  detail: string,
+): StoreError {
   const isRead = call === StoreCall.READ;
   const kind = isRead ? StoreErrorKind.INVALID : StoreErrorKind.UNKNOWN;
-  return storeError(kind, detail);
+  return createStoreError(kind, detail);
 }
 
-function kindOfStatus(call: StoreCall, status: number): StoreErrorKind {
+function toErrorKind(call: StoreCall, status: number): StoreErrorKind {
   switch (status) {
     case 404:
     case 410:
@@ -77,12 +88,12 @@
     case 503:
       return StoreErrorKind.UNAVAILABLE;
     default:
-      return kindOfOtherStatus(call, status);
+      return toErrorKindByRange(call, status);
   }
 }
 
-function kindOfOtherStatus(call: StoreCall, status: number): StoreErrorKind {
-  if (status < FIRST_SERVER_ERROR) return StoreErrorKind.INVALID;
+function toErrorKindByRange(call: StoreCall, status: number): StoreErrorKind {
+  if (status < FIRST_SERVER_ERROR_STATUS) return StoreErrorKind.INVALID;
   if (call === StoreCall.READ) return StoreErrorKind.UNAVAILABLE;
   return StoreErrorKind.UNKNOWN;
 }
