--- a/test/direct/poison.test.ts
+++ b/test/direct/poison.test.ts
@@ -11,7 +11,7 @@
   crashesOf,
   CRASH_MARK,
   runPoisonScenario,
-  requestsAfterThirdCrash,
+  countRequestsAfterThirdCrash,
   sleep,
   startPoisonSite,
 } from '../support/poison-scenario.js';
@@ -173,7 +173,7 @@
       });
       const isStoreAvailable = disturbance !== Disturbance.STORE_UNAVAILABLE;
       const losses = crashesOf(site).length;
-      const late = requestsAfterThirdCrash(site, PROPAGATION_MS);
+      const late = countRequestsAfterThirdCrash(site, PROPAGATION_MS);
       if (isStoreAvailable) expect({losses, late}).toEqual({losses, late: 0});
       expect(losses).toBeLessThanOrEqual(maxLosses);
       // Once losses are shared, every entry refuses the request.
@@ -200,7 +200,9 @@
         expect(crashesOf(site, body).length).toBeLessThanOrEqual(
           CONCURRENT.maxLosses,
         );
-        expect(requestsAfterThirdCrash(site, PROPAGATION_MS, body)).toBe(0);
+        expect(countRequestsAfterThirdCrash(site, PROPAGATION_MS, body)).toBe(
+          0,
+        );
       }
     },
   );
--- a/test/support/poison-scenario.ts
+++ b/test/support/poison-scenario.ts
@@ -119,8 +119,11 @@
     .sort((a, b) => a.atMs - b.atMs);
 }
 
-/** Number of requests that reached targets `slackMs` after the third crash. */
-export function requestsAfterThirdCrash(
+/**
+ * Counts the requests that reached targets more than `slackMs` after the third
+ * crash.
+ */
+export function countRequestsAfterThirdCrash(
   site: DirectSite,
   slackMs: number,
   body = CRASH_MARK,
