--- a/stand-ins/platform/object-table.ts
+++ b/stand-ins/platform/object-table.ts
@@ -115,5 +115,5 @@
 function checkVersion(state: KindState, name: string, expected: number): void {
   const object = state.objects.get(name);
   if (object === undefined) throw new HttpError(404, 'no such object');
-  if (object.version !== expected) throw new HttpError(409, 'version conflict');
+  if (object.version !== expected) throw new HttpError(409, 'other version');
 }
