--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -14,7 +14,7 @@
 } from './types.js';
 import {EarlyEnd, EngineFault} from './types.js';
 
-const CRASH_AFTER_MARK = /\[crash-after=(\d+)\]/;
+const CRASH_AFTER_PATTERN = /\[crash-after=(\d+)\]/;
 
 /** Tokens before a crash if the prompt has no `[crash-after=N]`. */
 const DEFAULT_CRASH_AFTER_TOKENS = 3;
@@ -154,8 +154,9 @@
   private shouldCrash({generation, count}: Job): boolean {
     const {crashOn} = this.options;
     if (crashOn === '' || !generation.prompt.includes(crashOn)) return false;
-    const mark = CRASH_AFTER_MARK.exec(generation.prompt);
-    const after = mark === null ? DEFAULT_CRASH_AFTER_TOKENS : Number(mark[1]);
+    const match = CRASH_AFTER_PATTERN.exec(generation.prompt);
+    const after =
+      match === null ? DEFAULT_CRASH_AFTER_TOKENS : Number(match[1]);
     return count.produced >= after;
   }
 
--- a/stand-ins/engine/prefix-cache.ts
+++ b/stand-ins/engine/prefix-cache.ts
@@ -6,7 +6,7 @@
 /** Prompt characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Generated tokens per cached block. */
+/** Prompt or generated tokens per cached block. */
 const BLOCK_TOKENS = 16;
 
 /** Capacity of the cache in blocks. */
@@ -19,6 +19,7 @@
 export const PREFIX_CHARACTERS = 256;
 
 interface Block {
+  /** Covers the block and all blocks before it. */
   readonly hash: string;
   readonly tokens: number;
 }
@@ -67,6 +68,7 @@
   return HASH.h64ToString(prompt.slice(0, PREFIX_CHARACTERS));
 }
 
+/** Adds an item as the most recently used one; evicts the oldest if full. */
 function refresh(set: Set<string>, item: string, limit: number): void {
   set.delete(item);
   set.add(item);
--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -15,7 +15,7 @@
 /** Tokens of an output if the prompt has no `[length=N]`. */
 export const DEFAULT_LENGTH_TOKENS = 200;
 
-const LENGTH_MARK = /\[length=(\d+)\]/;
+const LENGTH_PATTERN = /\[length=(\d+)\]/;
 
 /** Multipliers of the MurmurHash3 finaliser. */
 const MIX_A = 0x85ebca6b;
@@ -54,7 +54,7 @@
     for (const id of resumeIds) this.append(id);
   }
 
-  /** Token ids so far, including those that the generation resumed from. */
+  /** Token ids so far, including those that the generation resumed after. */
   get tokenIds(): readonly number[] {
     return this.ids;
   }
@@ -91,18 +91,18 @@
  * expectedOutput({prompt: 'Draft a quote', maxTokens: 50, stop: []}).tokens;
  */
 export function expectedOutput(spec: OutputSpec): Output {
-  const writer = new OutputGenerator(spec);
+  const generator = new OutputGenerator(spec);
   const tokens: Token[] = [];
   for (;;) {
-    const finishReason = writer.finishReason;
+    const finishReason = generator.finishReason;
     if (finishReason !== undefined) return {tokens, finishReason};
-    tokens.push(writer.next());
+    tokens.push(generator.next());
   }
 }
 
 function naturalLengthOf(prompt: string): number {
-  const mark = LENGTH_MARK.exec(prompt);
-  return mark === null ? DEFAULT_LENGTH_TOKENS : Number(mark[1]);
+  const match = LENGTH_PATTERN.exec(prompt);
+  return match === null ? DEFAULT_LENGTH_TOKENS : Number(match[1]);
 }
 
 function tokenIdAt(seed: number, position: number): number {
--- a/stand-ins/engine/types.ts
+++ b/stand-ins/engine/types.ts
@@ -16,9 +16,13 @@
 /** Faults that can be set with `POST /faults`. */
 export enum EngineFault {
   NONE = 'none',
+  /** Exits without a response. */
   DIE = 'die',
+  /** Accepts requests, but produces no tokens and responds to no probe. */
   STALL = 'stall',
+  /** Multiplies the time per token by `factor`. */
   SLOW = 'slow',
+  /** Responds 500 to completion requests. */
   FAIL_FAST = 'fail_fast',
 }
 
@@ -26,11 +30,15 @@
 export interface EngineOptions {
   readonly address: string;
   readonly port: number;
+  /** Time per token of a running generation, in milliseconds. */
   readonly paceMs: number;
+  /** Prefill time of each uncached token, in microseconds. */
   readonly prefillUsPerToken: number;
   /** Maximum number of concurrent generations. */
   readonly capacity: number;
+  /** Delay before health responses show a change of the load. */
   readonly reportLagMs: number;
+  /** Whether commands with outdated fencing numbers are accepted. */
   readonly ignoresFencing: boolean;
   /** Text in a prompt that crashes the engine; empty to disable. */
   readonly crashOn: string;
@@ -42,7 +50,9 @@
 /** A requested generation. */
 export interface Generation extends OutputSpec {
   readonly requestId: string;
+  /** Waiting generations with higher values start first. */
   readonly priority: number;
+  /** Ids of the tokens that the generation resumes after. */
   readonly resumeIds: readonly number[];
 }
 
@@ -53,7 +63,7 @@
   onFinish(reason: FinishReason | undefined): void;
 }
 
-/** Tokens resumed from and produced for one request. */
+/** Number of tokens that one request resumed after and was sent. */
 export interface RequestCount {
   readonly requestId: string;
   readonly resumedFrom: number;
@@ -63,6 +73,7 @@
 /** Counters since the start of the engine. */
 export interface EngineCounts {
   tokensProduced: number;
+  /** Tokens that were not cached when their generation started. */
   prefillTokens: number;
   started: number;
   finished: number;
--- a/stand-ins/lib/fields.ts
+++ b/stand-ins/lib/fields.ts
@@ -7,7 +7,8 @@
 }
 
 /**
- * Returns a string field, or throws 400.
+ * Returns a string field, or `fallback` if it is absent. Throws 400 if it has
+ * another type.
  *
  * @example
  * textField(body, 'kind', 'none');
@@ -23,7 +24,8 @@
 }
 
 /**
- * Returns a number field, or throws 400.
+ * Returns a number field, or `fallback` if it is absent. Throws 400 if it has
+ * another type.
  *
  * @example
  * numberField(body, 'max_tokens', 16);
@@ -39,7 +41,8 @@
 }
 
 /**
- * Returns a list field, empty if absent, or throws 400.
+ * Returns a list field, empty if it is absent. Throws 400 if it is no list or
+ * an item is not accepted.
  *
  * @example
  * listField(body, 'stop', isString);
@@ -55,7 +58,7 @@
 }
 
 /**
- * Returns a field as one of an enum's values, or throws 400.
+ * Returns a field that holds a value of an enum. Throws 400 for any other value.
  *
  * @example
  * enumField(body, 'kind', FaultKind);
--- a/stand-ins/lib/http-server.ts
+++ b/stand-ins/lib/http-server.ts
@@ -43,6 +43,7 @@
  */
 export async function startServer(options: {
   address: string;
+  /** 0 for any free port. */
   port: number;
   handle: HttpHandler;
 }): Promise<RunningServer> {
--- a/stand-ins/platform/fault-injector.ts
+++ b/stand-ins/platform/fault-injector.ts
@@ -25,6 +25,11 @@
     return this.fault === PlatformFault.SLOW ? this.slowMs : 0;
   }
 
+  /**
+   * Sets the fault `mode` of the body. Optional fields are `count`, the number
+   * of writes to affect; `kind`, the only kind that `down` affects; and
+   * `delayMs`, the delay of `slow`.
+   */
   set(body: unknown): PlatformFault {
     this.fault = enumField(body, 'mode', PlatformFault);
     this.writesLeft = numberField(body, 'count', Infinity);
--- a/stand-ins/platform/server.ts
+++ b/stand-ins/platform/server.ts
@@ -135,6 +135,8 @@
   private async watch(call: HttpCall, kind: string): Promise<void> {
     const {res, query} = call;
     await this.beginCall(kind, Verb.WATCH);
+    // Logged changes are collected first: until the response head is sent, a
+    // watch of a version that is too old can still be refused with 410.
     const lines: string[] = [];
     let emit = (line: string): void => void lines.push(line);
     const stop = this.objects.watch({
--- a/stand-ins/platform/types.ts
+++ b/stand-ins/platform/types.ts
@@ -17,9 +17,13 @@
 /** Faults that can be set with `POST /faults`. */
 export enum PlatformFault {
   OK = 'ok',
+  /** Closes all watches and responds 503, optionally only for one kind. */
   DOWN = 'down',
+  /** Delays each call by `delayMs`. */
   SLOW = 'slow',
+  /** Carries out writes and closes the connection without a response. */
   LOSE_WRITE_RESPONSE = 'lose_write_answer',
+  /** Responds 503 to writes without carrying them out. */
   FAIL_BEFORE_EFFECT = 'fail_before_effect',
 }
 
--- a/stand-ins/relay/control.ts
+++ b/stand-ins/relay/control.ts
@@ -10,7 +10,8 @@
 import type {Relay} from './relay.js';
 
 /**
- * Serves `POST /cut`, `/reset`, `/mend` and `/delay` with `{ms}`.
+ * Serves `POST /cut`, `/reset`, `/delay` with `{ms}`, and `/mend`, which ends
+ * cuts and delays.
  *
  * @example
  * const control = await startControl({relay, address: '127.0.0.1', port: 0});
--- a/stand-ins/site/boot-file.ts
+++ b/stand-ins/site/boot-file.ts
@@ -11,10 +11,11 @@
   readonly zone: string;
   /** HOST:PORT of the store. */
   readonly store: string;
+  /** Limits by their names in the file, such as `grace_s`. */
   readonly bounds: Readonly<Record<string, number | boolean>>;
 }
 
-/** Host and port where an entry with this address accepts callers. */
+/** Host and port at which an entry with this address accepts callers. */
 export function callersEndpointOf(address: string): {
   host: string;
   port: number;
@@ -22,7 +23,7 @@
   return {host: address, port: CALLERS_PORT};
 }
 
-/** Address of the readiness endpoint of such an entry, as HOST:PORT. */
+/** HOST:PORT of the readiness endpoint of an entry with this address. */
 export function readinessAddressOf(address: string): string {
   return `${address}:${READINESS_PORT}`;
 }
--- a/stand-ins/site/config.ts
+++ b/stand-ins/site/config.ts
@@ -1,4 +1,4 @@
-/** Operator configuration of a site of stand-ins. */
+/** Configuration of a site of stand-ins, in the format of operators. */
 
 /** Host name of all routes. */
 export const HOST = 'shop.example';
@@ -10,9 +10,11 @@
 
 /** Names of the services of the site. */
 export enum SiteService {
+  /** Handles plain calls. */
   DESK = 'desk',
   /** Has no route until the configuration moves one to it. */
   SPARE = 'spare',
+  /** Model engines; handles streams. */
   WRITERS = 'writers',
 }
 
@@ -28,10 +30,11 @@
 /** Options of a site configuration. */
 export interface SiteConfigOptions {
   readonly version: number;
+  /** API keys of the client account; only `API_KEY` by default. */
   readonly keys?: readonly string[];
-  /** Service of the route `SitePath.MOVING`. */
+  /** Service of the route `SitePath.MOVING`; `DESK` by default. */
   readonly movingTo?: SiteService;
-  /** Timeout of the stream route, in milliseconds. */
+  /** Timeout of the stream route; `ROUTE_TIMEOUT_MS` by default. */
   readonly streamTimeoutMs?: number;
 }
 
--- a/stand-ins/site/parent-commands.ts
+++ b/stand-ins/site/parent-commands.ts
@@ -3,6 +3,7 @@
 /** Command from the parent; the reply has the same number. */
 export interface ParentCommand {
   readonly number: number;
+  /** Name of the command. */
   readonly step: string;
   readonly args: unknown;
 }
@@ -12,7 +13,7 @@
   readonly number: number;
 }
 
-/** Command handlers of a stand-in by name. */
+/** Handlers of the commands of a stand-in, by the name of the command. */
 export interface CommandHandlers {
   readonly [step: string]: (args: never) => void;
 }
@@ -21,13 +22,13 @@
  * Executes the commands of the parent process.
  *
  * @example
- * handleParentCommands({setMode: (mode: StoreMode) => store.setMode(mode)});
+ * handleParentCommands({dropHistory: () => store.dropHistory()});
  */
-export function handleParentCommands(steps: CommandHandlers): void {
+export function handleParentCommands(handlers: CommandHandlers): void {
   process.on('message', ({number, step, args}: ParentCommand) => {
-    const run = steps[step];
-    if (run === undefined) throw new Error(`unknown command: ${step}`);
-    run(args as never);
+    const handler = handlers[step];
+    if (handler === undefined) throw new Error(`unknown command: ${step}`);
+    handler(args as never);
     process.send?.({number} satisfies CommandReply);
   });
   // A stand-in must not outlive its parent.
--- a/stand-ins/site/store.ts
+++ b/stand-ins/site/store.ts
@@ -54,7 +54,8 @@
 const KIND_SEGMENT = Path.OBJECTS.split('/').length - 1;
 
 /**
- * Stores objects in memory. A long poll ends at the first change.
+ * Stores objects in memory. A long poll ends at the first change of its kind,
+ * or after `wait_ms`.
  *
  * @example
  * const store = new StandInStore();
--- a/stand-ins/site/target-main.ts
+++ b/stand-ins/site/target-main.ts
@@ -10,8 +10,9 @@
       readonly type: 'arrived';
       readonly atMs: number;
       readonly attemptId: string;
+      /** Value of `KEY_HEADER`; empty if the request has none. */
       readonly key: string;
-      /** False where the request was rejected. */
+      /** False if the request was rejected. */
       readonly hasRun: boolean;
     }
   | {
--- a/stand-ins/site/target.ts
+++ b/stand-ins/site/target.ts
@@ -27,14 +27,16 @@
   readonly atMs: number;
 }
 
-/** Number of events per stream and their timing in milliseconds. */
+/** Number of events per stream and their timing. */
 export interface StreamPace {
   readonly events: number;
+  /** Time from the request to the first event, in milliseconds. */
   readonly firstMs: number;
+  /** Time between two events, in milliseconds. */
   readonly gapMs: number;
 }
 
-/** Header with the API key of the caller, used only in checks. */
+/** Header in which callers of the soak state the version of their API key. */
 export const KEY_HEADER = 'used-key';
 
 /** Selects the requests that crash the target. */
@@ -49,6 +51,7 @@
 export interface CrashRecord {
   readonly attemptId: string;
   readonly body: string;
+  /** Time on the monotonic clock of the process, in milliseconds. */
   readonly atMs: number;
 }
 
@@ -150,7 +153,7 @@
   /** Number of streams whose connection closed before their end. */
   cancelled = 0;
   fault = TargetFault.NONE;
-  /** Start of its incarnation, as reported to entries. */
+  /** Start of its incarnation as a Unix time in milliseconds. */
   bornMs = DEFAULT_BORN_MS;
   /** Accepts connections and requests but never responds. */
   isUnresponsive = false;
@@ -178,8 +181,9 @@
   constructor(options: {
     id: string;
     copyNetwork: CopyNetwork;
+    /** Makes it respond with streams; plain responses by default. */
     pace?: StreamPace;
-    /** Duration of a plain call, in milliseconds. */
+    /** Duration of a plain call, in milliseconds; 0 by default. */
     workMs?: number;
     observer?: TargetObserver;
   }) {
