--- a/test/support/bookings.ts
+++ b/test/support/bookings.ts
@@ -9,8 +9,11 @@
 export interface BookingResult {
   /** `yes`, `no` or `unknown`; `none` if the connection broke. */
   readonly ran: string;
+  /** Reason of a refusal; empty if the booking was not refused. */
   readonly reason: string;
+  /** Value of the `retry-after` header; empty if absent. */
   readonly retryAfter: string;
+  /** Body of the response. */
   readonly text: string;
   readonly elapsedMs: number;
 }
--- a/test/support/direct-entry.ts
+++ b/test/support/direct-entry.ts
@@ -1,4 +1,4 @@
-/** Runs a direct entry in the test process, with an agent for its callers. */
+/** A direct entry in the test process, with an HTTP agent for its callers. */
 import {Agent} from 'node:http';
 
 import {CallerServer} from '../../platform/caller-server.js';
@@ -15,12 +15,14 @@
 export interface DirectEntryOptions {
   readonly vm: string;
   readonly storeUrl: string;
+  /** Time within which a revoked key must be refused; undefined for no bound. */
   readonly revokeMs?: number;
+  /** By default nothing is logged. */
   readonly logger?: Logger;
 }
 
 /**
- * An entry that listens on a port of its own.
+ * An entry that listens on a free port.
  *
  * @example
  * const entry = await DirectEntry.start({vm: 'entry-1', storeUrl: store.url});
@@ -28,6 +30,7 @@
 export class DirectEntry {
   readonly process: DirectProcess;
   readonly server: CallerServer;
+  /** Sends the requests of callers over one connection. */
   readonly agent = new Agent({keepAlive: true, maxSockets: 1});
   port = 0;
 
--- a/test/support/direct-site.ts
+++ b/test/support/direct-site.ts
@@ -1,4 +1,4 @@
-/** Direct entries between a stand-in store and stand-in targets. */
+/** A site of direct entries, a stand-in store and stand-in targets. */
 import type {Agent} from 'node:http';
 
 import type {CallerServer} from '../../platform/caller-server.js';
@@ -26,6 +26,7 @@
 
 /** Options of a site. */
 export interface SiteOptions {
+  /** Time within which a revoked key must be refused; undefined for no bound. */
   readonly revokeMs?: number;
   /** Number of entries, all with the same targets; 1 by default. */
   readonly entries?: number;
@@ -153,7 +154,7 @@
     headers?: Record<string, string>;
     body?: string;
     onData?: (text: string) => void;
-    /** Uses other connections than those of the entry's agent. */
+    /** HTTP agent; by default the one of the entry. */
     agent?: Agent;
     /** Index of the entry that is called; 0 by default. */
     entry?: number;
--- a/test/support/fault-site.ts
+++ b/test/support/fault-site.ts
@@ -1,4 +1,4 @@
-/** A small site in which tests fail engines, agents and entries. */
+/** A small site with faults of engines, agents and entries. */
 import {expectedOutput} from '../../stand-ins/engine/text.js';
 import type {CompletionRequest, Transcript} from '../../tools/lab/caller.js';
 import {createTranscript, readStream} from '../../tools/lab/caller.js';
@@ -10,7 +10,9 @@
 /** How a component fails. */
 export enum Fault {
   KILL = 'kill',
+  /** Receives SIGSTOP, and SIGCONT after the test case. */
   PAUSE = 'freeze',
+  /** Its relay stops forwarding data; connections stay open. */
   DISCONNECT = 'cut',
 }
 
@@ -41,7 +43,7 @@
   readonly relay: StandIn;
 }
 
-/** Undoes a fault. */
+/** Ends a fault: resumes, reconnects or replaces the component. */
 export type Undo = () => Promise<void>;
 
 /** Which components of a test case fail, how and when. */
@@ -61,7 +63,7 @@
 /** Runs generations on a site and injects faults while they run. */
 export class FaultSite {
   private readonly entries: RelayedEntry[] = [];
-  private nextIndex = 0;
+  private nextEntryIndex = 0;
 
   private constructor(readonly site: Site) {}
 
@@ -99,7 +101,7 @@
     const {req, faultCase} = options;
     const {stage} = faultCase;
     const {faultPosition = positionOfStage(stage, req)} = options;
-    const firstIndex = this.nextIndex++;
+    const firstIndex = this.nextEntryIndex++;
     const undos: Undo[] = [];
     let injection: Promise<void> | undefined;
     const injectOnce = (findTarget: () => Promise<Target>): void => {
@@ -128,18 +130,24 @@
     return transcript;
   }
 
-  /** Reads a generation to its end, at the next entry after each break. */
+  /**
+   * Reads a generation to its end. After each broken connection the caller
+   * resumes at the next entry.
+   */
   async readGeneration(options: {
     req: CompletionRequest;
+    /** Index of the first entry to call; by default the next in turn. */
     firstIndex?: number;
+    /** Number of received tokens at which the caller disconnects once. */
     disconnectAt?: number;
     onStart?: () => void;
     onChunk?: (transcript: Transcript) => void;
+    /** Awaited before the caller reconnects. */
     onDisconnect?: () => Promise<void> | undefined;
   }): Promise<Transcript> {
     const {
       req,
-      firstIndex = this.nextIndex++,
+      firstIndex = this.nextEntryIndex++,
       disconnectAt,
       onStart,
       onDisconnect,
@@ -173,6 +181,7 @@
       }).catch(() => undefined);
       clearTimeout(timer);
       if (snapshot !== undefined) {
+        // Discards events that arrived after the caller disconnected.
         transcript = snapshot;
         await onDisconnect?.();
         continue;
@@ -182,7 +191,7 @@
     return transcript;
   }
 
-  /** The target that runs a generation, according to its last event. */
+  /** The target that runs a generation, according to its last event id. */
   async targetOf(transcript: Transcript): Promise<Target> {
     const vm = transcript.lastEventId.split(':')[2];
     const known = this.site.engines.find((target) => target.vm === vm);
@@ -296,7 +305,7 @@
   }
 }
 
-/** Number of tokens that a caller has received, from its last event. */
+/** Number of tokens that a caller has received, from its last event id. */
 function positionOf(transcript: Transcript): number {
   return Number(transcript.lastEventId.split(':').at(-1));
 }
@@ -304,6 +313,7 @@
 function positionOfStage(stage: FaultStage, req: CompletionRequest): number {
   switch (stage) {
     case FaultStage.START:
+      // Injected as soon as an engine is generating, not at a token.
       return Number.POSITIVE_INFINITY;
     case FaultStage.MIDDLE:
       return Math.floor(req.maxTokens / 2);
