--- a/test/processes/booking.test.ts
+++ b/test/processes/booking.test.ts
@@ -31,13 +31,13 @@
 interface BookingCase {
   readonly name: string;
   readonly run: () => Promise<BookingResult[]>;
-  /** `ran reason` of each result, in order; `*` matches anything. */
+  /** `ran` and `reason` of each result, in order; `*` matches anything. */
   readonly expected: readonly string[];
   /** Executions at the service; undefined if both 0 and 1 are allowed. */
   readonly executions?: number;
   /**
-   * A resumed agent may abort the execution, so that none is allowed too; then
-   * no response may report an outcome.
+   * A resumed agent may abort the execution: if every result is `unknown`, 0
+   * executions are allowed too.
    */
   readonly mayAbort?: true;
 }
@@ -262,13 +262,13 @@
   results: readonly BookingResult[],
   executions: number,
 ): void {
-  const no = results.some(
+  const isReportedAsNotRun = results.some(
     ({ran, reason}) => ran === 'no' && reason !== KEY_REUSED,
   );
-  const yes = results.filter(({ran}) => ran === 'yes');
-  expect(executions).toBeLessThanOrEqual(no ? 0 : 1);
-  if (yes.length > 0) expect(executions).toBe(1);
-  expect(new Set(yes.map(({text}) => text)).size).toBeLessThanOrEqual(1);
+  const succeeded = results.filter(({ran}) => ran === 'yes');
+  expect(executions).toBeLessThanOrEqual(isReportedAsNotRun ? 0 : 1);
+  if (succeeded.length > 0) expect(executions).toBe(1);
+  expect(new Set(succeeded.map(({text}) => text)).size).toBeLessThanOrEqual(1);
 }
 
 describe('bookings', () => {
--- a/test/processes/config.test.ts
+++ b/test/processes/config.test.ts
@@ -1,3 +1,4 @@
+/** Distribution of configurations; `plantainrill apply` under faults. */
 import {spawn} from 'node:child_process';
 import {
   cpSync,
@@ -18,9 +19,9 @@
 import type {SiteOptions} from '../../tools/lab/site.js';
 import {Site} from '../../tools/lab/site.js';
 
-const TEST_MS = 180_000;
-const WAIT_MS = 60_000;
-const SAMPLE_MS = 50;
+const TEST_TIMEOUT_MS = 180_000;
+const WAIT_TIMEOUT_MS = 60_000;
+const SAMPLE_INTERVAL_MS = 50;
 const CONFLICT_STATUS = 3;
 
 interface Status {
@@ -72,7 +73,7 @@
       }
       highestVersions.set(id, Math.max(before, status.configVersion));
     }
-    await new Promise((resolve) => setTimeout(resolve, SAMPLE_MS));
+    await new Promise((resolve) => setTimeout(resolve, SAMPLE_INTERVAL_MS));
   }
 }
 
@@ -140,7 +141,7 @@
 ): Promise<void> {
   await waitUntil({
     what: `version ${version} is active at all processes`,
-    timeoutMs: WAIT_MS,
+    timeoutMs: WAIT_TIMEOUT_MS,
     check: async () => {
       const versions = await Promise.all(selectDaemons().map(versionOf));
       return versions.every((found) => found === version);
@@ -179,9 +180,9 @@
       expect((await apply('1')).status).toBe(0);
       await waitForVersion(await storedVersion());
       const status = await readStatus(cut);
-      expect(status!.configAgeMs).toBeLessThan(WAIT_MS);
+      expect(status!.configAgeMs).toBeLessThan(WAIT_TIMEOUT_MS);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -197,7 +198,7 @@
       paused.proc.resume();
       await waitForVersion(await storedVersion());
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -220,7 +221,7 @@
       const status = await readStatus(started);
       expect(status).toMatchObject({ready: true, configVersion: version});
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -238,7 +239,7 @@
       await setFault({mode: 'ok'});
       await waitForVersion(await storedVersion());
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
 
@@ -272,7 +273,7 @@
       expect(await storedVersion()).toBe(before + 1);
       await waitForVersion(before + 1);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -290,7 +291,7 @@
       expect(await storedVersion()).toBe(before + 1);
       await waitForVersion(before + 1);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -311,6 +312,6 @@
       expect(await storedVersion()).toBe(before + 1);
       await waitForVersion(before + 1);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/test/processes/direct-logs.test.ts
+++ b/test/processes/direct-logs.test.ts
@@ -64,17 +64,17 @@
     rmSync(folder, {recursive: true});
   });
 
-  async function sendRefused(number: number): Promise<number> {
+  async function sendRefused(requestNumber: number): Promise<number> {
     const startMs = performance.now();
-    const reply = await sendSiteRequest({
+    const response = await sendSiteRequest({
       ...callersEndpointOf(ADDRESS),
       agent,
       path: SitePath.SAFE,
       key: 'no key of ours',
-      attemptId: `${number}-`.padEnd(ID_LENGTH, 'x'),
+      attemptId: `${requestNumber}-`.padEnd(ID_LENGTH, 'x'),
       deadlineMs: 1_000,
     });
-    expect(reply.status).toBe(401);
+    expect(response.status).toBe(401);
     return performance.now() - startMs;
   }
 
--- a/test/processes/drain.test.ts
+++ b/test/processes/drain.test.ts
@@ -1,3 +1,4 @@
+/** Graceful shutdown of entries and targets, also of all under load. */
 import {Readable} from 'node:stream';
 import {setTimeout as sleep} from 'node:timers/promises';
 
@@ -17,8 +18,8 @@
 import type {SiteOptions, Target} from '../../tools/lab/site.js';
 import {Site} from '../../tools/lab/site.js';
 
-const WAIT_MS = 60_000;
-const TEST_MS = 180_000;
+const EXIT_TIMEOUT_MS = 60_000;
+const TEST_TIMEOUT_MS = 180_000;
 
 let site: Site;
 
@@ -60,14 +61,14 @@
   readonly finished: number;
 }
 
-async function countsOf(target: Target): Promise<EngineCounts> {
+async function readCounts(target: Target): Promise<EngineCounts> {
   const url = `${target.standIn.url}/counts`;
   return (await sendControl({url})) as EngineCounts;
 }
 
 async function findBusyEngine(): Promise<Target> {
   for (const target of site.engines) {
-    const {started, finished} = await countsOf(target);
+    const {started, finished} = await readCounts(target);
     if (started > finished) return target;
   }
   throw new Error('no engine is generating');
@@ -83,7 +84,7 @@
 }
 
 async function exitCodeOf(daemon: Daemon): Promise<number | null | undefined> {
-  return Promise.race([daemon.proc.exited, sleep(WAIT_MS, undefined)]);
+  return Promise.race([daemon.proc.exited, sleep(EXIT_TIMEOUT_MS, undefined)]);
 }
 
 const LOOKUP_REQUEST = {
@@ -132,8 +133,8 @@
       let stopped: Promise<unknown> | undefined;
       const reading = generate({
         tokens: 150,
-        onChunk: ({chunks: pieces}) => {
-          if (pieces === 20) stopped = stop(entry);
+        onChunk: ({chunks}) => {
+          if (chunks === 20) stopped = stop(entry);
         },
       });
       await waitUntil({
@@ -150,7 +151,7 @@
       expect(await exitCodeOf(entry)).toBe(0);
       await keepAliveClient.close();
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   // Only if the caller marks the key as new can a draining entry rule out that
@@ -185,7 +186,7 @@
       expect(problem).toMatchObject({reason: 'leaving', ran});
       expect(await exitCodeOf(entry)).toBe(0);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -202,7 +203,7 @@
       expect(await exitCodeOf(entry)).toBe(0);
       await keepAliveClient.close();
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
 
@@ -211,7 +212,7 @@
     {name: 'SIGTERM', stop: ({agent}) => terminate(agent)},
     {name: 'drain', stop: ({agent}) => drain(agent)},
     {
-      name: 'twice',
+      name: 'SIGTERM, drain and SIGTERM again',
       stop: async ({agent}) => {
         agent.proc.terminate();
         await drain(agent);
@@ -231,8 +232,8 @@
       let leavingTarget: Promise<Target> | undefined;
       await generate({
         tokens: 200,
-        onChunk: ({chunks: pieces}) => {
-          if (pieces !== 20) return;
+        onChunk: ({chunks}) => {
+          if (chunks !== 20) return;
           leavingTarget = findBusyEngine().then(async (target) => {
             await stop(target);
             return target;
@@ -246,7 +247,7 @@
         'retries_total{reason="target_leaving"} 1',
       );
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -258,7 +259,7 @@
       first.agent.proc.pause();
       await site.markAsLeaving(first, 'drafts');
       await sleep(2_000);
-      const before = (await countsOf(first)).started;
+      const before = (await readCounts(first)).started;
       first.agent.proc.resume();
       const load = new MixedLoad({
         site,
@@ -271,10 +272,10 @@
       expect(await exitCodeOf(first.agent)).toBe(0);
       const tally = await load.stop();
       expect(tally).toMatchObject({generations: {wrong: []}, cutOff: []});
-      expect((await countsOf(first)).started).toBe(before);
-      expect((await countsOf(second)).started).toBeGreaterThan(0);
+      expect((await readCounts(first)).started).toBe(before);
+      expect((await readCounts(second)).started).toBeGreaterThan(0);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -284,8 +285,8 @@
       let stopped: Target[] = [];
       await generate({
         tokens: 150,
-        onChunk: ({chunks: pieces}) => {
-          if (pieces !== 20) return;
+        onChunk: ({chunks}) => {
+          if (chunks !== 20) return;
           void findBusyEngine().then((target) => {
             target.standIn.proc.kill();
             stopped = site.engines.filter((t) => t !== target).slice(0, 1);
@@ -295,7 +296,7 @@
       });
       expect(await exitCodeOf(stopped[0]!.agent)).toBe(0);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
 
@@ -359,6 +360,6 @@
       expect(duplicates).toEqual([]);
       expect(ledger.perKey).toHaveLength(load.bookedKeys.length);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/test/processes/end-to-end.test.ts
+++ b/test/processes/end-to-end.test.ts
@@ -322,11 +322,14 @@
       ran: 'no',
     });
     expect(res.headers['retry-after']).toBeDefined();
-    const first = {'idempotency-key': 'k', 'idempotency-first-use': 'true'};
+    const firstUseHeaders = {
+      'idempotency-key': 'k',
+      'idempotency-first-use': 'true',
+    };
     for (const [headers, ran] of [
       // Another entry may have run an earlier request with the key.
       [{'idempotency-key': 'k'}, 'unknown'],
-      [first, 'no'],
+      [firstUseHeaders, 'no'],
     ] as const) {
       const url = `${entry.callersUrl}/services/orders/bookings`;
       const booking = await send({url, headers, body: '{}'});
--- a/test/processes/generation-agent-entry.test.ts
+++ b/test/processes/generation-agent-entry.test.ts
@@ -8,11 +8,12 @@
   lost: 'its agent and its entry',
   components: [Component.AGENT, Component.ENTRY],
   checkRestarts: ({restarts}, {fault, stage}) => {
-    // An entry that callers cannot reach still provides its copy to others.
-    const isLost = fault !== Fault.DISCONNECT;
-    const isSeen =
+    // An entry that callers cannot reach still provides its copy of the output
+    // to other entries.
+    const isCopyLost = fault !== Fault.DISCONNECT;
+    const isRestartCertain =
       stage === FaultStage.MIDDLE || stage === FaultStage.BEFORE_FINAL_EVENT;
-    if (!isLost) expect(restarts).toBe(0);
-    else if (isSeen) expect(restarts).toBeGreaterThan(0);
+    if (!isCopyLost) expect(restarts).toBe(0);
+    else if (isRestartCertain) expect(restarts).toBeGreaterThan(0);
   },
 });
--- a/test/processes/load.test.ts
+++ b/test/processes/load.test.ts
@@ -60,9 +60,9 @@
 }
 
 function isComplete(transcript: Transcript, req: CompletionRequest): boolean {
-  const {doneEvents: ends, errors, text} = transcript;
+  const {doneEvents, errors, text} = transcript;
   const isCorrect = text === expectedText(req.prompt, req.maxTokens);
-  return ends === 1 && errors.length === 0 && isCorrect;
+  return doneEvents === 1 && errors.length === 0 && isCorrect;
 }
 
 async function countStarted(target: Target): Promise<number> {
@@ -84,7 +84,7 @@
     const reading = reqs.map((req) =>
       readWithResume({urls, req, onChunk: () => started.add(req.prompt)}),
     );
-    // Two slots are reserved for resumes; all others are busy.
+    // Two of the 24 slots are reserved for resumes; all others are busy.
     const check = (): Promise<boolean> => Promise.resolve(started.size >= 22);
     await waitUntil({what: 'the engines are full', check});
     engines[0]!.standIn.proc.kill();
--- a/test/processes/membership.test.ts
+++ b/test/processes/membership.test.ts
@@ -1,3 +1,4 @@
+/** Targets whose agents pause, restart or disappear from the VM list. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {request} from 'undici';
@@ -9,8 +10,8 @@
 import type {Target} from '../../tools/lab/site.js';
 import {Site} from '../../tools/lab/site.js';
 
-const TEST_MS = 180_000;
-const WAIT_MS = 60_000;
+const TEST_TIMEOUT_MS = 180_000;
+const WAIT_TIMEOUT_MS = 60_000;
 
 let site: Site;
 
@@ -36,7 +37,7 @@
   for (const entry of site.entries) {
     await waitUntil({
       what: `${target.vm} is ${state} at ${entry.vm}`,
-      timeoutMs: WAIT_MS,
+      timeoutMs: WAIT_TIMEOUT_MS,
       check: async () => (await stateOf(entry, target.vm)) === state,
     });
   }
@@ -85,7 +86,7 @@
       await waitForState(target, 'usable');
       await runLoad();
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -107,7 +108,7 @@
       });
       await waitForState(target, 'usable');
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -117,7 +118,7 @@
       await sleep(2_000);
       await runLoad();
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it(
@@ -132,6 +133,6 @@
       await runLoad();
       expect(await countSuspicions(entry)).toBe(before);
     },
-    TEST_MS,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/test/processes/soak.test.ts
+++ b/test/processes/soak.test.ts
@@ -9,13 +9,13 @@
 import {runSoak} from '../../tools/soak/run.js';
 
 const SIZE = {entries: 3, targets: 1};
-const SHORT_MS = 14_000;
+const SHORT_RUN_MS = 14_000;
 
 /** Time to start the processes, and for faults that last beyond the plan. */
 const OVERHEAD_MS = 60_000;
 
 const CASES = [
-  {seed: 7, durationMs: SHORT_MS, cause: 'none: a short run'},
+  {seed: 7, durationMs: SHORT_RUN_MS, cause: 'none: a short run'},
   ...REGRESSIONS,
 ];
 
@@ -30,6 +30,6 @@
       // The folder is kept only after a failure, to analyse it.
       rmSync(folder, {recursive: true});
     },
-    SHORT_MS + OVERHEAD_MS,
+    SHORT_RUN_MS + OVERHEAD_MS,
   );
 });
