--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -56,7 +56,7 @@
     expect(ended).toEqual(['r2', 'r1', 'r0']);
   });
 
-  it('computes a cached prefix only once', async () => {
+  it('prefills a cached prefix only once', async () => {
     const url = await openEngine({});
     const driver = new HttpEngineDriver({baseUrl: url});
     const spec = createSpec({prompt: 'x'.repeat(400), maxTokens: 32});
@@ -108,7 +108,7 @@
     expect(await program.stop()).toBe(0);
   });
 
-  it('crashes on a marked prompt after the named number of tokens', async () => {
+  it('crashes on a prompt with the crash text after the given tokens', async () => {
     const program = await openProgram(['--crash-on=poison']);
     const driver = new HttpEngineDriver({baseUrl: program.url});
     const other = generate({
--- a/test/stand-ins/relay.test.ts
+++ b/test/stand-ins/relay.test.ts
@@ -9,6 +9,7 @@
 import {getJson, post} from '../support/http.js';
 
 const ADDRESS = '127.0.0.1';
+/** Time without a response that shows that no data is forwarded. */
 const QUIET_MS = 150;
 
 let service: RunningServer;
--- a/test/stand-ins/service.test.ts
+++ b/test/stand-ins/service.test.ts
@@ -8,6 +8,7 @@
 import type {Program} from '../support/program.js';
 import {startProgram} from '../support/program.js';
 
+/** Time without an execution that shows that calls are queued. */
 const QUIET_MS = 100;
 const SERVICE = 'stand-ins/service/main.js';
 
