--- a/tools/capacity/consts.ts
+++ b/tools/capacity/consts.ts
@@ -1,7 +1,7 @@
 /** Reference workload and limits for the capacity calculations. */
 
 /** Number of entries and targets, and their total load at the peak. */
-export const NODES = 900;
+export const ENTRIES = 900;
 export const TARGETS = 6_000;
 export const REQUESTS_PER_SECOND = 87_000;
 export const TOKENS_PER_SECOND = 27_000_000;
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -6,8 +6,8 @@
   CONTROL_BYTES_PER_SECOND,
   CONTROL_CORE_SHARE,
   CONTROL_MEMORY_BYTES,
+  ENTRIES,
   HEARTBEATS_PER_SECOND,
-  NODES,
   PLATFORM_READS_PER_SECOND,
   PLATFORM_WRITES_PER_SECOND,
   REQUESTS_PER_SECOND,
@@ -41,7 +41,7 @@
 
 /** Renders the load of an entry for the reference workload. */
 export function renderEntry(slopes: Slopes): string {
-  const tokens = TOKENS_PER_SECOND / NODES;
+  const tokens = TOKENS_PER_SECOND / ENTRIES;
   const streams = tokens * TOKEN_GAP_S;
   const maxTargets = Math.floor(
     CONTROL_BYTES_PER_SECOND / slopes.heartbeatBytes,
@@ -55,20 +55,21 @@
   return renderRows([
     {
       quantity: 'requests',
-      formula: `${REQUESTS_PER_SECOND} / ${NODES} entries`,
-      value: REQUESTS_PER_SECOND / NODES,
+      formula: `${REQUESTS_PER_SECOND} / ${ENTRIES} entries`,
+      value: REQUESTS_PER_SECOND / ENTRIES,
       unit: '/s',
     },
     {
       quantity: 'cores for requests, beside their tokens',
       formula: 'requests x entry: per generation of one token',
-      value: ((REQUESTS_PER_SECOND / NODES) * slopes.requestUs) / US_PER_SECOND,
+      value:
+        ((REQUESTS_PER_SECOND / ENTRIES) * slopes.requestUs) / US_PER_SECOND,
       unit: 'cores',
       limit: 1,
     },
     {
       quantity: 'tokens relayed',
-      formula: `${TOKENS_PER_SECOND} / ${NODES}`,
+      formula: `${TOKENS_PER_SECOND} / ${ENTRIES}`,
       value: tokens,
       unit: '/s',
     },
@@ -180,8 +181,8 @@
     },
     {
       quantity: 'heartbeats sent, if every entry watches it',
-      formula: `${NODES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
-      value: NODES * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
+      formula: `${ENTRIES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
+      value: ENTRIES * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
       unit: 'bytes/s',
       limit: CONTROL_BYTES_PER_SECOND,
     },
@@ -207,8 +208,8 @@
   return renderRows([
     {
       quantity: 'reads of the VM list',
-      formula: `${NODES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
-      value: NODES * VM_LIST_READS_PER_SECOND,
+      formula: `${ENTRIES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
+      value: ENTRIES * VM_LIST_READS_PER_SECOND,
       unit: '/s',
       limit: PLATFORM_READS_PER_SECOND,
     },
