--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -153,7 +153,7 @@
   private async call(path: SitePath, agent: Agent): Promise<void> {
     const [entry] = this.site.entries;
     const reply = await sendSiteRequest({
-      ...entry!.callers,
+      ...entry!.callersEndpoint,
       agent,
       path,
       key: API_KEY,
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -138,7 +138,7 @@
     };
     const signal = AbortSignal.timeout(abortMs ?? deadlineMs + ABORT_MARGIN_MS);
     const res = await sendSiteRequest({
-      ...entry.callers,
+      ...entry.callersEndpoint,
       agent: this.agent,
       path: PATHS[kind],
       key: keyOf(keyVersion),
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -80,7 +80,7 @@
     return this.options.name;
   }
 
-  get callers(): {host: string; port: number} {
+  get callersEndpoint(): {host: string; port: number} {
     return callersEndpointOf(this.options.address);
   }
 
