--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -2,25 +2,28 @@
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
-/** Bearer key of the quickstart's client account. */
+/** API key of the quickstart's client account, sent as a bearer token. */
 export const DEMO_KEY = 'demo-key';
 
 /** The parts of a response that a caller has received. */
 export interface Transcript {
+  /** Text received since the start or the last `restart` event. */
   text: string;
-  /** Number of events that carried text. */
+  /** Number of events that carried text; a restart does not reset it. */
   chunks: number;
   /** Number of `[DONE]` events. */
   doneEvents: number;
+  /** Empty until the event with the finish reason arrives. */
   finishReason: string;
+  /** Id of the last event that had one; empty if there was none. */
   lastEventId: string;
   /** Number of `restart` events; each discards the text received so far. */
   restarts: number;
-  /** Error documents received in the stream or instead of it. */
+  /** Problem documents received in the stream or instead of it. */
   errors: unknown[];
   /** Arrival time of each text event, as `performance.now()`. */
   arrivalsMs: number[];
-  /** HTTP status of the last response. */
+  /** HTTP status of the last response; 0 before the first. */
   status: number;
 }
 
@@ -28,10 +31,13 @@
 export interface CompletionRequest {
   readonly prompt: string;
   readonly maxTokens: number;
+  /** Model name; `quote-writer` by default. */
   readonly model?: string;
+  /** Stop sequences; none by default. */
   readonly stop?: readonly string[];
+  /** API key; `DEMO_KEY` by default. */
   readonly key?: string;
-  /** Deadline for the whole response, in milliseconds. */
+  /** Time limit for the whole response; the server's default if undefined. */
   readonly deadlineMs?: number;
 }
 
@@ -58,8 +64,11 @@
 }
 
 /**
- * Reads a stream into a transcript until it ends or breaks. If the transcript
- * holds an event id, the stream resumes after that event.
+ * Reads a stream into a transcript until it ends; rejects if the connection
+ * fails. If the transcript has an event id, the stream resumes after that event.
+ *
+ * @example
+ * await readStream({url, req: {prompt, maxTokens: 8}, transcript});
  */
 export async function readStream(options: {
   url: string;
@@ -70,9 +79,10 @@
 }): Promise<void> {
   const {url, req, transcript, signal, onChunk} = options;
   const {lastEventId} = transcript;
-  const resume = lastEventId === '' ? {} : {'last-event-id': lastEventId};
+  const resumeHeaders =
+    lastEventId === '' ? {} : {'last-event-id': lastEventId};
   const {deadlineMs} = req;
-  const deadline =
+  const deadlineHeaders =
     deadlineMs === undefined ? {} : {'x-deadline-ms': String(deadlineMs)};
   const res = await request(`${url}/v1/completions`, {
     method: 'POST',
@@ -82,8 +92,8 @@
     headers: {
       'content-type': 'application/json',
       authorization: `Bearer ${req.key ?? DEMO_KEY}`,
-      ...resume,
-      ...deadline,
+      ...resumeHeaders,
+      ...deadlineHeaders,
     },
     body: JSON.stringify(createBody(req)),
   });
@@ -105,7 +115,11 @@
 }
 
 /**
- * Reads a response to its end, resuming at the next entry after each break.
+ * Reads a response to its end; when the connection breaks, resumes at the next
+ * entry. If all attempts fail, the returned transcript is incomplete.
+ *
+ * @example
+ * const {text} = await readWithResume({urls, req: {prompt, maxTokens: 8}});
  */
 export async function readWithResume(options: {
   urls: readonly string[];
--- a/tools/lab/lab.ts
+++ b/tools/lab/lab.ts
@@ -14,6 +14,7 @@
   readonly proc: Proc;
   readonly url: string;
   readonly port: number;
+  /** 0 if the stand-in has no control port; only the relay has one. */
   readonly controlPort: number;
 }
 
@@ -21,24 +22,33 @@
 export interface Daemon {
   readonly vm: string;
   readonly proc: Proc;
+  /** Base URL for operators. */
   readonly operatorsUrl: string;
-  /** Empty for an agent. */
+  /** Base URL for callers; empty for an agent. */
   readonly callersUrl: string;
   /** 0 if the role accepts no peer connections. */
   readonly peersPort: number;
 }
 
-/** Flags of a stand-in or settings of a daemon, by name. */
+/**
+ * Flags of a stand-in or settings of a daemon, by name. A flag with the value
+ * `true` is passed without a value.
+ */
 export interface NamedValues {
   readonly [name: string]: string | number | boolean;
 }
 
-/** Owns child processes; must be closed after use. */
+/**
+ * Owns child processes; must be closed after use.
+ *
+ * @example
+ * const ledger = await harness.startStandIn({name: 'ledger'});
+ */
 export class ProcessHarness {
   private readonly procs: Proc[] = [];
   private closed = false;
 
-  /** Starts a stand-in by the name of its folder. */
+  /** Starts a stand-in by the name of its folder in `stand-ins/`. */
   async startStandIn(options: {
     name: string;
     flags?: NamedValues;
@@ -54,7 +64,7 @@
     return {proc, port, controlPort, url: `http://${ADDRESS}:${port}`};
   }
 
-  /** Starts the daemon with the quickstart's settings and overrides. */
+  /** Starts a daemon with the quickstart's settings, overridden by `settings`. */
   async startDaemon(options: {
     role: 'entry' | 'agent';
     settings: NamedValues;
@@ -67,7 +77,7 @@
       ...settings,
     };
     const path = `quickstart/processes/${role}.yaml`;
-    const base = fileURLToPath(new URL(path, EXAMPLES));
+    const settingsFile = fileURLToPath(new URL(path, EXAMPLES));
     const args = Object.entries(overrides).flatMap(([name, value]) => [
       '--set',
       `${name}=${value}`,
@@ -75,7 +85,7 @@
     const script = 'src/daemon/main.js';
     const {proc, ready} = await this.start(script, [
       '--settings',
-      base,
+      settingsFile,
       ...args,
     ]);
     return createDaemon(String(settings['vm']), proc, ready);
@@ -91,7 +101,8 @@
   }
 
   private async start(script: string, args: readonly string[]) {
-    // After a failed parallel start closed the harness, no process may be left.
+    // If one of several concurrent starts fails, the harness is closed while
+    // the others continue; a process started after that would never be killed.
     if (this.closed) throw new Error('the process harness is closed');
     const proc = Proc.start({script, args});
     this.procs.push(proc);
@@ -102,7 +113,13 @@
   }
 }
 
-/** Sends JSON to a control endpoint and reads JSON back. */
+/**
+ * Sends JSON to a control endpoint and returns the JSON of the response;
+ * undefined if the response is empty. The status is not checked.
+ *
+ * @example
+ * await sendControl({url: `${ledger.url}/counts`});
+ */
 export async function sendControl(options: {
   url: string;
   method?: 'GET' | 'POST' | 'PUT' | 'DELETE';
@@ -118,7 +135,12 @@
   return text === '' ? undefined : (JSON.parse(text) as unknown);
 }
 
-/** Cuts, restores or resets the connections of a relay. */
+/**
+ * Cuts, restores (`mend`) or resets the connections of a relay.
+ *
+ * @example
+ * await controlRelay(relay, 'cut');
+ */
 export async function controlRelay(
   relay: StandIn,
   action: 'cut' | 'mend' | 'reset',
@@ -127,8 +149,15 @@
   await sendControl({url, method: 'POST', body: {}});
 }
 
-/** Polls until `check` resolves to true; rejects after `timeoutMs`. */
+/**
+ * Polls until `check` resolves to true; rejects after `timeoutMs`. A check that
+ * rejects counts as false.
+ *
+ * @example
+ * await waitUntil({what: 'the entry is ready', check: () => isReady(entry)});
+ */
 export async function waitUntil(options: {
+  /** The expected condition, for the error message. */
   what: string;
   check: () => Promise<boolean>;
   timeoutMs?: number;
--- a/tools/lab/mixed-load.ts
+++ b/tools/lab/mixed-load.ts
@@ -6,7 +6,10 @@
 import {createTranscript, DEMO_KEY, readStream} from './caller.js';
 import type {Site} from './site.js';
 
+/** Pause between two requests of a loop and between readiness polls. */
 const PAUSE_MS = 20;
+
+/** Attempts per request; the pauses between them add up to 30 s. */
 const MAX_ATTEMPTS = 1_500;
 
 /** Outcomes of the requests of one kind. */
@@ -30,16 +33,27 @@
   cutOff: string[];
 }
 
+/** Members of a problem document. */
 interface Problem {
   readonly reason?: string;
+  /** `no` if nothing ran, so that the request can be sent again. */
   readonly ran?: string;
 }
 
 /** Response to a plain call; undefined if the connection failed or broke. */
 type PlainResponse = {status: number; body: unknown} | undefined;
 
-/** Sends to ready entries in turn; retries refused requests at the next. */
+/**
+ * Sends requests to the ready entries in turn. If a refusal states that nothing
+ * ran, or the connection fails, the request is retried at the next entry.
+ *
+ * @example
+ * const load = new MixedLoad({site, generations: 2, tokens: 50, ...});
+ * await load.start();
+ * const tally = await load.stop();
+ */
 export class MixedLoad {
+  /** Idempotency keys of all bookings sent. */
   readonly bookedKeys: string[] = [];
   private readonly tally: LoadTally = {
     generations: {done: 0, wrong: []},
@@ -62,16 +76,18 @@
   constructor(
     private readonly options: {
       site: Site;
-      /** Number of concurrent generations, and tokens of each. */
+      /** Number of concurrent generations. */
       generations: number;
+      /** Number of tokens of each generation. */
       tokens: number;
-      /** Number of concurrent loops of bookings and of lookups. */
+      /** Number of concurrent loops that send bookings. */
       bookings: number;
+      /** Number of concurrent loops that look up stock. */
       lookups: number;
     },
   ) {}
 
-  /** Looks for ready entries and starts the load. */
+  /** Finds the ready entries, then starts all loops. */
   async start(): Promise<void> {
     await this.updateReadyUrls();
     this.loops.push(this.pollReadiness());
@@ -81,7 +97,7 @@
     for (let i = 0; i < lookups; i++) this.startLoop(() => this.lookUp());
   }
 
-  /** Sends no more requests, waits for those in flight, returns the tally. */
+  /** Stops the loops, waits for open requests and returns the tally. */
   async stop(): Promise<LoadTally> {
     this.stopping = true;
     await Promise.all(this.loops);
@@ -106,6 +122,7 @@
     }
   }
 
+  /** Updates the list of ready entries; keeps it if no entry is ready. */
   private async updateReadyUrls(): Promise<void> {
     const running = this.options.site.entries.filter((e) => e.proc.isRunning);
     const checks = running.map(async (entry) => {
@@ -175,7 +192,10 @@
     else this.tally.stock.wrong.push(JSON.stringify(res));
   }
 
-  /** Tries entry after entry until a response does not state `ran: no`. */
+  /**
+   * Sends a call to one entry after another until a response does not state
+   * `ran: no`; returns undefined if all attempts fail.
+   */
   private async sendUntilAccepted(call: {
     path: string;
     method: 'GET' | 'POST';
@@ -215,10 +235,11 @@
     }
   }
 
-  private recordFailure(what: string, cause: unknown): void {
+  private recordFailure(requestName: string, cause: unknown): void {
     const {code, message} = cause as {code?: string; message?: string};
     if (code === 'ECONNREFUSED') this.tally.notConnected++;
-    else this.tally.cutOff.push(`${what}: ${code ?? message ?? 'unknown'}`);
+    else
+      this.tally.cutOff.push(`${requestName}: ${code ?? message ?? 'unknown'}`);
   }
 }
 
@@ -226,7 +247,7 @@
   return new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
 }
 
-/** Marks the key as new, so that a refusal can state that nothing ran. */
+/** States that the key is new, so that a refusal can state that nothing ran. */
 function createKeyHeaders(key: string): Record<string, string> {
   return {'idempotency-key': key, 'idempotency-first-use': 'true'};
 }
--- a/tools/lab/paths.ts
+++ b/tools/lab/paths.ts
@@ -1,4 +1,4 @@
-/** Paths of programs and examples, for compiled and uncompiled use. */
+/** Paths in the repository; valid in compiled modules and in sources under Vitest. */
 import {existsSync} from 'node:fs';
 
 /** Root of the repository. */
@@ -7,7 +7,7 @@
 /** Root of the compiled programs. */
 export const DIST = new URL('dist/', ROOT);
 
-/** The example deployments. */
+/** Folder of the example deployments. */
 export const EXAMPLES = new URL('examples/', ROOT);
 
 function findRoot(folder: URL): URL {
--- a/tools/lab/proc.ts
+++ b/tools/lab/proc.ts
@@ -32,7 +32,12 @@
   readonly onLine?: (line: string) => void;
 }
 
-/** A program in a child process, controlled by signals. */
+/**
+ * A program in a child process, controlled by signals.
+ *
+ * @example
+ * const proc = Proc.start({script: 'stand-ins/ledger/main.js', args: []});
+ */
 export class Proc {
   /** Resolves to the exit status; null if a signal ended the process. */
   readonly exited: Promise<number | null>;
@@ -41,6 +46,10 @@
 
   private constructor(
     private readonly child: ChildProcess,
+    /**
+     * Resolves when the program listens; rejects if it exits before that or
+     * takes longer than `READY_TIMEOUT_MS`.
+     */
     readonly ready: Promise<ReadyFields>,
   ) {
     this.exited = new Promise((resolve) => {
@@ -68,6 +77,7 @@
     const lines = createInterface({input: child.stdout!});
     if (onLine !== undefined) lines.on('line', onLine);
     const ready = readReadyLine({child, lines, script});
+    // Prevents an unhandled rejection if the caller does not await `ready`.
     ready.catch(() => undefined);
     return new Proc(child, ready);
   }
--- a/tools/lab/site-caller.ts
+++ b/tools/lab/site-caller.ts
@@ -21,7 +21,9 @@
   readonly agent: Agent;
   readonly path: string;
   readonly method?: string;
+  /** API key of a client account. */
   readonly key: string;
+  /** Value of the `Attempt-Id` header, which identifies the request. */
   readonly attemptId: string;
   /** Value of the `Deadline-Ms` header, in milliseconds. */
   readonly deadlineMs: number;
--- a/tools/lab/site.ts
+++ b/tools/lab/site.ts
@@ -16,7 +16,9 @@
 
 /** A target with its agent. */
 export interface Target {
+  /** Name of the VM in the platform's VM list. */
   readonly vm: string;
+  /** The engine or plain service. */
   readonly standIn: StandIn;
   readonly agent: Daemon;
   /** Relay between the agent and its target, if the site has relays. */
@@ -27,9 +29,13 @@
 
 /** Size of a site and flags of its stand-ins. */
 export interface SiteOptions {
+  /** Number of entries; 2 by default. */
   readonly entries?: number;
+  /** Number of engines; 2 by default. */
   readonly engines?: number;
+  /** Number of `orders` services; 0 by default. */
   readonly orders?: number;
+  /** Number of `stock` services; 0 by default. */
   readonly stock?: number;
   readonly engineFlags?: NamedValues;
   readonly serviceFlags?: NamedValues;
@@ -40,7 +46,12 @@
   readonly editBase?: (base: Record<string, unknown>) => void;
 }
 
-/** A running site; must be closed after use. */
+/**
+ * A running site; must be closed after use.
+ *
+ * @example
+ * const site = await Site.create({entries: 2, engines: 2});
+ */
 export class Site {
   readonly harness = new ProcessHarness();
   readonly engines: Target[] = [];
@@ -150,7 +161,7 @@
     return entry;
   }
 
-  /** Starts a new agent for a target, under the same VM name. */
+  /** Starts a new agent for a target whose agent exited; the VM name stays. */
   async restartAgent(target: Target, kind: string, service: string) {
     const index = 0;
     return this.addTarget({...target, kind, service, index});
@@ -275,7 +286,12 @@
   list.push(...(await Promise.all(starts)));
 }
 
-/** Loads and checks an example deployment. */
+/**
+ * Loads and checks the deployment in a folder of `examples/`.
+ *
+ * @example
+ * const document = loadExample('quickstart');
+ */
 export function loadExample(name: string): ConfigDocument {
   const root = fileURLToPath(new URL(`${name}/`, EXAMPLES));
   const overlays = readdirSync(`${root}overlays`);
@@ -290,6 +306,7 @@
   return checked._unsafeUnwrap().document;
 }
 
+/** Number of targets that an entry can use; 0 while it is not ready. */
 async function countUsable(entry: Daemon): Promise<number> {
   const res = await request(`${entry.operatorsUrl}/status`);
   const status = (await res.body.json()) as {
