--- a/test/tools/soak/checks.test.ts
+++ b/test/tools/soak/checks.test.ts
@@ -1,4 +1,4 @@
-/** Each check of the soak detects violations of its guarantee, and no others. */
+/** Each check of the soak detects violations of its own guarantee only. */
 import {describe, expect, it} from 'vitest';
 
 import {
--- a/tools/lab/caller.ts
+++ b/tools/lab/caller.ts
@@ -65,7 +65,7 @@
 
 /**
  * Reads a stream into a transcript until it ends; rejects if the connection
- * fails. If the transcript has an event id, the stream resumes after that event.
+ * fails. Resumes after the last event if the transcript has its id.
  *
  * @example
  * await readStream({url, req: {prompt, maxTokens: 8}, transcript});
--- a/tools/lab/lab.ts
+++ b/tools/lab/lab.ts
@@ -64,7 +64,7 @@
     return {proc, port, controlPort, url: `http://${ADDRESS}:${port}`};
   }
 
-  /** Starts a daemon with the quickstart's settings, overridden by `settings`. */
+  /** Starts a daemon; `settings` override those of the quickstart. */
   async startDaemon(options: {
     role: 'entry' | 'agent';
     settings: NamedValues;
--- a/tools/lab/paths.ts
+++ b/tools/lab/paths.ts
@@ -1,4 +1,4 @@
-/** Paths in the repository; valid in compiled modules and in sources under Vitest. */
+/** Paths in the repository; valid in compiled modules and in sources. */
 import {existsSync} from 'node:fs';
 
 /** Root of the repository. */
--- a/tools/soak/callers.ts
+++ b/tools/soak/callers.ts
@@ -26,7 +26,7 @@
   [RequestKind.MOVING]: SitePath.MOVING,
 };
 
-/** Mix of request kinds; each list element is equally likely. */
+/** Kinds from which each request is drawn; each element is equally likely. */
 const REQUEST_MIX = [
   RequestKind.SAFE,
   RequestKind.UNSAFE,
@@ -39,7 +39,7 @@
 const ABORT_SHARE = 0.1;
 const MAX_ABORT_MS = 1_500;
 
-/** Share of the requests with a key that configuration changes revoke. */
+/** Share of the requests whose key is added and later revoked by changes. */
 const CHANGING_KEY_SHARE = 0.4;
 
 /** Longest pause between two requests of a caller, in milliseconds. */
@@ -50,10 +50,16 @@
 
 const PROBE_INTERVAL_MS = 200;
 
-/** Consecutive failed readiness probes that remove an entry. */
+/** Consecutive failed probes after which an entry gets no new connections. */
 const UNREADY_THRESHOLD = 2;
 
-/** Probes the entries and lists those that accept new connections. */
+/**
+ * Probes the entries and lists those that accept new connections.
+ *
+ * @example
+ * const balancer = new LoadBalancer(site.entries);
+ * const probing = balancer.run();
+ */
 export class LoadBalancer {
   private readonly failures = new Map<SoakEntry, number>();
   private isStopped = false;
@@ -85,7 +91,12 @@
   }
 }
 
-/** Sends requests sequentially until it is stopped. */
+/**
+ * Sends one request after another until it is stopped.
+ *
+ * @example
+ * const run = new SoakCaller('c1', seed, site, balancer).run();
+ */
 export class SoakCaller {
   private readonly random: RandomSource;
   private agent = new Agent({keepAlive: true, maxSockets: 1});
@@ -170,15 +181,15 @@
     return 1 + this.random.below(MAX_ABORT_MS);
   }
 
-  /** Draws mostly a valid key, sometimes a revoked one. */
+  /** Draws the permanent key, one of the two newest or the last revoked one. */
   private drawKeyVersion(): number {
     if (this.random.float() >= CHANGING_KEY_SHARE) return 0;
     const accepted = this.site.history.configs.filter(
       ({ackMs}) => ackMs < Infinity,
     );
     const newest = accepted.at(-1)?.version ?? 0;
-    const age = this.pick([0, 0, 0, 1, 2])!;
-    return Math.max(0, newest - age);
+    const ageInVersions = this.pick([0, 0, 0, 1, 2])!;
+    return Math.max(0, newest - ageInVersions);
   }
 
   private pick<T>(choices: readonly T[]): T | undefined {
--- a/tools/soak/checks/control.ts
+++ b/tools/soak/checks/control.ts
@@ -20,7 +20,7 @@
 /** A version revokes the key that was added this many versions before. */
 export const KEY_LIFETIME_VERSIONS = 2;
 
-/** Time for which responses may still follow an older configuration. */
+/** Time after a response for which requests may use an older configuration. */
 const CONFIG_CHANGE_TOLERANCE_MS = 500;
 
 /** Largest tolerated share of aborted streams whose runs continue. */
@@ -29,16 +29,22 @@
 /** Minimum number of aborted streams for checking that share. */
 const MIN_CANCELLED = 4;
 
-/** Service of the model servers; their retry budget is separate. */
+/** Service of the model servers, which have a separate retry budget. */
 const WRITERS = 'writers';
 
-/** A revoked key is not accepted, whatever other faults there are. */
+/**
+ * No request runs `KEY_REVOCATION_MS` after its key was revoked. Injected faults
+ * excuse no violation.
+ */
 export const REVOKED_KEYS: GuaranteeCheck = {
   guarantee: 'a revoked key is refused in time',
   find: (history) => {
     const attempts = attemptsById(history);
     return history.arrivals.flatMap(({attemptId, keyVersion, hasRun}) => {
-      const revocation = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+      const revocation = findConfigChange(
+        history,
+        keyVersion + KEY_LIFETIME_VERSIONS,
+      );
       const sentMs = attempts.get(attemptId)?.sentMs ?? 0;
       if (!hasRun || keyVersion === 0 || revocation === undefined) return [];
       const lateMs = sentMs - revocation.ackMs - KEY_REVOCATION_MS;
@@ -48,7 +54,10 @@
   },
 };
 
-/** An accepted configuration is applied within seconds. */
+/**
+ * Entries always accept the permanent key, and accept the key of a version from
+ * `CONFIG_APPLY_MS` after the store accepted it until it is revoked.
+ */
 export const CONFIG_APPLIED: GuaranteeCheck = {
   guarantee: 'an accepted configuration is applied within seconds',
   find: (history) =>
@@ -57,8 +66,11 @@
       .filter((attempt) => {
         const {keyVersion, entry, sentMs, endMs} = attempt;
         if (keyVersion === 0) return true;
-        const added = versionOf(history, keyVersion);
-        const removed = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const added = findConfigChange(history, keyVersion);
+        const removed = findConfigChange(
+          history,
+          keyVersion + KEY_LIFETIME_VERSIONS,
+        );
         const isValid =
           added !== undefined &&
           sentMs > added.ackMs + CONFIG_APPLY_MS &&
@@ -72,11 +84,15 @@
       })),
 };
 
-/** A process never uses an older configuration than before. */
+/**
+ * A process never uses an older configuration than before: once it accepted the
+ * key of a version, it rejects no valid key up to that version and accepts none
+ * that the version revoked.
+ */
 export const NO_CONFIG_ROLLBACK: GuaranteeCheck = {
   guarantee: 'a configuration never reverts',
   find: (history) => {
-    const ran = new Set(
+    const ranIds = new Set(
       history.arrivals
         .filter(({hasRun}) => hasRun)
         .map(({attemptId}) => attemptId),
@@ -84,18 +100,21 @@
     return history.attempts
       .filter(({keyVersion}) => keyVersion > 0)
       .filter((attempt) => {
-        const newestUsed = newestUsedVersion(history, attempt, ran);
+        const newestUsed = newestUsedVersion(history, attempt, ranIds);
         const {id, keyVersion, status = 0} = attempt;
-        const usesOld =
-          ran.has(id) && keyVersion <= newestUsed - KEY_LIFETIME_VERSIONS;
-        const removal = versionOf(history, keyVersion + KEY_LIFETIME_VERSIONS);
+        const usesRevokedKey =
+          ranIds.has(id) && keyVersion <= newestUsed - KEY_LIFETIME_VERSIONS;
+        const removal = findConfigChange(
+          history,
+          keyVersion + KEY_LIFETIME_VERSIONS,
+        );
         const isRevoked =
           removal !== undefined && removal.sentMs < attempt.endMs;
-        const rejectsUsed =
+        const rejectsValidKey =
           DENIED_STATUSES.includes(status) &&
           keyVersion <= newestUsed &&
           !isRevoked;
-        return usesOld || rejectsUsed;
+        return usesRevokedKey || rejectsValidKey;
       })
       .map(({id, entry, keyVersion}) => ({
         id,
@@ -104,7 +123,7 @@
   },
 };
 
-/** A moved route is served by its new service. */
+/** `CONFIG_APPLY_MS` after a route moved, its requests use the new service. */
 export const MOVED_ROUTES: GuaranteeCheck = {
   guarantee: 'a moved route is served by its new service',
   find: (history) => {
@@ -124,7 +143,7 @@
   },
 };
 
-/** A draining target gets no new work. */
+/** No request arrives at a target `DRAIN_NOTICE_MS` after it began draining. */
 export const DRAINING_TARGETS: GuaranteeCheck = {
   guarantee: 'a draining target gets no new work after a few seconds',
   find: (history) => {
@@ -149,7 +168,10 @@
   },
 };
 
-/** Runs end soon after their callers disconnected. */
+/**
+ * Runs end within `CANCEL_TIMEOUT_MS` after their callers disconnected. A share
+ * of `MAX_UNCANCELLED_SHARE` may continue.
+ */
 export const CANCELLED_RUNS: GuaranteeCheck = {
   guarantee: 'a run ends when its caller disconnects',
   find: (history) => {
@@ -197,15 +219,19 @@
   },
 };
 
-/** Retries stay a bounded share of the requests. */
+/**
+ * Retries in a window are at most `RETRY_RATIO` of the requests (counted by
+ * `peakRequestCount`) plus `RETRY_SLACK`. Model servers and plain services are
+ * counted separately.
+ */
 export const RETRY_BUDGET: GuaranteeCheck = {
   guarantee: 'retries stay within their budget',
   find: (history) => {
-    const kinds = [
+    const serviceGroups = [
       {service: WRITERS, isOfService: isWriters},
       {service: 'plain services', isOfService: isPlain},
     ];
-    return kinds.flatMap(({service, isOfService}) => {
+    return serviceGroups.flatMap(({service, isOfService}) => {
       const retries = retryTimes(history.arrivals.filter(isOfService));
       const sent = history.attempts
         .filter((attempt) => isOfService(serviceOf(attempt)))
@@ -253,26 +279,32 @@
   return new Map(history.attempts.map((attempt) => [attempt.id, attempt]));
 }
 
-function versionOf(history: History, version: number) {
+function findConfigChange(history: History, version: number) {
   return history.configs.find((config) => config.version === version);
 }
 
-/** The newest version that the process had used before the attempt. */
+/**
+ * The newest version whose key the entry's process had accepted before the
+ * attempt; 0 if there is none.
+ */
 function newestUsedVersion(
   history: History,
   attempt: Attempt,
-  ran: ReadonlySet<string>,
+  ranIds: ReadonlySet<string>,
 ): number {
   const versions = history.attempts
     .filter(({entry}) => entry === attempt.entry)
     .filter(({lifetime}) => lifetime === attempt.lifetime)
     .filter(({id, endMs}) => {
-      return ran.has(id) && endMs + CONFIG_CHANGE_TOLERANCE_MS < attempt.sentMs;
+      return (
+        ranIds.has(id) && endMs + CONFIG_CHANGE_TOLERANCE_MS < attempt.sentMs
+      );
     })
     .map(({keyVersion}) => keyVersion);
   return Math.max(0, ...versions);
 }
 
+/** Services that requests of the moved route may use in a period. */
 function allowedServices(
   history: History,
   fromMs: number,
@@ -294,23 +326,27 @@
   return service !== WRITERS;
 }
 
+/** Service by which a request's retry budget is found. */
 function serviceOf({kind}: Attempt): {service: string} {
   return {service: kind === RequestKind.STREAM ? WRITERS : 'desk'};
 }
 
 /** Arrival times of all but the first arrival of each request. */
 function retryTimes(arrivals: readonly Arrival[]): number[] {
-  const seen = new Set<string>();
+  const arrivedIds = new Set<string>();
   return arrivals
     .filter(({attemptId}) => {
-      const isRetry = seen.has(attemptId);
-      seen.add(attemptId);
+      const isRetry = arrivedIds.has(attemptId);
+      arrivedIds.add(attemptId);
       return isRetry;
     })
     .map(({atMs}) => atMs);
 }
 
-/** Largest request count of the windows that end 0, 0.5 and 1 window earlier. */
+/**
+ * Largest request count of the windows that end at `endMs`, half a window
+ * earlier and one window earlier.
+ */
 function peakRequestCount(sentMs: readonly number[], endMs: number): number {
   const ends = [0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS];
   const counts = ends.map((shiftMs) => {
--- a/tools/soak/checks/responses.ts
+++ b/tools/soak/checks/responses.ts
@@ -13,7 +13,7 @@
 import type {GuaranteeCheck} from './types.js';
 import {entryComponent, isServed, componentsOf} from './types.js';
 
-/** Statuses which state that a request has not run and will not run. */
+/** Statuses that state that a request has not run and will not run. */
 const NOT_RUN_STATUSES = [408, 421, 429, 503];
 
 /** Minimum number of requests for the recovery check. */
@@ -30,7 +30,7 @@
       .map(({id, text}) => ({id, detail: `got ${JSON.stringify(text)}`})),
 };
 
-/** Streams have each event exactly once and in order, and end after the last. */
+/** Streams have each event exactly once, in order, and end after the last. */
 export const COMPLETE_STREAMS: GuaranteeCheck = {
   guarantee:
     'no event of a stream is missing, duplicated or from another request',
@@ -53,8 +53,8 @@
       .flatMap(({id}) => {
         const runs = (arrivals.get(id) ?? []).filter(({hasRun}) => hasRun);
         if (runs.length <= 1) return [];
-        const places = runs.map(({target}) => target).join(', ');
-        return [{id, detail: `ran at ${places}`}];
+        const targets = runs.map(({target}) => target).join(', ');
+        return [{id, detail: `ran at ${targets}`}];
       });
   },
 };
@@ -72,7 +72,7 @@
   },
 };
 
-/** Responses meet their deadline despite faults of targets and the store. */
+/** Responses meet their deadline; only a fault of the entry excuses delays. */
 export const DEADLINES_MET: GuaranteeCheck = {
   guarantee: 'each request has a final response by its deadline',
   find: (history) =>
@@ -91,7 +91,10 @@
       })),
 };
 
-/** Connections end without a response only because of a fault. */
+/**
+ * A connection ends without a response only because of a fault, an exit of the
+ * entry's process or the caller's own abort.
+ */
 export const ALL_ANSWERED: GuaranteeCheck = {
   guarantee: 'an entry without faults responds to each request',
   find: (history) => {
@@ -128,9 +131,9 @@
         .filter(({endMs}) => endMs >= stopMs)
         .filter(({isWhole, hungUpMs}) => !isWhole && hungUpMs === undefined)
         .filter((attempt) => {
-          const seen = arrivals.get(attempt.id) ?? [];
-          const wasAccepted = seen.length > 0 || attempt.sentMs < stopMs;
-          const components = componentsOf(attempt, seen);
+          const ownArrivals = arrivals.get(attempt.id) ?? [];
+          const wasAccepted = ownArrivals.length > 0 || attempt.sentMs < stopMs;
+          const components = componentsOf(attempt, ownArrivals);
           const {sentMs, endMs} = attempt;
           return wasAccepted && history.isFaultFree(components, sentMs, endMs);
         })
@@ -146,33 +149,37 @@
 export const RECOVERY: GuaranteeCheck = {
   guarantee: 'the service recovers after the faults',
   find: (history) => {
-    const last = history.attempts.filter(
+    const lastAttempts = history.attempts.filter(
       ({sentMs, hungUpMs, keyVersion}) =>
         sentMs > history.calmFromMs && !hungUpMs && keyVersion === 0,
     );
-    const served = last.filter(isServed).length;
-    const isEnough = served >= last.length * RECOVERED_SHARE;
-    if (isEnough && last.length >= MIN_RECOVERY_REQUESTS) return [];
-    return [{id: 'site', detail: `${served} of ${last.length} were served`}];
+    const served = lastAttempts.filter(isServed).length;
+    const isEnough = served >= lastAttempts.length * RECOVERED_SHARE;
+    if (isEnough && lastAttempts.length >= MIN_RECOVERY_REQUESTS) return [];
+    return [
+      {id: 'site', detail: `${served} of ${lastAttempts.length} were served`},
+    ];
   },
 };
 
+/** Describes the first wrong event of a stream; undefined if there is none. */
 function findStreamError(attempt: Attempt): string | undefined {
-  const pieces: Array<{id?: string; data: string}> = [];
+  const events: Array<{id?: string; data: string}> = [];
   const parser = createParser({
-    onEvent: ({id, data}) => pieces.push({id, data}),
+    onEvent: ({id, data}) => events.push({id, data}),
   });
   parser.feed(attempt.text);
-  for (const [index, {id, data}] of pieces.entries()) {
+  for (const [index, {id, data}] of events.entries()) {
     const expected = `piece ${index + 1} of ${attempt.id}`;
     if (id !== String(index + 1) || data !== expected) {
       return `piece ${index + 1} is ${JSON.stringify(data)}, id ${id}`;
     }
   }
-  const isEarly = attempt.isWhole && pieces.length !== STREAM_EVENTS;
-  return isEarly ? `ended as complete after ${pieces.length}` : undefined;
+  const endedEarly = attempt.isWhole && events.length !== STREAM_EVENTS;
+  return endedEarly ? `ended as complete after ${events.length}` : undefined;
 }
 
+/** Whether the entry's process that got the request exited during the run. */
 function processEnded(
   attempt: Attempt,
   ends: ReadonlyArray<{entry: string; lifetime: number}>,
--- a/tools/soak/checks/types.ts
+++ b/tools/soak/checks/types.ts
@@ -3,6 +3,7 @@
 
 /** A violated guarantee. */
 export interface Violation {
+  /** Text of the guarantee. */
   readonly promise: string;
   /** Id of the request, or name of the component, that shows it. */
   readonly id: string;
@@ -11,16 +12,28 @@
 
 /** A guarantee of the product, checked after a run. */
 export interface GuaranteeCheck {
+  /** Text that names the guarantee in reports. */
   readonly guarantee: string;
+  /** Finds the violations in the history of a run. */
   readonly find: (history: History) => Array<Omit<Violation, 'promise'>>;
 }
 
-/** Component name of an entry. */
+/**
+ * Returns the component name of an entry, as recorded with faults.
+ *
+ * @example
+ * entryComponent('entry-1') === 'entry:entry-1';
+ */
 export function entryComponent(name: string): string {
   return `entry:${name}`;
 }
 
-/** Component name of a target. */
+/**
+ * Returns the component name of a target, as recorded with faults.
+ *
+ * @example
+ * targetComponent('i-1') === 'target:i-1';
+ */
 export function targetComponent(id: string): string {
   return `target:${id}`;
 }
@@ -30,7 +43,7 @@
   return attempt.status === 200 && attempt.isWhole;
 }
 
-/** The entry and the targets that a request reached. */
+/** Component names of the entry and the targets that a request reached. */
 export function componentsOf(
   attempt: Attempt,
   arrivals: readonly Arrival[],
--- a/tools/soak/consts.ts
+++ b/tools/soak/consts.ts
@@ -3,7 +3,7 @@
 /** Zones over which targets are spread. */
 export const ZONES = ['a', 'b', 'c'];
 
-/** Number of sequential callers per entry. */
+/** Number of callers per entry; each sends one request at a time. */
 export const CALLERS_PER_ENTRY = 8;
 
 /** Deadlines that callers send with calls and streams, in milliseconds. */
@@ -13,7 +13,7 @@
 /** Time after its deadline at which a caller aborts a request. */
 export const ABORT_MARGIN_MS = 3_000;
 
-/** Events per stream, and their timing in milliseconds. */
+/** Events per stream, the time to the first and the gap between two. */
 export const STREAM_EVENTS = 24;
 export const STREAM_FIRST_MS = 120;
 export const STREAM_GAP_MS = 60;
@@ -24,13 +24,13 @@
 /** Time after a fault for which its component still counts as faulty. */
 export const FAULT_AFTERMATH_MS = 3_000;
 
-/** Time until an accepted configuration is applied by all entries. */
+/** Time within which all entries apply an accepted configuration. */
 export const CONFIG_APPLY_MS = 3_000;
 
-/** Time for which a revoked key may still be accepted. */
+/** Time after its revocation for which a key may still be accepted. */
 export const KEY_REVOCATION_MS = 5_000;
 
-/** Time after which a draining target gets no new work. */
+/** Time after which a target registered as draining gets no new work. */
 export const DRAIN_NOTICE_MS = 3_000;
 
 /** Time after which the registration of a dead target expires. */
@@ -39,7 +39,7 @@
 /** Time from SIGTERM until a process is killed. */
 export const GRACE_PERIOD_MS = 8_000;
 
-/** Tolerance for final responses after their deadline. */
+/** Time after its deadline within which a response is not counted as late. */
 export const DEADLINE_TOLERANCE_MS = 500;
 
 /** Longest tolerated overlap of two runs of one stream. */
@@ -48,7 +48,10 @@
 /** Time for a run to end after its caller disconnected. */
 export const CANCEL_TIMEOUT_MS = 1_000;
 
-/** Retry budget of all entries together, per window. */
+/**
+ * Retry budget of all entries together: in a window, `RETRY_RATIO` retries per
+ * request and `RETRY_SLACK` more.
+ */
 export const RETRY_RATIO = 0.8;
 export const RETRY_WINDOW_MS = 10_000;
 export const RETRY_SLACK = 150;
@@ -56,5 +59,5 @@
 /** Final part of a run, without new faults. */
 export const RECOVERY_MS = 7_000;
 
-/** Share of requests that must succeed after all faults. */
+/** Share of the requests after all faults that must succeed. */
 export const RECOVERED_SHARE = 0.9;
--- a/tools/soak/faults.ts
+++ b/tools/soak/faults.ts
@@ -17,15 +17,16 @@
 /** Largest step of a wall clock, either way, in milliseconds. */
 const MAX_CLOCK_STEP_MS = 120_000;
 
+/** Longest delay that a relay adds to the data of a target. */
 const MAX_DELAY_MS = 400;
 
-/** Time for which a draining target runs after `DRAIN_NOTICE_MS`. */
+/** Time for which a draining target keeps running after `DRAIN_NOTICE_MS`. */
 const DRAIN_EXTENSION_MS = 1_500;
 
 /** Delay before a stopped entry is started again, in milliseconds. */
 const RESTART_DELAY_MS = 400;
 
-/** A planned fault and the components that it may affect. */
+/** A planned fault and the components that its value `part` selects. */
 interface FaultContext {
   readonly site: SoakSite;
   readonly planned: PlannedFault;
@@ -41,7 +42,7 @@
 const INJECTORS: Readonly<Record<FaultKind, FaultInjector>> = {
   [FaultKind.ENTRY_KILL]: ({site, entry, planned}) =>
     withRecordedFault(
-      {site, planned, parts: [entryComponent(entry.name)]},
+      {site, planned, components: [entryComponent(entry.name)]},
       async () => {
         if (!entry.isUp) return;
         await entry.kill();
@@ -51,7 +52,7 @@
     ),
   [FaultKind.ENTRY_PAUSE]: ({site, entry, planned}) =>
     withRecordedFault(
-      {site, planned, parts: [entryComponent(entry.name)]},
+      {site, planned, components: [entryComponent(entry.name)]},
       async () => {
         entry.pause();
         await sleep(planned.durationMs);
@@ -68,54 +69,63 @@
   },
   [FaultKind.ENTRY_CLOCK_STEP]: ({site, entry, planned}) =>
     withRecordedFault(
-      {site, planned, parts: [entryComponent(entry.name)]},
+      {site, planned, components: [entryComponent(entry.name)]},
       async () => {
         entry.stepClock((planned.variant - 0.5) * 2 * MAX_CLOCK_STEP_MS);
         await sleep(planned.durationMs);
         entry.stepClock(0);
       },
     ),
+  // Not recorded as a fault: an incomplete settings file must not affect
+  // requests.
   [FaultKind.ENTRY_SETTINGS_TORN]: async ({entry, planned}) => {
     entry.writeSettings(planned.variant);
     await sleep(planned.durationMs);
     entry.writeSettings();
   },
-  [FaultKind.ENTRY_STORE_CUT]: (stage) => disconnectFromStore(stage),
-  [FaultKind.ENTRY_STORE_ONE_WAY]: (stage) =>
-    disconnectFromStore(stage, [directionOf(stage.planned)]),
+  [FaultKind.ENTRY_STORE_CUT]: (context) => disconnectFromStore(context),
+  [FaultKind.ENTRY_STORE_ONE_WAY]: (context) =>
+    disconnectFromStore(context, [directionOf(context.planned)]),
   [FaultKind.ENTRY_STORE_RESET]: ({site, entry, planned}) =>
     withRecordedFault(
-      {site, planned, parts: [entryComponent(entry.name)]},
+      {site, planned, components: [entryComponent(entry.name)]},
       () => {
         entry.storeRelay.reset();
         return Promise.resolve();
       },
     ),
-  [FaultKind.STORE_BUSY]: (stage) => setStoreMode(stage, StoreMode.BUSY),
-  [FaultKind.STORE_SILENT]: (stage) => setStoreMode(stage, StoreMode.SILENT),
-  [FaultKind.STORE_RESET]: (stage) => setStoreMode(stage, StoreMode.RESET),
+  [FaultKind.STORE_BUSY]: (context) => setStoreMode(context, StoreMode.BUSY),
+  [FaultKind.STORE_SILENT]: (context) =>
+    setStoreMode(context, StoreMode.SILENT),
+  [FaultKind.STORE_RESET]: (context) => setStoreMode(context, StoreMode.RESET),
   [FaultKind.STORE_PAUSE]: ({site, planned}) =>
-    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, async () => {
-      site.store.proc.pause();
-      await sleep(planned.durationMs);
-      site.store.proc.resume();
-    }),
+    withRecordedFault(
+      {site, planned, components: [STORE_COMPONENT]},
+      async () => {
+        site.store.proc.pause();
+        await sleep(planned.durationMs);
+        site.store.proc.resume();
+      },
+    ),
   [FaultKind.STORE_HISTORY_LOST]: ({site, planned}) =>
-    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, () =>
+    withRecordedFault({site, planned, components: [STORE_COMPONENT]}, () =>
       site.store.execute('dropHistory', undefined),
     ),
   [FaultKind.STORE_WAITERS_CUT]: ({site, planned}) =>
-    withRecordedFault({site, planned, parts: [STORE_COMPONENT]}, () =>
+    withRecordedFault({site, planned, components: [STORE_COMPONENT]}, () =>
       site.store.execute('cutWaiters', undefined),
     ),
   // Another writer stores a malformed target; other targets must not be
   // affected.
   [FaultKind.STORE_JUNK]: async ({site, planned}) => {
-    const junk = {kind: StoreObjectKind.TARGETS, name: `junk-${planned.atMs}`};
+    const malformed = {
+      kind: StoreObjectKind.TARGETS,
+      name: `junk-${planned.atMs}`,
+    };
     const spec = {service: 7, address: 'nowhere', state: planned.variant};
-    await site.store.execute('put', {...junk, spec});
+    await site.store.execute('put', {...malformed, spec});
     await sleep(planned.durationMs);
-    await site.store.execute('remove', junk);
+    await site.store.execute('remove', malformed);
   },
   [FaultKind.TARGET_KILL]: ({site, target, planned}) =>
     withRecordedTargetFaults({site, planned}, [target], () =>
@@ -127,7 +137,7 @@
       await sleep(planned.durationMs);
       target.standIn.proc.resume();
     }),
-  [FaultKind.TARGET_LEAVE]: (stage) => drainTarget(stage),
+  [FaultKind.TARGET_LEAVE]: (context) => drainTarget(context),
   [FaultKind.TARGET_FAULTY]: ({site, target, planned}) => {
     const faults = Object.values(TargetFault);
     const fault = faults[Math.floor(planned.variant * faults.length)]!;
@@ -196,14 +206,19 @@
   readonly planned: PlannedFault;
 }
 
-/** Injects a fault; records the affected components and its start and end. */
+/** Injects a fault and records its components, its start and its end. */
 async function withRecordedFault(
-  {site, planned, parts}: FaultScope & {parts: readonly string[]},
+  {site, planned, components}: FaultScope & {components: readonly string[]},
   inject: () => Promise<void>,
 ): Promise<void> {
   const fromMs = Date.now();
   const kind = planned.kind;
-  const faults = parts.map((part) => ({part, kind, fromMs, toMs: Infinity}));
+  const faults = components.map((part) => ({
+    part,
+    kind,
+    fromMs,
+    toMs: Infinity,
+  }));
   site.history.disturbances.push(...faults);
   await inject();
   const toMs = Date.now();
@@ -216,15 +231,15 @@
   inject: () => Promise<void>,
 ): Promise<void> {
   const components = targets.map(({id}) => targetComponent(id));
-  return withRecordedFault({...scope, parts: components}, inject);
+  return withRecordedFault({...scope, components}, inject);
 }
 
 function disconnectFromStore(
   {site, entry, planned}: FaultContext,
   directions?: readonly Direction[],
 ): Promise<void> {
-  const parts = [entryComponent(entry.name)];
-  return withRecordedFault({site, planned, parts}, async () => {
+  const components = [entryComponent(entry.name)];
+  return withRecordedFault({site, planned, components}, async () => {
     entry.storeRelay.cut(directions);
     await sleep(planned.durationMs);
     entry.storeRelay.restore();
@@ -236,7 +251,7 @@
   mode: StoreMode,
 ): Promise<void> {
   return withRecordedFault(
-    {site, planned, parts: [STORE_COMPONENT]},
+    {site, planned, components: [STORE_COMPONENT]},
     async () => {
       await site.store.execute('setMode', mode);
       await sleep(planned.durationMs);
--- a/tools/soak/history.ts
+++ b/tools/soak/history.ts
@@ -3,9 +3,13 @@
 
 /** Kinds of requests that callers send. */
 export enum RequestKind {
+  /** Idempotent call. */
   SAFE = 'safe',
+  /** Non-idempotent call. */
   UNSAFE = 'unsafe',
+  /** Stream of events. */
   STREAM = 'stream',
+  /** Idempotent call whose service is changed by configuration changes. */
   MOVING = 'moving',
 }
 
@@ -14,7 +18,7 @@
   readonly id: string;
   readonly kind: RequestKind;
   readonly entry: string;
-  /** Number of the entry's process starts at that time. */
+  /** Identifies the entry's process: how often it had been started. */
   readonly lifetime: number;
   /** Configuration version that added the key; 0 for the permanent key. */
   readonly keyVersion: number;
@@ -25,9 +29,9 @@
   readonly text: string;
   /** Whether the body was complete according to its HTTP framing. */
   readonly isWhole: boolean;
-  /** Whether the response has the `Server-Stamp` and the request's id. */
+  /** Whether the headers have a `Server-Stamp` and the request's id. */
   readonly isProven: boolean;
-  /** Time at which the caller deliberately aborted the request. */
+  /** When the caller deliberately aborted the request, if it did. */
   readonly hungUpMs?: number;
 }
 
@@ -38,27 +42,34 @@
   readonly service: string;
   readonly keyVersion: number;
   readonly atMs: number;
+  /** False if the target rejected the request. */
   readonly hasRun: boolean;
+  /** When the run ended; undefined if no end was recorded. */
   endedMs?: number;
 }
 
 /** The period in which a component was affected by an injected fault. */
 export interface InjectedFault {
+  /** Name of the component. */
   readonly part: string;
+  /** Value of `FaultKind`. */
   readonly kind: string;
   readonly fromMs: number;
+  /** Infinity until the fault has ended. */
   toMs: number;
 }
 
 /** A configuration change, and when it was sent and accepted by the store. */
 export interface ConfigChange {
   readonly version: number;
+  /** Service that the configuration sets for requests of the kind `MOVING`. */
   readonly movingTo: string;
   readonly sentMs: number;
+  /** Infinity until the store has accepted the change. */
   ackMs: number;
 }
 
-/** A target registered as draining, and when the store accepted that. */
+/** The registration of a target as draining; `ackMs` is when it was stored. */
 export interface DrainStart {
   readonly target: string;
   readonly ackMs: number;
@@ -68,11 +79,12 @@
 export interface EntryEnd {
   readonly entry: string;
   readonly lifetime: number;
+  /** Exit status; null if a signal ended the process. */
   readonly code: number | null;
   readonly wasKilled: boolean;
   /** Whether the process had begun to listen. */
   readonly hasListened: boolean;
-  /** When a graceful shutdown was requested, if it was. */
+  /** When a graceful shutdown was requested; undefined if it was not. */
   readonly stopMs?: number;
   readonly endedMs: number;
 }
@@ -80,7 +92,13 @@
 /** Component name of the store. */
 export const STORE_COMPONENT = 'store';
 
-/** Events recorded during a run, for the checks after it. */
+/**
+ * Events recorded during a run, for the checks after it. Stored as JSON, so its
+ * field names are part of the file format.
+ *
+ * @example
+ * history.attempts.push(attempt);
+ */
 export class History {
   readonly attempts: Attempt[] = [];
   readonly arrivals: Arrival[] = [];
@@ -90,9 +108,9 @@
   readonly entryEnds: EntryEnd[] = [];
   /** Log lines of entries that are not JSON, and their stderr output. */
   readonly strayLines: string[] = [];
-  /** Time after the last fault from which on requests must succeed. */
+  /** Time from which requests must succeed; Infinity until all faults ended. */
   calmFromMs = Number.POSITIVE_INFINITY;
-  /** Longest delay of a timer in the soak's own process. */
+  /** Longest delay of a timer in the soak's own process, in milliseconds. */
   lagMs = 0;
 
   /** Arrivals grouped by request id. */
@@ -105,7 +123,10 @@
     return byId;
   }
 
-  /** Whether no fault affected the components in a period or shortly before. */
+  /**
+   * Whether no fault affected the components in a period or in the
+   * `FAULT_AFTERMATH_MS` before it.
+   */
   isFaultFree(
     components: readonly string[],
     fromMs: number,
--- a/tools/soak/main.ts
+++ b/tools/soak/main.ts
@@ -14,11 +14,12 @@
 const DEFAULT_ENTRIES = 3;
 const DEFAULT_TARGETS = 1;
 
-/** Upper limit of the random first seed, if none is given. */
+/** Upper limit of the random first seed, used if none is given. */
 const SEED_RANGE = 1_000_000_000;
 
 interface Flags {
   readonly seeds: number;
+  /** First seed; random if undefined. */
   readonly seed?: number;
   readonly seconds: number;
   readonly entries: number;
@@ -28,14 +29,14 @@
 
 const program = new Command('soak')
   .description('Plays faults on a site of real processes and checks promises.')
-  .option('--seeds <count>', 'runs to play', toCount, DEFAULT_SEEDS)
-  .option('--seed <seed>', 'first seed; drawn where missing', toCount)
-  .option('--seconds <time>', 'length of a run', toCount, DEFAULT_SECONDS)
-  .option('--entries <count>', 'entries', toCount, DEFAULT_ENTRIES)
+  .option('--seeds <count>', 'runs to play', parseCount, DEFAULT_SEEDS)
+  .option('--seed <seed>', 'first seed; drawn where missing', parseCount)
+  .option('--seconds <time>', 'length of a run', parseCount, DEFAULT_SECONDS)
+  .option('--entries <count>', 'entries', parseCount, DEFAULT_ENTRIES)
   .option(
     '--targets <count>',
     'targets of each service in each zone',
-    toCount,
+    parseCount,
     DEFAULT_TARGETS,
   )
   .option('--json', 'one JSON line for each run', false)
@@ -45,7 +46,7 @@
   );
 
 const status = await main();
-// Exits explicitly: handles left open by a run would keep the process alive.
+// Exits explicitly: handles that a run left open would keep the process alive.
 process.stdout.write('', () => process.exit(status));
 
 async function main(): Promise<number> {
@@ -61,7 +62,7 @@
     const hasFailed = result.violations.length > 0;
     if (hasFailed) failedRuns++;
     else rmSync(folder, {recursive: true});
-    const text = flags.json ? JSON.stringify(result) : describe(result);
+    const text = flags.json ? JSON.stringify(result) : formatResult(result);
     process.stdout.write(`${text}\n`);
     if (hasFailed) process.stdout.write(`  kept in ${folder}\n`);
   }
@@ -71,7 +72,7 @@
   return failedRuns > 0 ? 1 : 0;
 }
 
-function describe(result: SoakResult): string {
+function formatResult(result: SoakResult): string {
   const {seed, violations, requests, served, faults, lagMs} = result;
   const verdict = violations.length === 0 ? 'green' : 'RED';
   const figures = `${faults} faults, ${served} of ${requests} served, lag ${lagMs} ms`;
@@ -81,7 +82,7 @@
   return [`seed ${seed}: ${verdict}; ${figures}`, ...lines].join('\n');
 }
 
-function toCount(text: string): number {
+function parseCount(text: string): number {
   const count = Number(text);
   if (Number.isInteger(count) && count > 0) return count;
   throw new InvalidArgumentError('expected a whole number above 0');
--- a/tools/soak/plan.ts
+++ b/tools/soak/plan.ts
@@ -2,12 +2,16 @@
 import {SeededRandom} from '../../src/core/clock/index.js';
 import {RECOVERY_MS} from './consts.js';
 
-/** Kinds of injected faults and planned changes. */
+/**
+ * Kinds of injected faults and planned changes. A cut connection stays open but
+ * forwards no data; `ONE_WAY` cuts only one direction.
+ */
 export enum FaultKind {
   ENTRY_KILL = 'entry_kill',
   ENTRY_PAUSE = 'entry_pause',
   ENTRY_STOP = 'entry_stop',
   ENTRY_CLOCK_STEP = 'entry_clock_step',
+  /** The settings file is incomplete for a time. */
   ENTRY_SETTINGS_TORN = 'entry_settings_torn',
   ENTRY_STORE_CUT = 'entry_store_cut',
   ENTRY_STORE_ONE_WAY = 'entry_store_one_way',
@@ -16,12 +20,17 @@
   STORE_SILENT = 'store_silent',
   STORE_RESET = 'store_reset',
   STORE_PAUSE = 'store_pause',
+  /** The store discards its change history, so watches must start again. */
   STORE_HISTORY_LOST = 'store_history_lost',
+  /** The store ends all open long polls early. */
   STORE_WAITERS_CUT = 'store_waiters_cut',
+  /** The store contains a malformed target for a time. */
   STORE_JUNK = 'store_junk',
   TARGET_KILL = 'target_kill',
   TARGET_PAUSE = 'target_pause',
+  /** A target is registered as draining and later replaced. */
   TARGET_LEAVE = 'target_leave',
+  /** A target responds incorrectly; see `TargetFault`. */
   TARGET_FAULTY = 'target_faulty',
   TARGET_CUT = 'target_cut',
   TARGET_ONE_WAY = 'target_one_way',
@@ -47,7 +56,7 @@
 const MIN_DURATION_MS = 150;
 const MAX_DURATION_MS = 4_000;
 
-/** Longest gaps between fault starts; short gaps make faults overlap. */
+/** Longest gaps between the starts of two faults; short gaps cause overlaps. */
 const SHORT_GAP_MS = 150;
 const LONG_GAP_MS = 2_200;
 const SHORT_GAP_SHARE = 0.45;
@@ -55,7 +64,7 @@
 /** Time before the first fault. */
 const FIRST_FAULT_MS = 500;
 
-/** Frequency of configuration changes relative to each kind of fault. */
+/** Frequency of configuration changes relative to each other kind. */
 const CONFIG_WEIGHT = 4;
 
 /**
@@ -75,11 +84,12 @@
   let atMs = FIRST_FAULT_MS;
   while (atMs < endMs) {
     const longestMs = Math.min(MAX_DURATION_MS, endMs - atMs);
-    const shape = random.float() ** 2;
+    // Squared, so that short faults are more frequent than long ones.
+    const lengthShare = random.float() ** 2;
     plan.push({
       kind: kinds[random.below(kinds.length)]!,
       atMs,
-      durationMs: Math.round(MIN_DURATION_MS + shape * longestMs),
+      durationMs: Math.round(MIN_DURATION_MS + lengthShare * longestMs),
       part: random.float(),
       variant: random.float(),
     });
--- a/tools/soak/regressions.ts
+++ b/tools/soak/regressions.ts
@@ -18,7 +18,8 @@
   {
     seed: 203,
     durationMs: 20_000,
-    cause: 'stopping an entry that was still starting killed it by the signal',
+    cause:
+      'SIGTERM ended an entry that was starting and had no signal handler yet',
   },
   {
     seed: 207,
@@ -28,7 +29,8 @@
   {
     seed: 2001,
     durationMs: 20_000,
-    cause: 'equal requests begun by one lost engine were classified as poison',
+    cause:
+      'equal requests running at one lost engine were classified as poison',
   },
   {
     seed: 2006,
--- a/tools/soak/run.ts
+++ b/tools/soak/run.ts
@@ -28,14 +28,17 @@
 export interface SoakResult {
   readonly seed: number;
   readonly violations: readonly Violation[];
+  /** Number of requests that callers sent. */
   readonly requests: number;
+  /** Number of requests with status 200. */
   readonly served: number;
+  /** Number of planned faults. */
   readonly faults: number;
-  /** Longest delay of a timer in the soak's own process. */
+  /** Longest delay of a timer in the soak's own process, in milliseconds. */
   readonly lagMs: number;
 }
 
-/** Distance of the caller seeds of two runs, so that no seed is reused. */
+/** Offset between the caller seeds of two runs, so that no seed is reused. */
 const SEEDS_PER_RUN = 10_000;
 
 /**
@@ -106,7 +109,7 @@
   stopMonitor();
 }
 
-/** Writes the plan and the history, to diagnose violations. */
+/** Writes `plan.json` and `history.json`, to diagnose violations. */
 function writeArtifacts(
   folder: string,
   artifacts: {plan: readonly PlannedFault[]; history: History},
--- a/tools/soak/site.ts
+++ b/tools/soak/site.ts
@@ -12,7 +12,10 @@
 import {SoakTarget} from './soak-target.js';
 import {StandInProcess} from './stand-in-process.js';
 
-/** Loopback addresses; each soak process uses its own subnet. */
+/**
+ * Entries listen on addresses `127.NETWORK.SUBNET.HOST`. The process id selects
+ * network and subnet, so that concurrent soaks do not share an address.
+ */
 const FIRST_NETWORK = 20;
 const NETWORKS = 200;
 const SUBNETS = 250;
@@ -24,7 +27,7 @@
 /** Number of entries and targets. */
 export interface SiteSize {
   readonly entries: number;
-  /** Targets of each service in each zone. */
+  /** Number of targets of each service in each zone. */
   readonly targets: number;
 }
 
@@ -33,7 +36,13 @@
   return version === 0 ? API_KEY : `key-${version}`;
 }
 
-/** Owns all processes of a run; must be closed after use. */
+/**
+ * Owns all processes of a run; must be closed after use.
+ *
+ * @example
+ * const site = new SoakSite(history, {folder, size});
+ * await site.start();
+ */
 export class SoakSite {
   readonly entries: SoakEntry[] = [];
   targets: SoakTarget[] = [];
@@ -58,7 +67,7 @@
         Array.from({length: size.targets}, () => ({zone, service})),
       ),
     );
-    await Promise.all(placements.map((place) => this.addTarget(place)));
+    await Promise.all(placements.map((placement) => this.addTarget(placement)));
     const network = `127.${FIRST_NETWORK + (process.pid % NETWORKS)}`;
     const subnet = Math.floor(process.pid / NETWORKS) % SUBNETS;
     const starts = Array.from({length: size.entries}, (_, index) =>
@@ -94,7 +103,7 @@
     if (this.isClosed) target.standIn.proc.kill();
   }
 
-  /** Kills a target and starts another in its place. */
+  /** Kills a target and starts another in its place after `downMs`. */
   async replaceTarget(target: SoakTarget, downMs: number): Promise<void> {
     this.targets = this.targets.filter((other) => other !== target);
     const killed = target.kill();
@@ -103,7 +112,10 @@
     await killed;
   }
 
-  /** Writes the next configuration, which moves a route and changes keys. */
+  /**
+   * Writes the next configuration version to the store. It moves the route
+   * `MOVING` to the other service, adds a key and revokes an old one.
+   */
   async changeConfig(): Promise<void> {
     const version = ++this.version;
     const {DESK, SPARE} = SiteService;
@@ -138,7 +150,7 @@
     await target.standIn.execute('setFault', TargetFault.NONE);
   }
 
-  /** Cuts the connections to targets for a time. */
+  /** Cuts the connections to targets for a time; by default both directions. */
   async disconnectTargets(
     targets: readonly SoakTarget[],
     durationMs: number,
--- a/tools/soak/soak-entry.ts
+++ b/tools/soak/soak-entry.ts
@@ -25,7 +25,7 @@
 const MS_PER_S = 1_000;
 const READINESS_TIMEOUT_MS = 400;
 
-/** Time after the grace period until SIGKILL, in milliseconds. */
+/** Time from the end of the grace period until SIGKILL, in milliseconds. */
 const KILL_MARGIN_MS = 500;
 
 /** Parameters of an entry. */
@@ -40,11 +40,16 @@
   readonly history: History;
 }
 
-/** An entry whose process can be stopped and started again. */
+/**
+ * An entry whose process can be stopped and started again.
+ *
+ * @example
+ * const entry = await SoakEntry.start({name: 'entry-1', address, ...});
+ */
 export class SoakEntry {
   /** Number of process starts so far. */
   lifetime = 0;
-  /** Whether a process runs that was not requested to stop. */
+  /** Whether a process is running and has not been asked to stop. */
   isUp = false;
   private proc?: Proc;
   private stopMs?: number;
@@ -60,7 +65,7 @@
     this.log = createWriteStream(join(options.folder, `${options.name}.log`));
   }
 
-  /** Starts the relay to the store, and the first process. */
+  /** Starts the relay to the store and the first process. */
   static async start(options: SoakEntryOptions): Promise<SoakEntry> {
     const {address, storePort} = options;
     const relay = new Relay({
@@ -80,6 +85,7 @@
     return this.options.name;
   }
 
+  /** Host and port on which the entry accepts callers. */
   get callersEndpoint(): {host: string; port: number} {
     return callersEndpointOf(this.options.address);
   }
@@ -100,6 +106,7 @@
       args: [],
       preload: ['stand-ins/site/clock-fault.js'],
       env: {[SETTINGS_PATH_VARIABLE]: this.settingsPath},
+      // Opens the IPC channel that `stepClock` uses; no messages are expected.
       onMessage: () => undefined,
       onLine: (line) => this.recordLine(line),
     });
@@ -141,14 +148,14 @@
     this.proc?.resume();
   }
 
-  /** Sets the offset of the process's wall clock. */
+  /** Sets the offset of the process's wall clock, in milliseconds. */
   stepClock(offsetMs: number): void {
     this.proc?.send({offsetMs});
   }
 
   /** Writes the settings file, or only the first `share` of its text. */
   writeSettings(share = 1): void {
-    const text = this.settingsText();
+    const text = this.formatSettings();
     const part = text.slice(0, Math.floor(text.length * share));
     writeFileSync(this.settingsPath, part);
     if (this.hasListened) this.proc?.reload();
@@ -198,7 +205,7 @@
     return join(this.options.folder, `${this.name}.yaml`);
   }
 
-  private settingsText(): string {
+  private formatSettings(): string {
     const {address, zone} = this.options;
     const settings = bootFile({
       name: this.name,
--- a/tools/soak/soak-target.ts
+++ b/tools/soak/soak-target.ts
@@ -23,17 +23,25 @@
   readonly id: string;
   readonly service: SiteService;
   readonly zone: string;
+  /** Store in which the target is registered. */
   readonly store: StandInProcess;
   readonly history: History;
 }
 
-/** A target process with its registration in the store. */
+/**
+ * A target process with its registration in the store.
+ *
+ * @example
+ * const target = await SoakTarget.start({id: 'i-1', service, zone, ...});
+ */
 export class SoakTarget {
+  /** Requests that the target is processing, by request id. */
   private readonly running = new Map<string, Arrival>();
 
   private constructor(
     private readonly options: SoakTargetOptions,
     readonly standIn: StandInProcess,
+    /** Relay between entries and the target. */
     readonly relay: Relay,
   ) {}
 
@@ -75,7 +83,7 @@
     return this.options.zone;
   }
 
-  /** Writes the target's registration, with its state, to the store. */
+  /** Registers the target with a state, `ready` or `draining`, in the store. */
   async register(state: string): Promise<void> {
     const {id, service, zone, store} = this.options;
     const address = `${HOST}:${this.relay.port}`;
--- a/tools/soak/stand-in-process.ts
+++ b/tools/soak/stand-in-process.ts
@@ -5,7 +5,7 @@
 } from '../../stand-ins/site/parent-commands.js';
 import {Proc} from '../lab/proc.js';
 
-/** A stand-in process that executes control steps. */
+/** A stand-in process that executes commands of this process. */
 export class StandInProcess {
   private number = 0;
   private readonly pending = new Map<number, () => void>();
@@ -24,7 +24,7 @@
   static async start(options: {
     script: string;
     args?: readonly string[];
-    /** Called with messages that are not replies to steps. */
+    /** Called with messages that are not replies to commands. */
     onReport?: (report: unknown) => void;
   }): Promise<StandInProcess> {
     const {script, args = [], onReport} = options;
@@ -43,7 +43,7 @@
     return standIn;
   }
 
-  /** Executes a step; resolves when it is done or the process exits. */
+  /** Executes a command; resolves when it is done or the process exits. */
   async execute(step: string, args: unknown): Promise<void> {
     const number = ++this.number;
     const done = new Promise<void>((resolve) => {
--- a/tools/soak/timer-lag.ts
+++ b/tools/soak/timer-lag.ts
@@ -1,9 +1,10 @@
-/** Measures the timer lag of this process. */
+/** Measures how late timers of this process fire. */
 
 const INTERVAL_MS = 20;
 
 /**
- * Reports the delay of a periodic timer; returns a function that stops it.
+ * Calls `onLag` with the delay of a periodic timer each time it fires. Returns
+ * a function that stops the timer.
  *
  * @example
  * const stop = monitorTimerLag((lagMs) => console.log(lagMs));
