--- a/tools/capacity/consts.ts
+++ b/tools/capacity/consts.ts
@@ -1,6 +1,6 @@
 /** Reference workload and limits for the capacity calculations. */
 
-/** Number of entries and targets, and their total load at the peak. */
+/** Size of the site and its total load at the peak. */
 export const ENTRIES = 900;
 export const TARGETS = 6_000;
 export const REQUESTS_PER_SECOND = 87_000;
@@ -12,12 +12,15 @@
 /** Time between the tokens of a stream at the peak, in seconds. */
 export const TOKEN_GAP_S = 0.05;
 
-/** Limits for the control overhead of a node. */
+/**
+ * Limits per entry or agent for its control work: share of a core, memory and
+ * network traffic.
+ */
 export const CONTROL_CORE_SHARE = 0.017;
 export const CONTROL_MEMORY_BYTES = 64 * 1_024 * 1_024;
 export const CONTROL_BYTES_PER_SECOND = 9_000;
 
-/** Platform limits per second; 300 stands for "several hundred" writes. */
+/** Limits of the platform; 300 stands for "several hundred" writes. */
 export const PLATFORM_READS_PER_SECOND = 2_000;
 export const PLATFORM_WRITES_PER_SECOND = 300;
 
--- a/tools/capacity/main.ts
+++ b/tools/capacity/main.ts
@@ -1,4 +1,4 @@
-/** Regenerates the tables of docs/CAPACITY.md from measured slopes. */
+/** Regenerates the tables of docs/CAPACITY.md from the measured slopes. */
 import {readFileSync, writeFileSync} from 'node:fs';
 
 import {fillPage} from './page.js';
--- a/tools/capacity/page.ts
+++ b/tools/capacity/page.ts
@@ -1,4 +1,4 @@
-/** Inserts tables into a page between markers. */
+/** Inserts tables between the markers of a page. */
 
 /** A table and the name in its marker. */
 export interface NamedTable {
@@ -7,7 +7,8 @@
 }
 
 /**
- * Replaces the text between `<!-- table:NAME -->` and `<!-- end -->`.
+ * Replaces the text between `<!-- table:NAME -->` and the next `<!-- end -->`
+ * with the table of that name; throws if the page has no such markers.
  *
  * @example
  * fillPage({page, tables: [{name: 'entry', text: renderEntry(slopes)}]});
--- a/tools/capacity/slopes.ts
+++ b/tools/capacity/slopes.ts
@@ -1,9 +1,12 @@
-/** Measured slopes: costs per unit, from which the page is calculated. */
+/** Measured costs per unit of load, from which the page is calculated. */
 import {readFileSync} from 'node:fs';
 
 import type {Report} from '../../bench/lib/report.js';
 
-/** Slopes by use; `Us` in microseconds, `Bytes` in bytes. */
+/**
+ * Costs per unit of load; `Us` is CPU time in microseconds. The costs of idle
+ * processes and of watched targets are per second.
+ */
 export interface Slopes {
   readonly entryIdleUs: number;
   readonly agentIdleUs: number;
@@ -34,7 +37,12 @@
   return JSON.parse(readFileSync(file, 'utf8')) as Report;
 }
 
-/** Extracts the slopes from a report. */
+/**
+ * Extracts the slopes from a report; throws if one is missing.
+ *
+ * @example
+ * const {requestUs} = resolveSlopes(loadReport(file));
+ */
 export function resolveSlopes(report: Report): Slopes {
   const medianOf = (name: string): number => {
     const found = report.cases.find((row) => row.name === name);
@@ -54,7 +62,7 @@
     bookingCalls: medianOf('platform: object calls per booking'),
     configUs: medianOf('entry: per configuration change'),
     watchedTargetBytes: medianOf('entry: memory per watched target'),
-    // Within measurement noise, so the measured value may be negative.
+    // A difference of measured values that may be negative within their noise.
     watchedTargetUs: Math.max(
       0,
       medianOf('entry: per watched target beside heartbeats'),
--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -20,6 +20,7 @@
 } from './consts.js';
 import type {Slopes} from './slopes.js';
 
+/** Significant digits of the values in the tables. */
 const DIGITS = 3;
 
 /** A quantity calculated for the reference workload. */
@@ -33,13 +34,23 @@
   readonly limit?: number;
 }
 
-/** Renders the measured slopes. */
+/**
+ * Renders the measured slopes.
+ *
+ * @example
+ * const table = renderSlopes(report);
+ */
 export function renderSlopes(report: Report): string {
   const rows = report.cases.map((row) => [row.name, format(row.p50), row.unit]);
   return renderTable(['slope', 'measured', 'unit'], rows);
 }
 
-/** Renders the load of an entry for the reference workload. */
+/**
+ * Renders the load of an entry for the reference workload.
+ *
+ * @example
+ * const table = renderEntry(slopes);
+ */
 export function renderEntry(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / ENTRIES;
   const streams = tokens * TOKEN_GAP_S;
@@ -149,7 +160,12 @@
   ]);
 }
 
-/** Renders the load of an agent for the reference workload. */
+/**
+ * Renders the load of an agent for the reference workload.
+ *
+ * @example
+ * const table = renderAgent(slopes);
+ */
 export function renderAgent(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / TARGETS;
   const streams = tokens * TOKEN_GAP_S;
@@ -203,7 +219,12 @@
   ]);
 }
 
-/** Renders the load of the platform for the reference workload. */
+/**
+ * Renders the load of the platform for the reference workload.
+ *
+ * @example
+ * const table = renderPlatform(slopes);
+ */
 export function renderPlatform(slopes: Slopes): string {
   return renderRows([
     {
@@ -253,7 +274,7 @@
   return [head, rule, ...rows].map(line).join('\n');
 }
 
-/** Rounds to three digits; large values get thousands separators. */
+/** Rounds to `DIGITS`; values from 1,024 on get thousands separators. */
 function format(value: number): string {
   const rounded = Number(value.toPrecision(DIGITS));
   return rounded >= BYTES_PER_KB
--- a/tools/ci/known-red.ts
+++ b/tools/ci/known-red.ts
@@ -1,8 +1,8 @@
-/** Entries of KNOWN-RED.txt: known failing tests that CI tolerates. */
+/** Entries of KNOWN-RED.txt: failing tests that CI tolerates. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 
-/** A known failing test. */
+/** An entry of KNOWN-RED.txt. */
 export interface KnownRed {
   /** Full name of the test; `*` matches any text. */
   readonly test: string;
@@ -10,6 +10,7 @@
   readonly command: string;
   /** Observed failure. */
   readonly seen: string;
+  /** Issue about the failure. */
   readonly issue: string;
 }
 
@@ -17,11 +18,12 @@
 const COMMENT = '#';
 
 /**
- * Parses the list: one entry per line, with four fields separated by `|`.
- * Lines that start with `#` are comments. Fails with the malformed lines.
+ * Parses KNOWN-RED.txt: one entry per line, with four fields separated by `|`.
+ * Lines that start with `#` are comments. Fails with the malformed lines; an
+ * entry that would match all tests is one of them.
  *
  * @example
- * parseKnownRed('gate > sheds | npx vitest run gate, seed 7 | 503 | issue 4');
+ * parseKnownRed('relay > cuts | npx vitest run relay, seed 7 | 503 | issue 4');
  */
 export function parseKnownRed(text: string): Result<KnownRed[], string[]> {
   const lines = text.split('\n').map((line) => line.trim());
@@ -42,7 +44,7 @@
  * Returns whether an entry matches the full name of a test.
  *
  * @example
- * matchesTest({entry, test: 'gate > sheds'});
+ * matchesTest({entry, test: 'relay > cuts'});
  */
 export function matchesTest(options: {entry: KnownRed; test: string}): boolean {
   const {entry, test} = options;
--- a/tools/ci/main.ts
+++ b/tools/ci/main.ts
@@ -37,6 +37,7 @@
   }
 }
 
+/** Runs all tests; resolves to the exit status, null after a signal. */
 function runTests(reportFile: string): Promise<number | null> {
   const reporters = ['--reporter=default', '--reporter=json'];
   const output = `--outputFile.json=${reportFile}`;
@@ -50,6 +51,7 @@
   });
 }
 
+/** Prints why the run failed, and counts on the last line as a verdict has. */
 function failRun(reason: string): false {
   process.stdout.write(`${reason}\nTests: 0 passed, 1 failed\n`);
   return false;
--- a/tools/ci/verdict.ts
+++ b/tools/ci/verdict.ts
@@ -12,7 +12,7 @@
 
 /** A test and its result. */
 export interface TestResult {
-  /** Names of its groups and its own name, separated by ` > `. */
+  /** Titles of its groups and its own title, separated by ` > `. */
   readonly test: string;
   readonly state: TestState;
 }
@@ -30,17 +30,17 @@
 export interface Verdict {
   readonly passed: number;
   readonly failed: number;
-  /** Listed failures that occurred and that CI tolerates. */
+  /** Entries of KNOWN-RED.txt whose tests failed, which CI tolerates. */
   readonly tolerated: readonly KnownRed[];
-  /** Entries whose tests no longer fail. */
+  /** Entries of KNOWN-RED.txt whose tests no longer fail. */
   readonly nowPassing: readonly KnownRed[];
   /** Reasons why CI fails; empty for a successful run. */
   readonly problems: readonly string[];
 }
 
 /**
- * Evaluates a run: every failure must be listed, every entry must match a
- * test, and every test must run.
+ * Evaluates a run: every failure must have an entry in KNOWN-RED.txt, every
+ * entry must match a test, and every test must run.
  *
  * @example
  * evaluateRun({run, known}).problems.length === 0;
@@ -65,6 +65,7 @@
     ...byState(TestState.NOT_RUN).map((test) => `not run: ${test}`),
     ...unmatched.map(({test}) => `listed, but no such test: ${test}`),
   ];
+  // Failed tests and files make the runner exit with an error, too.
   const isExplained = failed.length > 0 || problems.length > 0;
   if (!run.runnerSucceeded && !isExplained)
     problems.push('the runner reports an error');
@@ -80,7 +81,12 @@
   };
 }
 
-/** Formats a verdict as text; the last line contains the test counts. */
+/**
+ * Formats a verdict as text; the last line contains the test counts.
+ *
+ * @example
+ * process.stdout.write(formatVerdict(verdict));
+ */
 export function formatVerdict(verdict: Verdict): string {
   const {passed, failed, tolerated, nowPassing, problems} = verdict;
   const lines = [
--- a/tools/ci/vitest-report.ts
+++ b/tools/ci/vitest-report.ts
@@ -26,7 +26,7 @@
 });
 
 /**
- * Converts the JSON report of a run.
+ * Converts the JSON report of a run; fails with the reason if it is malformed.
  *
  * @example
  * parseReport({report: JSON.parse(text), runnerSucceeded: status === 0});
--- a/tools/quickstart/main.ts
+++ b/tools/quickstart/main.ts
@@ -11,6 +11,7 @@
 import type {Target} from '../lab/site.js';
 import {Site} from '../lab/site.js';
 
+/** Time between two tokens of the engines, in milliseconds. */
 const PACE_MS = 20;
 const MAX_TOKENS = 200;
 const KILL_AFTER_CHUNKS = 60;
@@ -20,6 +21,7 @@
   process.stdout.write(`${line}\n`);
 }
 
+/** Finds the engine that is running the generation. */
 async function findBusyEngine(site: Site): Promise<Target> {
   for (const target of site.engines) {
     const url = `${target.standIn.url}/counts`;
@@ -32,6 +34,7 @@
   throw new Error('no engine is running the generation');
 }
 
+/** Runs a generation, kills its engine and returns whether it was complete. */
 async function runGeneration(site: Site): Promise<boolean> {
   let pendingKill: Promise<Target> | undefined;
   const transcript = await readWithResume({
@@ -61,6 +64,7 @@
   return isComplete && killedEngine !== undefined;
 }
 
+/** Sends the same booking to each entry and returns whether it ran once. */
 async function runBooking(site: Site): Promise<boolean> {
   const key = 'quickstart-1';
   const statuses: number[] = [];
