--- a/test/tools/soak/checks.test.ts
+++ b/test/tools/soak/checks.test.ts
@@ -26,7 +26,7 @@
 /** Late enough that everything accepted at the start is applied. */
 const LATER_MS = START_MS + 60_000;
 
-function attempt(overrides: Partial<Attempt> = {}): Attempt {
+function createAttempt(overrides: Partial<Attempt> = {}): Attempt {
   const {id = 'r1', kind = RequestKind.SAFE, sentMs = LATER_MS} = overrides;
   return {
     id,
@@ -37,14 +37,15 @@
     sentMs,
     endMs: sentMs + 50,
     status: 200,
-    text: kind === RequestKind.STREAM ? stream(id) : `answer to ${id}`,
+    text:
+      kind === RequestKind.STREAM ? createStreamText(id) : `answer to ${id}`,
     isWhole: true,
     isProven: true,
     ...overrides,
   };
 }
 
-function arrival(overrides: Partial<Arrival> = {}): Arrival {
+function createArrival(overrides: Partial<Arrival> = {}): Arrival {
   const {atMs = LATER_MS + 5} = overrides;
   return {
     attemptId: 'r1',
@@ -58,30 +59,30 @@
   };
 }
 
-function stream(id: string, pieces = STREAM_EVENTS): string {
-  const texts = Array.from({length: pieces}, (_, index) =>
-    piece(id, index + 1),
+function createStreamText(id: string, count = STREAM_EVENTS): string {
+  const texts = Array.from({length: count}, (_, index) =>
+    createEventText(id, index + 1),
   );
   return texts.join('');
 }
 
-function piece(id: string, index: number): string {
+function createEventText(id: string, index: number): string {
   return `id: ${index}\ndata: piece ${index} of ${id}\n\n`;
 }
 
-/** History of a run without violations, to which a case adds events. */
-function faultFreeHistory(): History {
+/** Creates the history of a run without violations, to which a case adds. */
+function createFaultFreeHistory(): History {
   const history = new History();
   history.calmFromMs = LATER_MS + 100_000;
   for (let i = 0; i < 20; i++) {
     const sentMs = history.calmFromMs + 10 + i;
-    history.attempts.push(attempt({id: `last-${i}`, sentMs}));
+    history.attempts.push(createAttempt({id: `last-${i}`, sentMs}));
   }
-  history.configs.push(config(1, START_MS));
+  history.configs.push(createConfigChange(1, START_MS));
   return history;
 }
 
-function config(version: number, ackMs: number) {
+function createConfigChange(version: number, ackMs: number) {
   const movingTo = version % 2 === 0 ? 'spare' : 'desk';
   return {version, movingTo, sentMs: ackMs - 5, ackMs};
 }
@@ -90,45 +91,65 @@
   readonly name: string;
   /** Substring of the guarantee that must be reported as violated. */
   readonly guarantee: string;
+  /** Adds what violates the guarantee to the history. */
   readonly add: (history: History) => void;
 }
 
-const streamCheck = (name: string, text: string, isWhole = true): Case => ({
+const createStreamCase = (
+  name: string,
+  text: string,
+  isWhole = true,
+): Case => ({
   name,
   guarantee: 'no event of a stream',
   add: ({attempts}) =>
-    attempts.push(attempt({kind: RequestKind.STREAM, text, isWhole})),
+    attempts.push(createAttempt({kind: RequestKind.STREAM, text, isWhole})),
 });
 
 const CASES: readonly Case[] = [
   {
     name: 'the response to another request',
     guarantee: 'own complete response',
-    add: ({attempts}) => attempts.push(attempt({text: 'answer to r2'})),
+    add: ({attempts}) => attempts.push(createAttempt({text: 'answer to r2'})),
   },
   {
     name: 'a response without proof',
     guarantee: 'own complete response',
-    add: ({attempts}) => attempts.push(attempt({isProven: false})),
+    add: ({attempts}) => attempts.push(createAttempt({isProven: false})),
   },
-  streamCheck('a missing event', piece('r1', 1) + piece('r1', 3), false),
-  streamCheck('a duplicated event', piece('r1', 1) + piece('r1', 1), false),
-  streamCheck('an event of another request', piece('r2', 1), false),
-  streamCheck('an early end that looks complete', stream('r1', 3)),
+  createStreamCase(
+    'a missing event',
+    createEventText('r1', 1) + createEventText('r1', 3),
+    false,
+  ),
+  createStreamCase(
+    'a duplicated event',
+    createEventText('r1', 1) + createEventText('r1', 1),
+    false,
+  ),
+  createStreamCase(
+    'an event of another request',
+    createEventText('r2', 1),
+    false,
+  ),
+  createStreamCase(
+    'an early end that looks complete',
+    createStreamText('r1', 3),
+  ),
   {
     name: 'a second run of a booking',
     guarantee: 'at most once',
     add: ({attempts, arrivals}) => {
-      attempts.push(attempt({kind: RequestKind.UNSAFE}));
-      arrivals.push(arrival(), arrival({target: 'i-2'}));
+      attempts.push(createAttempt({kind: RequestKind.UNSAFE}));
+      arrivals.push(createArrival(), createArrival({target: 'i-2'}));
     },
   },
   {
     name: 'a refusal of a request that ran',
     guarantee: 'has not run',
     add: ({attempts, arrivals}) => {
-      attempts.push(attempt({kind: RequestKind.UNSAFE, status: 503}));
-      arrivals.push(arrival());
+      attempts.push(createAttempt({kind: RequestKind.UNSAFE, status: 503}));
+      arrivals.push(createArrival());
     },
   },
   {
@@ -136,20 +157,20 @@
     guarantee: 'by its deadline',
     add: ({attempts}) => {
       const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
-      attempts.push(attempt({endMs}));
+      attempts.push(createAttempt({endMs}));
     },
   },
   {
     name: 'a connection that ends without a response',
     guarantee: 'responds to each request',
     add: ({attempts}) =>
-      attempts.push(attempt({status: undefined, isWhole: false})),
+      attempts.push(createAttempt({status: undefined, isWhole: false})),
   },
   {
     name: 'a response interrupted by a graceful shutdown',
     guarantee: 'interrupts no request',
     add: ({attempts, entryEnds}) => {
-      attempts.push(attempt({isWhole: false}));
+      attempts.push(createAttempt({isWhole: false}));
       entryEnds.push({
         entry: ENTRY,
         lifetime: 1,
@@ -167,7 +188,9 @@
     add: ({attempts, calmFromMs}) => {
       for (let i = 0; i < 5; i++) {
         const sentMs = calmFromMs + 1 + i;
-        attempts.push(attempt({id: `f${i}`, sentMs, status: 503, text: ''}));
+        attempts.push(
+          createAttempt({id: `f${i}`, sentMs, status: 503, text: ''}),
+        );
       }
     },
   },
@@ -175,10 +198,13 @@
     name: 'a run with a revoked key',
     guarantee: 'refused in time',
     add: ({configs, attempts, arrivals}) => {
-      configs.push(config(2, START_MS), config(3, START_MS));
+      configs.push(
+        createConfigChange(2, START_MS),
+        createConfigChange(3, START_MS),
+      );
       const sentMs = START_MS + KEY_REVOCATION_MS + 1;
-      attempts.push(attempt({sentMs, keyVersion: 1, status: 500}));
-      arrivals.push(arrival({atMs: sentMs + 1, keyVersion: 1}));
+      attempts.push(createAttempt({sentMs, keyVersion: 1, status: 500}));
+      arrivals.push(createArrival({atMs: sentMs + 1, keyVersion: 1}));
     },
   },
   {
@@ -186,40 +212,43 @@
     guarantee: 'applied within seconds',
     add: ({attempts}) => {
       const sentMs = START_MS + CONFIG_APPLY_MS + 1;
-      attempts.push(attempt({sentMs, keyVersion: 1, status: 401}));
+      attempts.push(createAttempt({sentMs, keyVersion: 1, status: 401}));
     },
   },
   {
     name: 'a refusal of the permanent key',
     guarantee: 'applied within seconds',
-    add: ({attempts}) => attempts.push(attempt({status: 401})),
+    add: ({attempts}) => attempts.push(createAttempt({status: 401})),
   },
   {
     name: 'a process that rejects the key of a version it has used',
     guarantee: 'never reverts',
     add: ({configs, attempts, arrivals}) => {
-      configs.push(config(2, LATER_MS));
+      configs.push(createConfigChange(2, LATER_MS));
       const sentMs = LATER_MS + 1_000;
       attempts.push(
-        attempt({keyVersion: 2}),
-        attempt({id: 'r2', sentMs, keyVersion: 2, status: 401}),
+        createAttempt({keyVersion: 2}),
+        createAttempt({id: 'r2', sentMs, keyVersion: 2, status: 401}),
       );
-      arrivals.push(arrival({keyVersion: 2}));
+      arrivals.push(createArrival({keyVersion: 2}));
     },
   },
   {
     name: 'a process that accepts a key after applying its revocation',
     guarantee: 'never reverts',
     add: ({configs, attempts, arrivals}) => {
-      configs.push(config(2, LATER_MS), config(3, LATER_MS));
+      configs.push(
+        createConfigChange(2, LATER_MS),
+        createConfigChange(3, LATER_MS),
+      );
       const sentMs = LATER_MS + 1_000;
       attempts.push(
-        attempt({keyVersion: 3}),
-        attempt({id: 'r2', sentMs, keyVersion: 1}),
+        createAttempt({keyVersion: 3}),
+        createAttempt({id: 'r2', sentMs, keyVersion: 1}),
       );
       arrivals.push(
-        arrival({keyVersion: 3}),
-        arrival({attemptId: 'r2', atMs: sentMs + 1, keyVersion: 1}),
+        createArrival({keyVersion: 3}),
+        createArrival({attemptId: 'r2', atMs: sentMs + 1, keyVersion: 1}),
       );
     },
   },
@@ -227,18 +256,18 @@
     name: 'a moved route at its old service',
     guarantee: 'by its new service',
     add: ({configs, attempts, arrivals}) => {
-      configs.push(config(2, LATER_MS - CONFIG_APPLY_MS - 100));
-      attempts.push(attempt({kind: RequestKind.MOVING}));
-      arrivals.push(arrival());
+      configs.push(createConfigChange(2, LATER_MS - CONFIG_APPLY_MS - 100));
+      attempts.push(createAttempt({kind: RequestKind.MOVING}));
+      arrivals.push(createArrival());
     },
   },
   {
     name: 'new work for a draining target',
     guarantee: 'draining target',
     add: ({attempts, arrivals, leavings}) => {
-      attempts.push(attempt());
+      attempts.push(createAttempt());
       leavings.push({target: 'i-1', ackMs: LATER_MS - DRAIN_NOTICE_MS});
-      arrivals.push(arrival());
+      arrivals.push(createArrival());
     },
   },
   {
@@ -248,10 +277,17 @@
       for (const id of ['a', 'b', 'c', 'd']) {
         const hungUpMs = LATER_MS + 500;
         attempts.push(
-          attempt({id, kind: RequestKind.STREAM, hungUpMs, isWhole: false}),
+          createAttempt({
+            id,
+            kind: RequestKind.STREAM,
+            hungUpMs,
+            isWhole: false,
+          }),
         );
         const endedMs = hungUpMs + CANCEL_TIMEOUT_MS + 1;
-        arrivals.push(arrival({attemptId: id, service: 'writers', endedMs}));
+        arrivals.push(
+          createArrival({attemptId: id, service: 'writers', endedMs}),
+        );
       }
     },
   },
@@ -259,13 +295,13 @@
     name: 'two concurrent runs of a stream',
     guarantee: 'do not overlap',
     add: ({attempts, arrivals}) => {
-      attempts.push(attempt({kind: RequestKind.STREAM}));
+      attempts.push(createAttempt({kind: RequestKind.STREAM}));
       const nextMs = LATER_MS + 100;
       const endedMs = nextMs + MAX_OVERLAP_MS + 1;
       const run = {endedMs, service: 'writers'};
       arrivals.push(
-        arrival(run),
-        arrival({...run, target: 'i-2', atMs: nextMs}),
+        createArrival(run),
+        createArrival({...run, target: 'i-2', atMs: nextMs}),
       );
     },
   },
@@ -273,8 +309,8 @@
     name: 'more retries than the budget allows',
     guarantee: 'within their budget',
     add: ({attempts, arrivals}) => {
-      attempts.push(attempt());
-      for (let i = 0; i < RETRY_SLACK + 5; i++) arrivals.push(arrival());
+      attempts.push(createAttempt());
+      for (let i = 0; i < RETRY_SLACK + 5; i++) arrivals.push(createArrival());
     },
   },
   {
@@ -299,11 +335,11 @@
 
 describe('findViolations', () => {
   it('finds no violation in a run without faults', () => {
-    expect(findViolations(faultFreeHistory())).toEqual([]);
+    expect(findViolations(createFaultFreeHistory())).toEqual([]);
   });
 
   it.each(CASES)('finds $name', ({guarantee, add}) => {
-    const history = faultFreeHistory();
+    const history = createFaultFreeHistory();
     add(history);
     const found = findViolations(history);
     const guarantees = new Set(found.map((violation) => violation.promise));
@@ -311,9 +347,9 @@
   });
 
   it('ignores a late response of an entry shortly after a fault', () => {
-    const history = faultFreeHistory();
+    const history = createFaultFreeHistory();
     const endMs = LATER_MS + CALL_DEADLINE_MS + DEADLINE_TOLERANCE_MS + 1;
-    history.attempts.push(attempt({endMs}));
+    history.attempts.push(createAttempt({endMs}));
     history.disturbances.push({
       part: entryComponent(ENTRY),
       kind: 'entry_pause',
@@ -324,13 +360,13 @@
   });
 
   it('ignores an overlapping run that ended immediately', () => {
-    const history = faultFreeHistory();
-    history.attempts.push(attempt({kind: RequestKind.STREAM}));
+    const history = createFaultFreeHistory();
+    history.attempts.push(createAttempt({kind: RequestKind.STREAM}));
     const nextMs = LATER_MS + 100;
     const endedMs = nextMs + MAX_OVERLAP_MS + 1;
     history.arrivals.push(
-      arrival({endedMs, service: 'writers'}),
-      arrival({
+      createArrival({endedMs, service: 'writers'}),
+      createArrival({
         target: 'i-2',
         service: 'writers',
         atMs: nextMs,
@@ -341,7 +377,7 @@
   });
 
   it('ignores a process that was stopped before it listened', () => {
-    const history = faultFreeHistory();
+    const history = createFaultFreeHistory();
     const end = {entry: ENTRY, lifetime: 1, code: null, wasKilled: false};
     history.entryEnds.push({
       ...end,
@@ -353,9 +389,9 @@
   });
 
   it('finds a second run of a booking even during a fault', () => {
-    const history = faultFreeHistory();
-    history.attempts.push(attempt({kind: RequestKind.UNSAFE}));
-    history.arrivals.push(arrival(), arrival({target: 'i-2'}));
+    const history = createFaultFreeHistory();
+    history.attempts.push(createAttempt({kind: RequestKind.UNSAFE}));
+    history.arrivals.push(createArrival(), createArrival({target: 'i-2'}));
     const fault = {kind: 'entry_pause', fromMs: 0, toMs: Infinity};
     history.disturbances.push({part: entryComponent(ENTRY), ...fault});
     expect(findViolations(history)).toHaveLength(1);
