--- a/tools/capacity/tables.ts
+++ b/tools/capacity/tables.ts
@@ -6,8 +6,8 @@
   CONTROL_BYTES_PER_SECOND,
   CONTROL_CORE_SHARE,
   CONTROL_MEMORY_BYTES,
+  ENTRIES,
   HEARTBEATS_PER_SECOND,
-  NODES,
   PLATFORM_READS_PER_SECOND,
   PLATFORM_WRITES_PER_SECOND,
   REQUESTS_PER_SECOND,
@@ -20,6 +20,7 @@
 } from './consts.js';
 import type {Slopes} from './slopes.js';
 
+/** Significant digits of the values in the tables. */
 const DIGITS = 3;
 
 /** A quantity calculated for the reference workload. */
@@ -33,15 +34,25 @@
   readonly limit?: number;
 }
 
-/** Renders the measured slopes. */
+/**
+ * Renders the measured slopes.
+ *
+ * @example
+ * const table = renderSlopes(report);
+ */
 export function renderSlopes(report: Report): string {
   const rows = report.cases.map((row) => [row.name, format(row.p50), row.unit]);
   return renderTable(['slope', 'measured', 'unit'], rows);
 }
 
-/** Renders the load of an entry for the reference workload. */
+/**
+ * Renders the load of an entry for the reference workload.
+ *
+ * @example
+ * const table = renderEntry(slopes);
+ */
 export function renderEntry(slopes: Slopes): string {
-  const tokens = TOKENS_PER_SECOND / NODES;
+  const tokens = TOKENS_PER_SECOND / ENTRIES;
   const streams = tokens * TOKEN_GAP_S;
   const maxTargets = Math.floor(
     CONTROL_BYTES_PER_SECOND / slopes.heartbeatBytes,
@@ -55,20 +66,21 @@
   return renderRows([
     {
       quantity: 'requests',
-      formula: `${REQUESTS_PER_SECOND} / ${NODES} entries`,
-      value: REQUESTS_PER_SECOND / NODES,
+      formula: `${REQUESTS_PER_SECOND} / ${ENTRIES} entries`,
+      value: REQUESTS_PER_SECOND / ENTRIES,
       unit: '/s',
     },
     {
       quantity: 'cores for requests, beside their tokens',
       formula: 'requests x entry: per generation of one token',
-      value: ((REQUESTS_PER_SECOND / NODES) * slopes.requestUs) / US_PER_SECOND,
+      value:
+        ((REQUESTS_PER_SECOND / ENTRIES) * slopes.requestUs) / US_PER_SECOND,
       unit: 'cores',
       limit: 1,
     },
     {
       quantity: 'tokens relayed',
-      formula: `${TOKENS_PER_SECOND} / ${NODES}`,
+      formula: `${TOKENS_PER_SECOND} / ${ENTRIES}`,
       value: tokens,
       unit: '/s',
     },
@@ -148,7 +160,12 @@
   ]);
 }
 
-/** Renders the load of an agent for the reference workload. */
+/**
+ * Renders the load of an agent for the reference workload.
+ *
+ * @example
+ * const table = renderAgent(slopes);
+ */
 export function renderAgent(slopes: Slopes): string {
   const tokens = TOKENS_PER_SECOND / TARGETS;
   const streams = tokens * TOKEN_GAP_S;
@@ -180,8 +197,8 @@
     },
     {
       quantity: 'heartbeats sent, if every entry watches it',
-      formula: `${NODES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
-      value: NODES * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
+      formula: `${ENTRIES} x ${HEARTBEATS_PER_SECOND}/s x bytes of a heartbeat`,
+      value: ENTRIES * HEARTBEATS_PER_SECOND * slopes.heartbeatBytes,
       unit: 'bytes/s',
       limit: CONTROL_BYTES_PER_SECOND,
     },
@@ -202,13 +219,18 @@
   ]);
 }
 
-/** Renders the load of the platform for the reference workload. */
+/**
+ * Renders the load of the platform for the reference workload.
+ *
+ * @example
+ * const table = renderPlatform(slopes);
+ */
 export function renderPlatform(slopes: Slopes): string {
   return renderRows([
     {
       quantity: 'reads of the VM list',
-      formula: `${NODES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
-      value: NODES * VM_LIST_READS_PER_SECOND,
+      formula: `${ENTRIES} entries x ${VM_LIST_READS_PER_SECOND}/s`,
+      value: ENTRIES * VM_LIST_READS_PER_SECOND,
       unit: '/s',
       limit: PLATFORM_READS_PER_SECOND,
     },
@@ -252,7 +274,7 @@
   return [head, rule, ...rows].map(line).join('\n');
 }
 
-/** Rounds to three digits; large values get thousands separators. */
+/** Rounds to `DIGITS`; values from 1,024 on get thousands separators. */
 function format(value: number): string {
   const rounded = Number(value.toPrecision(DIGITS));
   return rounded >= BYTES_PER_KB
