--- a/src/direct/streams/min-generation-times.ts
+++ b/src/direct/streams/min-generation-times.ts
@@ -30,7 +30,7 @@
  * @example
  * const need = toGenerationSize(req, service);
  */
-export function toGenerationSize(
+export function toGenerationNeed(
   req: CallerRequest,
   service: RoutedService,
 ): GenerationNeed | undefined {
--- a/src/direct/streams/stream-handler.ts
+++ b/src/direct/streams/stream-handler.ts
@@ -28,7 +28,7 @@
 import type {KvCacheCopy} from './kv-cache-replicator.js';
 import {StreamDelivery} from './stream-delivery.js';
 import {canResumeAt, StreamPlacer} from './stream-placer.js';
-import {toGenerationSize} from './min-generation-times.js';
+import {toGenerationNeed} from './min-generation-times.js';
 import type {TargetLoss} from './stream-attempt.js';
 import {StreamAttempt} from './stream-attempt.js';
 
@@ -121,7 +121,7 @@
   /** Whether the remaining time is too short for any engine. */
   private cannotMeetDeadline(): boolean {
     const {req, service, deadlineAtMs} = this.work;
-    const need = toGenerationSize(req, service);
+    const need = toGenerationNeed(req, service);
     if (need === undefined) return false;
     const leftMs = deadlineAtMs - this.ctx.clock.now();
     return this.ctx.minGenerationTimes
@@ -327,7 +327,7 @@
 
   private recordGenerationTime(): void {
     const {req, service} = this.work;
-    const need = toGenerationSize(req, service);
+    const need = toGenerationNeed(req, service);
     if (
       need === undefined ||
       need.receivedEvents > 0 ||
