--- a/bench/experiments/balance/index.ts
+++ b/bench/experiments/balance/index.ts
@@ -1,4 +1,4 @@
-/** Compares target selection under delayed load reports with simpler methods. */
+/** Compares load-aware with simpler target selection under delayed reports. */
 import type {Maybe} from 'purify-ts';
 import {Just} from 'purify-ts';
 
@@ -18,14 +18,16 @@
 import {BalanceSim} from './sim.js';
 
 const TARGETS = 25;
+/** Slots per target. */
 const CAPACITY = 16;
 const ENTRIES = 3;
 const MEAN_SERVICE_MS = 1_000;
-const FOR_MS = 20_000;
-const LOAD = 0.9;
+const SIMULATED_MS = 20_000;
+/** Ratio of offered load to capacity. */
+const DEFAULT_LOAD = 0.9;
 
 /** Chooses the target with the lowest reported load. */
-class LeastReported implements TargetChooser {
+class LeastReportedChooser implements TargetChooser {
   choose(options: {
     query: ChoiceQuery;
     targets: readonly TargetView[];
@@ -37,7 +39,7 @@
 }
 
 /** Chooses the targets in turn. */
-class RoundRobin implements TargetChooser {
+class RoundRobinChooser implements TargetChooser {
   private next = 0;
 
   choose(options: {targets: readonly TargetView[]}): Maybe<TargetView> {
@@ -46,14 +48,17 @@
   }
 }
 
-/** Measures how long requests wait at targets while other targets have free slots. */
+/**
+ * Measures how long requests wait at targets and how many wait while another
+ * target has a free slot.
+ */
 export const experiment: Experiment = {
   name: 'balance',
   summary: 'waiting at targets under lagged reports, by the way of choosing',
   starts: 'nothing; it simulates 3 entries and 25 targets, about 10 s',
   flags: ['--load X: offered load over capacity, 0.9 by default'],
   run: ({seed, flags}) => {
-    const load = flags.number('load', LOAD);
+    const load = flags.number('load', DEFAULT_LOAD);
     const variants: ReadonlyArray<{
       name: string;
       createChooser: SimOptions['createChooser'];
@@ -73,8 +78,8 @@
         createChooser: () =>
           new PowerOfTwoChooser({random: new SeededRandom(seed)}),
       },
-      {name: 'round robin', createChooser: () => new RoundRobin()},
-      {name: 'least reported', createChooser: () => new LeastReported()},
+      {name: 'round robin', createChooser: () => new RoundRobinChooser()},
+      {name: 'least reported', createChooser: () => new LeastReportedChooser()},
     ];
     const sims = variants.map(({name, createChooser}) => {
       const sim = new BalanceSim({
@@ -83,14 +88,14 @@
         entries: ENTRIES,
         load,
         meanServiceMs: MEAN_SERVICE_MS,
-        forMs: FOR_MS,
+        durationMs: SIMULATED_MS,
         random: new SeededRandom(seed),
         createChooser,
       });
       sim.run();
       return {name, sim};
     });
-    const p95 = sims.map(({sim}) => sim.waits.percentile(95));
+    const p95Waits = sims.map(({sim}) => sim.waits.percentile(95));
     return Promise.resolve({
       cases: sims.flatMap(({name, sim}) =>
         [sim.waits.result(), sim.avoidableWaits.result()].map((row) => ({
@@ -100,7 +105,7 @@
       ),
       ratios: sims.slice(1).map(({name}, i) => ({
         name: `p95 wait, corrected / ${name}`,
-        value: p95[0]! / Math.max(p95[i + 1]!, Number.MIN_VALUE),
+        value: p95Waits[0]! / Math.max(p95Waits[i + 1]!, Number.MIN_VALUE),
       })),
       bounds: [],
     });
--- a/bench/experiments/balance/sim.ts
+++ b/bench/experiments/balance/sim.ts
@@ -1,4 +1,4 @@
-/** Simulation of targets and entries on a manual clock. */
+/** Simulates targets and entries on a manual clock. */
 import type {RandomSource} from '../../../src/core/clock/index.js';
 import {ManualClock} from '../../../src/core/clock/index.js';
 import type {
@@ -6,10 +6,10 @@
   TargetView,
 } from '../../../src/core/routing/index.js';
 import {CountHistory} from '../../../src/core/routing/index.js';
-import {exponential} from '../../lib/arrivals.js';
+import {sampleExponential} from '../../lib/arrivals.js';
 import {Samples} from '../../lib/samples.js';
 
-const SAMPLE_MS = 50;
+const SAMPLE_PERIOD_MS = 50;
 const REPORT_RETENTION_MS = 2_000;
 
 /** Age of the load reports used by the simulated entries. */
@@ -18,12 +18,13 @@
 /** Size and load of the simulated site. */
 export interface SimOptions {
   readonly targets: number;
+  /** Slots per target. */
   readonly capacity: number;
   readonly entries: number;
   /** Ratio of offered load to capacity. */
   readonly load: number;
   readonly meanServiceMs: number;
-  readonly forMs: number;
+  readonly durationMs: number;
   readonly random: RandomSource;
   readonly createChooser: (clock: ManualClock) => TargetChooser;
 }
@@ -31,8 +32,8 @@
 interface SimTarget {
   running: number;
   readonly queue: Array<() => void>;
-  /** Requests at the target over time; reports contain them with a delay. */
-  readonly reported: CountHistory;
+  /** Running and queued requests over time, from which reports are taken. */
+  readonly countHistory: CountHistory;
 }
 
 /** Assigns arriving requests with choosers and samples the target queues. */
@@ -56,7 +57,7 @@
     this.targets = createArray(targets, () => ({
       running: 0,
       queue: [],
-      reported: new CountHistory({retentionMs: REPORT_RETENTION_MS}),
+      countHistory: new CountHistory({retentionMs: REPORT_RETENTION_MS}),
     }));
     this.inFlightHistory = createArray(entries, () =>
       createArray(
@@ -70,80 +71,94 @@
 
   run(): void {
     this.scheduleArrival();
-    this.clock.repeat({periodMs: SAMPLE_MS, run: () => this.sample()});
-    this.clock.advance(this.options.forMs);
+    this.clock.repeat({periodMs: SAMPLE_PERIOD_MS, run: () => this.sample()});
+    this.clock.advance(this.options.durationMs);
   }
 
   private scheduleArrival(): void {
     const {targets, capacity, load, meanServiceMs, random} = this.options;
-    const perMs = (targets * capacity * load) / meanServiceMs;
+    const arrivalsPerMs = (targets * capacity * load) / meanServiceMs;
     const run = (): void => {
       this.arrive(random.below(this.options.entries));
       this.scheduleArrival();
     };
-    this.clock.schedule({delayMs: exponential(1 / perMs, random), run});
+    this.clock.schedule({
+      delayMs: sampleExponential(1 / arrivalsPerMs, random),
+      run,
+    });
   }
 
   private arrive(entry: number): void {
-    const views = this.targets.map((_, i) => this.viewOf(entry, i));
+    const views = this.targets.map((_, i) => this.createView(entry, i));
     const query = {service: 's', exclude: [], dataCentre: '', prefix: ''};
     const chosen = this.choosers[entry]!.choose({query, targets: views});
-    const at = Number(chosen.extract()!.vm);
-    this.updateInFlight(entry, at, 1);
+    const targetIndex = Number(chosen.extract()!.vm);
+    this.updateInFlight(entry, targetIndex, 1);
     const arrivedMs = this.clock.now();
-    const start = (): void => this.start({entry, at, arrivedMs});
-    const target = this.targets[at]!;
+    const start = (): void => this.start({entry, targetIndex, arrivedMs});
+    const target = this.targets[targetIndex]!;
     if (target.running < this.options.capacity) start();
     else target.queue.push(start);
     this.recordCount(target);
   }
 
-  private start(options: {entry: number; at: number; arrivedMs: number}): void {
-    const {entry, at, arrivedMs} = options;
+  private start(options: {
+    entry: number;
+    targetIndex: number;
+    arrivedMs: number;
+  }): void {
+    const {entry, targetIndex, arrivedMs} = options;
     const {meanServiceMs, random} = this.options;
-    const target = this.targets[at]!;
+    const target = this.targets[targetIndex]!;
     target.running++;
     this.waits.add(this.clock.now() - arrivedMs);
     const run = (): void => {
       target.running--;
-      this.updateInFlight(entry, at, -1);
+      this.updateInFlight(entry, targetIndex, -1);
       target.queue.shift()?.();
       this.recordCount(target);
     };
-    this.clock.schedule({delayMs: exponential(meanServiceMs, random), run});
+    this.clock.schedule({
+      delayMs: sampleExponential(meanServiceMs, random),
+      run,
+    });
   }
 
-  private updateInFlight(entry: number, at: number, delta: number): void {
+  private updateInFlight(
+    entry: number,
+    targetIndex: number,
+    delta: number,
+  ): void {
     const counts = this.inFlight[entry]!;
-    counts[at]! += delta;
-    this.inFlightHistory[entry]![at]!.record({
+    counts[targetIndex]! += delta;
+    this.inFlightHistory[entry]![targetIndex]!.record({
       nowMs: this.clock.now(),
-      count: counts[at]!,
+      count: counts[targetIndex]!,
     });
   }
 
   private recordCount(target: SimTarget): void {
     const count = target.running + target.queue.length;
-    target.reported.record({nowMs: this.clock.now(), count});
+    target.countHistory.record({nowMs: this.clock.now(), count});
   }
 
-  private viewOf(entry: number, at: number): TargetView {
+  private createView(entry: number, targetIndex: number): TargetView {
     const {capacity} = this.options;
     const atMs = this.clock.now() - REPORT_LAG_MS;
-    const reported = this.targets[at]!.reported.countAt(atMs);
+    const reported = this.targets[targetIndex]!.countHistory.countAt(atMs);
     return {
-      vm: String(at),
+      vm: String(targetIndex),
       dataCentre: '',
       service: 's',
       incarnation: '',
       usable: true,
       draining: false,
-      ownInFlight: this.inFlight[entry]![at]!,
+      ownInFlight: this.inFlight[entry]![targetIndex]!,
       running: Math.min(reported, capacity),
       waiting: Math.max(0, reported - capacity),
       capacity,
       cachedPrefixes: [],
-      ownInReport: this.inFlightHistory[entry]![at]!.countAt(atMs),
+      ownInReport: this.inFlightHistory[entry]![targetIndex]!.countAt(atMs),
     };
   }
 
--- a/bench/experiments/booking/failures.ts
+++ b/bench/experiments/booking/failures.ts
@@ -10,10 +10,10 @@
 } from '../../../test/support/bookings.js';
 import {runLoad} from './load.js';
 
-const RATE = 40;
-const FOR_MS = 1_000;
+const BOOKINGS_PER_SECOND = 40;
+const LOAD_DURATION_MS = 1_000;
 const DEADLINE_MS = 1_500;
-const FAIL_AFTER_MS = 400;
+const INJECT_AFTER_MS = 400;
 const SETTLE_MS = 1_000;
 
 /** A failure, how to inject it and how to recover from it. */
@@ -26,7 +26,9 @@
 /** Results of callers during a failure and how many were wrong. */
 export interface FailureResult {
   readonly name: string;
+  /** Share of bookings with the result `unknown`. */
   readonly unknownShare: number;
+  /** Number of results that `countViolations` counts. */
   readonly violations: number;
 }
 
@@ -67,17 +69,17 @@
   const {name} = failure;
   const site = await Site.create({entries: 2, engines: 0, orders: 2});
   try {
-    const running = runLoad({
+    const load = runLoad({
       name,
       site,
-      rate: RATE,
-      forMs: FOR_MS,
+      rate: BOOKINGS_PER_SECOND,
+      durationMs: LOAD_DURATION_MS,
       keyPrefix: 'key',
       deadlineMs: DEADLINE_MS,
     });
-    await sleep(FAIL_AFTER_MS);
+    await sleep(INJECT_AFTER_MS);
     await failure.inject(site);
-    const {results} = await running;
+    const {results} = await load;
     await failure.recover?.(site);
     await sleep(SETTLE_MS);
     const unknown = results.filter(({ran}) => ran === 'unknown').length;
@@ -88,16 +90,19 @@
   }
 }
 
-/** Counts results that contradict the execution counts of the service. */
+/**
+ * Counts bookings whose result contradicts the execution count of the service
+ * or that were executed more than once.
+ */
 export async function countViolations(
   site: Site,
   results: readonly BookingResult[],
   keyPrefix = 'key',
 ): Promise<number> {
-  const runs = await readExecutionCounts(site);
+  const executionCounts = await readExecutionCounts(site);
   return results.filter(({ran}, i) => {
-    const count = runs.get(`${keyPrefix}-${i}`) ?? 0;
-    const isFalse = (ran === 'no' && count > 0) || (ran === 'yes' && count < 1);
-    return isFalse || count > 1;
+    const count = executionCounts.get(`${keyPrefix}-${i}`) ?? 0;
+    const isWrong = (ran === 'no' && count > 0) || (ran === 'yes' && count < 1);
+    return isWrong || count > 1;
   }).length;
 }
--- a/bench/experiments/booking/index.ts
+++ b/bench/experiments/booking/index.ts
@@ -1,4 +1,4 @@
-/** Latency and platform calls of bookings. */
+/** Latency, platform calls and correctness of bookings. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {Site} from '../../../tools/lab/site.js';
@@ -8,14 +8,17 @@
 import {readPlatformCalls} from './platform-calls.js';
 import {runSingleClaims} from './single-claims.js';
 
+/** Bookings per second of each load. */
 const RATES: readonly number[] = [1, 10, 100, 300];
-const FOR_MS = 1_000;
-const OUTCOMES_RECORDED_MS = 1_200;
+const LOAD_DURATION_MS = 1_000;
+/** Wait after a load until the outcomes of its bookings are stored. */
+const OUTCOME_WAIT_MS = 1_200;
 const MAX_WRITES_PER_BOOKING = 0.25;
-const TOP_RATE = 300;
+/** Last of `RATES`; `MAX_WRITES_PER_BOOKING` applies to it. */
+const MAX_RATE = 300;
 const MAX_CONCURRENT = 5_000;
 
-interface Measured {
+interface RateMeasurement {
   readonly cases: CaseResult[];
   readonly ratios: RatioResult[];
   readonly writesPerBooking: number;
@@ -45,7 +48,7 @@
       ratios: [...measured.ratios, ...shares],
       bounds: [
         {
-          name: `platform writes per booking at ${TOP_RATE}/s`,
+          name: `platform writes per booking at ${MAX_RATE}/s`,
           stated: MAX_WRITES_PER_BOOKING,
           measured: measured.writesPerBooking,
           holds: measured.writesPerBooking <= MAX_WRITES_PER_BOOKING,
@@ -61,7 +64,7 @@
   },
 };
 
-async function measureRates(): Promise<Measured> {
+async function measureRates(): Promise<RateMeasurement> {
   const site = await Site.create({
     entries: 2,
     engines: 0,
@@ -86,19 +89,19 @@
   }
 }
 
-async function measureRate(site: Site, rate: number): Promise<Measured> {
-  const load = {site, rate, forMs: FOR_MS};
+async function measureRate(site: Site, rate: number): Promise<RateMeasurement> {
+  const load = {site, rate, durationMs: LOAD_DURATION_MS};
   const direct = await runDirect({...load, name: `direct, ${rate}/s`});
   const before = await readPlatformCalls(site);
   const keyPrefix = `rate-${rate}`;
   const name = `booked, ${rate}/s`;
   const {samples, results} = await runLoad({...load, name, keyPrefix});
-  await sleep(OUTCOMES_RECORDED_MS);
+  await sleep(OUTCOME_WAIT_MS);
   const after = await readPlatformCalls(site);
   const single = await runSingleClaims(load);
   const writesPerBooking = (after.writes - before.writes) / results.length;
   const readsPerBooking = (after.reads - before.reads) / results.length;
-  const refused = results.filter(({ran}) => ran !== 'yes').length;
+  const unanswered = results.filter(({ran}) => ran !== 'yes').length;
   return {
     cases: [direct.result(), samples.result(), single.samples.result()],
     ratios: [
@@ -108,7 +111,10 @@
         name: `writes per claim without groups, ${rate}/s`,
         value: single.writesPerClaim,
       },
-      {name: `share not answered, ${rate}/s`, value: refused / results.length},
+      {
+        name: `share not answered, ${rate}/s`,
+        value: unanswered / results.length,
+      },
     ],
     writesPerBooking,
     violations: await countViolations(site, results, keyPrefix),
--- a/bench/experiments/booking/load.ts
+++ b/bench/experiments/booking/load.ts
@@ -19,16 +19,16 @@
   name: string;
   site: Site;
   rate: number;
-  forMs: number;
+  durationMs: number;
   keyPrefix: string;
   deadlineMs?: number;
 }): Promise<LoadResult> {
-  const {name, site, rate, forMs, keyPrefix, deadlineMs} = options;
+  const {name, site, rate, durationMs, keyPrefix, deadlineMs} = options;
   const urls = site.entries.map((entry) => entry.callersUrl);
-  const started = await pace(rate, forMs, (i) =>
+  const pending = await startAtRate(rate, durationMs, (i) =>
     book({url: urls[i % urls.length]!, key: `${keyPrefix}-${i}`, deadlineMs}),
   );
-  const results = await Promise.all(started);
+  const results = await Promise.all(pending);
   const samples = new Samples({name, unit: 'ms'});
   for (const {ran, elapsedMs} of results)
     if (ran === 'yes') samples.add(elapsedMs);
@@ -40,12 +40,12 @@
   name: string;
   site: Site;
   rate: number;
-  forMs: number;
+  durationMs: number;
 }): Promise<Samples> {
-  const {name, site, rate, forMs} = options;
+  const {name, site, rate, durationMs} = options;
   const urls = site.orders.map(({standIn}) => standIn.url);
   const samples = new Samples({name, unit: 'ms'});
-  const started = await pace(rate, forMs, async (i) => {
+  const pending = await startAtRate(rate, durationMs, async (i) => {
     const startedMs = performance.now();
     const res = await fetch(`${urls[i % urls.length]}/bookings`, {
       method: 'POST',
@@ -55,23 +55,23 @@
     await res.text();
     samples.add(performance.now() - startedMs);
   });
-  await Promise.all(started);
+  await Promise.all(pending);
   return samples;
 }
 
-async function pace<T>(
+async function startAtRate<T>(
   rate: number,
-  forMs: number,
+  durationMs: number,
   start: (index: number) => Promise<T>,
 ): Promise<Array<Promise<T>>> {
-  const started: Array<Promise<T>> = [];
-  const beganMs = performance.now();
-  const count = Math.max(1, Math.round((rate * forMs) / MS_PER_SECOND));
+  const pending: Array<Promise<T>> = [];
+  const startMs = performance.now();
+  const count = Math.max(1, Math.round((rate * durationMs) / MS_PER_SECOND));
   for (let i = 0; i < count; i++) {
-    const dueMs = beganMs + (i * MS_PER_SECOND) / rate;
+    const dueMs = startMs + (i * MS_PER_SECOND) / rate;
     const waitMs = dueMs - performance.now();
     if (waitMs > 0) await sleep(waitMs);
-    started.push(start(i));
+    pending.push(start(i));
   }
-  return started;
+  return pending;
 }
--- a/bench/experiments/booking/single-claims.ts
+++ b/bench/experiments/booking/single-claims.ts
@@ -19,15 +19,15 @@
 export async function runSingleClaims(options: {
   site: Site;
   rate: number;
-  forMs: number;
+  durationMs: number;
 }): Promise<SingleClaimsResult> {
-  const {site, rate, forMs} = options;
+  const {site, rate, durationMs} = options;
   const store = new HttpObjectStore({baseUrl: site.platform.url});
   const claims = new SingleClaims({store});
   const name = `claim without groups, ${rate}/s`;
   const samples = new Samples({name, unit: 'ms'});
   const before = await readPlatformCalls(site);
-  const count = Math.max(1, Math.round((rate * forMs) / MS_PER_SECOND));
+  const count = Math.max(1, Math.round((rate * durationMs) / MS_PER_SECOND));
   const pending: Array<Promise<void>> = [];
   for (let i = 0; i < count; i++) {
     pending.push(createClaim(claims, samples, `single-${rate}-${i}`));
--- a/bench/experiments/config/index.ts
+++ b/bench/experiments/config/index.ts
@@ -1,4 +1,4 @@
-/** Time until a configuration is active everywhere: all entries watch, or fan-out. */
+/** Time until a configuration is active at all entries, flat and with fan-out. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 import {HttpObjectStore} from '../../../src/adapters/index.js';
@@ -16,23 +16,25 @@
 import {LightEntry} from './light-entry.js';
 
 const DATA_CENTRES = ['waw', 'poz', 'krk', 'gdn'];
+/** Numbers of entries. */
 const SIZES = [10, 50, 200];
 const CHANGES = 5;
 const MAX_ROLLOUT_MS = 6_000;
 const SETTLE_MS = 3_000;
 const TIMEOUT_MS = 15_000;
 const POLL_MS = 2;
-const FILLER = 'x'.repeat(20_000);
+const PADDING = 'x'.repeat(20_000);
 
-interface Outcome {
+interface RolloutResult {
   readonly times: CaseResult;
   readonly maxMs: number;
   /** Configuration calls of all processes since their start. */
   readonly calls: number;
+  /** Bytes that the store returned to all processes during the changes. */
   readonly bytes: number;
 }
 
-/** Measures flat watching and fan-out for each size. */
+/** Compares flat watching (every entry watches the store) with fan-out. */
 export const experiment: Experiment = {
   name: 'config',
   summary: 'acceptance to in force everywhere, flat watching and fan-out',
@@ -41,8 +43,8 @@
     'and 200 entries over real sockets; about 45 s',
   flags: ['--size N: one size alone'],
   run: async ({flags}) => {
-    const only = flags.number('size', 0);
-    const sizes = only > 0 ? [only] : SIZES;
+    const requestedSize = flags.number('size', 0);
+    const sizes = requestedSize > 0 ? [requestedSize] : SIZES;
     const cases: CaseResult[] = [];
     const ratios: RatioResult[] = [];
     const bounds: BoundResult[] = [];
@@ -50,11 +52,11 @@
       const flat = await measure({size, flat: true});
       const fanOut = await measure({size, flat: false});
       cases.push(flat.times, fanOut.times);
-      cases.push(perProcess(size, 'flat', flat));
-      cases.push(perProcess(size, 'fan-out', fanOut));
+      cases.push(createBytesPerProcess(size, 'flat', flat));
+      cases.push(createBytesPerProcess(size, 'fan-out', fanOut));
       ratios.push(
-        ratio(`${size}: calls fan-out / flat`, fanOut.calls, flat.calls),
-        ratio(`${size}: bytes fan-out / flat`, fanOut.bytes, flat.bytes),
+        createRatio(`${size}: calls fan-out / flat`, fanOut.calls, flat.calls),
+        createRatio(`${size}: bytes fan-out / flat`, fanOut.bytes, flat.bytes),
       );
       bounds.push({
         name: `${size} in force everywhere, fan-out, ms`,
@@ -67,21 +69,29 @@
   },
 };
 
-function ratio(name: string, over: number, under: number): RatioResult {
-  return {name, value: over / Math.max(under, 1)};
+function createRatio(
+  name: string,
+  numerator: number,
+  denominator: number,
+): RatioResult {
+  return {name, value: numerator / Math.max(denominator, 1)};
 }
 
-function perProcess(size: number, way: string, outcome: Outcome): CaseResult {
-  const name = `${size} ${way}: platform bytes per process and change`;
+function createBytesPerProcess(
+  size: number,
+  mode: string,
+  result: RolloutResult,
+): CaseResult {
+  const name = `${size} ${mode}: platform bytes per process and change`;
   const samples = new Samples({name, unit: 'B'});
-  samples.add(outcome.bytes / size / CHANGES);
+  samples.add(result.bytes / size / CHANGES);
   return samples.result();
 }
 
 async function measure(options: {
   size: number;
   flat: boolean;
-}): Promise<Outcome> {
+}): Promise<RolloutResult> {
   const {size, flat} = options;
   const lab = new ProcessHarness();
   const entries: LightEntry[] = [];
@@ -91,29 +101,32 @@
       flags: {'vm-lag-ms': 0},
     });
     const store = new HttpObjectStore({baseUrl: platform.url});
-    const created = await store.create({...CONFIG_OBJECT, value: variant(0)});
+    const created = await store.create({
+      ...CONFIG_OBJECT,
+      value: createConfigValue(0),
+    });
     let {version} = created._unsafeUnwrap();
     for (let i = 0; i < size; i++) {
       entries.push(await startEntry({index: i, flat, platform}));
     }
-    await waitFor(entries, version);
+    await waitForVersion(entries, version);
     await sleep(SETTLE_MS);
-    const before = count(entries);
-    const way = flat ? 'flat' : 'fan-out';
-    const name = `${size} ${way}: accepted to in force everywhere`;
+    const before = sumStoreUsage(entries);
+    const mode = flat ? 'flat' : 'fan-out';
+    const name = `${size} ${mode}: accepted to in force everywhere`;
     const times = new Samples({name, unit: 'ms'});
     for (let change = 1; change <= CHANGES; change++) {
       const updated = await store.update({
         ...CONFIG_OBJECT,
-        value: variant(change),
+        value: createConfigValue(change),
         expectedVersion: version,
       });
       const startMs = performance.now();
       version = updated._unsafeUnwrap().version;
-      await waitFor(entries, version);
+      await waitForVersion(entries, version);
       times.add(performance.now() - startMs);
     }
-    const after = count(entries);
+    const after = sumStoreUsage(entries);
     return {
       times: times.result(),
       maxMs: times.percentile(100),
@@ -144,7 +157,7 @@
   return entry;
 }
 
-function count(entries: readonly LightEntry[]) {
+function sumStoreUsage(entries: readonly LightEntry[]) {
   const sum = (pick: (entry: LightEntry) => number): number =>
     entries.reduce((total, entry) => total + pick(entry), 0);
   return {
@@ -154,20 +167,20 @@
 }
 
 /** Returns the quickstart configuration with about 20 KB of padding. */
-function variant(change: number): object {
+function createConfigValue(change: number): object {
   const document = loadExample('quickstart');
-  return {nonce: `n${change}`, operator: FILLER, document};
+  return {nonce: `n${change}`, operator: PADDING, document};
 }
 
-async function waitFor(
+async function waitForVersion(
   entries: readonly LightEntry[],
   version: number,
 ): Promise<void> {
   const endMs = performance.now() + TIMEOUT_MS;
-  while (entries.some((entry) => entry.version() < version)) {
+  while (entries.some((entry) => entry.getConfigVersion() < version)) {
     if (performance.now() > endMs)
       throw new Error(
-        `timeout: version ${version} is not active at all entries`,
+        `timeout: configuration version ${version} is not active at all entries`,
       );
     await sleep(POLL_MS);
   }
--- a/bench/experiments/config/light-entry.ts
+++ b/bench/experiments/config/light-entry.ts
@@ -1,4 +1,4 @@
-/** The configuration distribution of an entry without its other parts. */
+/** Runs the configuration controller of an entry without its other parts. */
 import {HttpObjectStore, HttpVmList} from '../../../src/adapters/index.js';
 import {SystemClock, SystemRandom} from '../../../src/core/clock/index.js';
 import type {
@@ -72,7 +72,7 @@
   readonly board = new EntryBoard();
   readonly store: CountingStore;
   private readonly directory: VmDirectory;
-  private readonly control: ConfigController;
+  private readonly controller: ConfigController;
   private readonly server: PeerServer;
   private readonly hello: HelloMessage;
 
@@ -102,7 +102,7 @@
     this.store = new CountingStore(new HttpObjectStore({baseUrl: platformUrl}));
     const vmList = new HttpVmList({baseUrl: platformUrl});
     this.directory = new VmDirectory({board, clock, vmList});
-    this.control = new ConfigController({
+    this.controller = new ConfigController({
       ...{board, clock, random, metrics, router, hello: this.hello},
       logger: SILENT_LOGGER,
       store: this.store,
@@ -122,7 +122,7 @@
     const {vm, dataCentre, flat} = this.options;
     const listening = await this.server.listen({address: ADDRESS, port: 0});
     const peerPort = listening._unsafeUnwrap();
-    this.control.open();
+    this.controller.open();
     // Without the VM list an entry finds no other entries, so it watches the store.
     if (!flat) this.directory.open();
     return {
@@ -136,12 +136,13 @@
     };
   }
 
-  version(): number {
+  /** Returns the version of the active configuration, 0 if there is none. */
+  getConfigVersion(): number {
     return this.board.config.get().extract()?.version ?? 0;
   }
 
   stop(): void {
-    this.control.close();
+    this.controller.close();
     this.directory.close();
     this.server.close();
   }
--- a/bench/experiments/direct/index.ts
+++ b/bench/experiments/direct/index.ts
@@ -4,7 +4,9 @@
 import {Samples} from '../../lib/samples.js';
 import type {Experiment} from '../../lib/types.js';
 
+/** Time between two tokens of an engine. */
 const PACE_MS = 50;
+/** Tokens per stream. */
 const TOKENS = 60;
 const STREAMS = 20;
 
@@ -23,12 +25,12 @@
     try {
       const engines = site.engines.map((target) => target.standIn.url);
       const entries = site.entries.map((entry) => entry.callersUrl);
-      const straight = await measure('straight', engines, streams);
+      const direct = await measure('straight', engines, streams);
       const relayed = await measure('relayed', entries, streams);
-      const value = relayed.percentile(95) / straight.percentile(95);
+      const p95Ratio = relayed.percentile(95) / direct.percentile(95);
       return {
-        cases: [straight.result(), relayed.result()],
-        ratios: [{name: 'p95 relayed / straight', value}],
+        cases: [direct.result(), relayed.result()],
+        ratios: [{name: 'p95 relayed / straight', value: p95Ratio}],
         bounds: [],
       };
     } finally {
--- a/bench/experiments/fairness/index.ts
+++ b/bench/experiments/fairness/index.ts
@@ -3,7 +3,7 @@
 import type {ClientAccountConfig} from '../../../src/core/config/index.js';
 import {PriorityClass, ServiceKind} from '../../../src/core/config/index.js';
 import {ManualClock, SeededRandom} from '../../../src/core/clock/index.js';
-import {exponential, poissonArrivals} from '../../lib/arrivals.js';
+import {sampleExponential, createPoissonArrivals} from '../../lib/arrivals.js';
 import {Samples} from '../../lib/samples.js';
 import type {Experiment} from '../../lib/types.js';
 
@@ -12,12 +12,12 @@
 const SLOTS = 32;
 const MEAN_SERVICE_MS = 400;
 const DEADLINE_MS = 4_000;
-const FOR_MS = 20_000;
+const SIMULATED_MS = 20_000;
 const STEP_MS = 5;
-const RESIZE_MS = 100;
+const RESIZE_PERIOD_MS = 100;
 
 /** Fair share of each account, in requests per second. */
-const SHARE = (SLOTS * 1_000) / MEAN_SERVICE_MS / ACCOUNTS;
+const FAIR_SHARE = (SLOTS * 1_000) / MEAN_SERVICE_MS / ACCOUNTS;
 
 interface SimRequest {
   readonly account: number;
@@ -25,8 +25,10 @@
   readonly serviceMs: number;
 }
 
-interface Outcome {
+/** Results by account; account 0 is the greedy one, the others are modest. */
+interface SimResult {
   readonly sent: number[];
+  /** Requests that met their deadline. */
   readonly inTime: number[];
   readonly modestWaits: Samples;
 }
@@ -40,18 +42,21 @@
   run: async ({seed}) => {
     const requests = createRequests(seed);
     const fair = await runFair(requests, seed);
-    const naive = runNaive(requests);
-    const shareInTime = (o: Outcome): number => modestShare(o);
+    const singleQueue = runSingleQueue(requests);
+    const shareInTime = (o: SimResult): number => computeModestShare(o);
     return {
-      cases: [fair.modestWaits.result(), naive.modestWaits.result()],
+      cases: [fair.modestWaits.result(), singleQueue.modestWaits.result()],
       ratios: [
         {
           name: 'fair: answered in time, modest accounts',
           value: shareInTime(fair),
         },
-        {name: 'one queue: the same', value: shareInTime(naive)},
-        {name: 'fair: greedy account / its share', value: greedyShare(fair)},
-        {name: 'one queue: the same', value: greedyShare(naive)},
+        {name: 'one queue: the same', value: shareInTime(singleQueue)},
+        {
+          name: 'fair: greedy account / its share',
+          value: computeGreedyRatio(fair),
+        },
+        {name: 'one queue: the same', value: computeGreedyRatio(singleQueue)},
       ],
       bounds: [],
     };
@@ -60,49 +65,62 @@
 
 function createRequests(seed: number): SimRequest[] {
   const random = new SeededRandom(seed);
-  const ofAccounts = Array.from({length: ACCOUNTS}, (_, account) => {
+  const requestsByAccount = Array.from({length: ACCOUNTS}, (_, account) => {
     // The other accounts send a little less than their share.
     const factor = account === 0 ? GREEDY_FACTOR : 0.8;
-    const perSecond = SHARE * factor;
-    const times = poissonArrivals({perSecond, forMs: FOR_MS, random});
+    const perSecond = FAIR_SHARE * factor;
+    const times = createPoissonArrivals({
+      perSecond,
+      durationMs: SIMULATED_MS,
+      random,
+    });
     return times.map((atMs): SimRequest => {
-      return {account, atMs, serviceMs: exponential(MEAN_SERVICE_MS, random)};
+      return {
+        account,
+        atMs,
+        serviceMs: sampleExponential(MEAN_SERVICE_MS, random),
+      };
     });
   });
-  return ofAccounts.flat().sort((a, b) => a.atMs - b.atMs);
+  return requestsByAccount.flat().sort((a, b) => a.atMs - b.atMs);
 }
 
 async function runFair(
   requests: readonly SimRequest[],
   seed: number,
-): Promise<Outcome> {
+): Promise<SimResult> {
   const clock = new ManualClock();
   const admission = new FairAdmission({clock, random: new SeededRandom(seed)});
-  const outcome = createOutcome('fair: wait of modest accounts', requests);
+  const result = createResult('fair: wait of modest accounts', requests);
   const services = [{service: 's', slots: SLOTS, resumeSlots: 0}];
   const resize = (): void => admission.resize({liveEntries: 1, services});
   resize();
-  clock.repeat({periodMs: RESIZE_MS, run: resize});
+  clock.repeat({periodMs: RESIZE_PERIOD_MS, run: resize});
   let next = 0;
-  while (clock.now() < FOR_MS + DEADLINE_MS) {
+  while (clock.now() < SIMULATED_MS + DEADLINE_MS) {
     clock.advance(STEP_MS);
     for (; (requests[next]?.atMs ?? Infinity) <= clock.now(); next++) {
-      admitRequest({admission, clock, request: requests[next]!, outcome});
+      admitRequest({
+        admission,
+        clock,
+        request: requests[next]!,
+        result: result,
+      });
     }
     await new Promise((resolve) => setImmediate(resolve));
   }
-  return outcome;
+  return result;
 }
 
 function admitRequest(options: {
   admission: FairAdmission;
   clock: ManualClock;
   request: SimRequest;
-  outcome: Outcome;
+  result: SimResult;
 }): void {
-  const {admission, clock, request, outcome} = options;
+  const {admission, clock, request, result} = options;
   const query = {
-    clientAccount: accountOf(request.account),
+    clientAccount: createAccount(request.account),
     service: SERVICE,
     deadlineAtMs: request.atMs + DEADLINE_MS,
     maxTokens: 1,
@@ -111,27 +129,30 @@
     const startMs = clock.now();
     const run = (): void => {
       ticket.release();
-      recordCompletion({outcome, request, startMs, endMs: clock.now()});
+      recordCompletion({result: result, request, startMs, endMs: clock.now()});
     };
     clock.schedule({delayMs: request.serviceMs, run});
   });
 }
 
-/** Simulates a single queue for all slots. */
-function runNaive(requests: readonly SimRequest[]): Outcome {
-  const outcome = createOutcome('one queue: wait of modest accounts', requests);
+/** Simulates a single first-come, first-served queue for all slots. */
+function runSingleQueue(requests: readonly SimRequest[]): SimResult {
+  const result = createResult('one queue: wait of modest accounts', requests);
   const freeAtMs = Array.from({length: SLOTS}, () => 0);
   for (const request of requests) {
     const slot = freeAtMs.indexOf(Math.min(...freeAtMs));
     const startMs = Math.max(request.atMs, freeAtMs[slot]!);
     const endMs = startMs + request.serviceMs;
     freeAtMs[slot] = endMs;
-    recordCompletion({outcome, request, startMs, endMs});
+    recordCompletion({result: result, request, startMs, endMs});
   }
-  return outcome;
+  return result;
 }
 
-function createOutcome(name: string, requests: readonly SimRequest[]): Outcome {
+function createResult(
+  name: string,
+  requests: readonly SimRequest[],
+): SimResult {
   const sent = Array.from({length: ACCOUNTS}, () => 0);
   for (const {account} of requests) sent[account]!++;
   const inTime = sent.map(() => 0);
@@ -139,29 +160,30 @@
 }
 
 function recordCompletion(options: {
-  outcome: Outcome;
+  result: SimResult;
   request: SimRequest;
   startMs: number;
   endMs: number;
 }): void {
-  const {outcome, request, startMs, endMs} = options;
+  const {result, request, startMs, endMs} = options;
   const {account, atMs} = request;
-  if (account > 0) outcome.modestWaits.add(startMs - atMs);
-  if (endMs - atMs <= DEADLINE_MS) outcome.inTime[account]!++;
+  if (account > 0) result.modestWaits.add(startMs - atMs);
+  if (endMs - atMs <= DEADLINE_MS) result.inTime[account]!++;
 }
 
-/** Share of the requests of the modest accounts that met their deadline. */
-function modestShare({sent, inTime}: Outcome): number {
+/** Returns the share of modest accounts' requests that met their deadline. */
+function computeModestShare({sent, inTime}: SimResult): number {
   const sum = (counts: number[]): number =>
     counts.slice(1).reduce((a, b) => a + b, 0);
   return sum(inTime) / sum(sent);
 }
 
-function greedyShare({inTime}: Outcome): number {
-  return inTime[0]! / ((SHARE * FOR_MS) / 1_000);
+/** Returns the greedy account's in-time requests relative to its fair share. */
+function computeGreedyRatio({inTime}: SimResult): number {
+  return inTime[0]! / ((FAIR_SHARE * SIMULATED_MS) / 1_000);
 }
 
-function accountOf(index: number): ClientAccountConfig {
+function createAccount(index: number): ClientAccountConfig {
   const maxConcurrent = 100_000;
   return {name: `a${index}`, keySha256: '', weight: 1, maxConcurrent};
 }
--- a/bench/experiments/membership/index.ts
+++ b/bench/experiments/membership/index.ts
@@ -13,9 +13,11 @@
 import type {BoundResult, Experiment} from '../../lib/types.js';
 
 const FREEZES = 4;
-const QUIET_MS = 5_000;
+/** Time without failures over which false suspicions are counted. */
+const SUSPICION_WINDOW_MS = 5_000;
+/** Time after which a leaving target must not get new work. */
 const MAX_NEW_WORK_MS = 3_000;
-const DETECTION_MS = 3_000;
+const MAX_DETECTION_MS = 3_000;
 
 /** Runs failures and shutdowns on a small site under load. */
 export const experiment: Experiment = {
@@ -38,14 +40,18 @@
       const falseSuspicions = await countFalseSuspicions(site);
       const detection = await measureDetection(site);
       const newWork = await measureDraining(site);
-      await replaceAll(site);
+      await replaceProcesses(site);
       const tally = await load.stop();
       const lost = countLost(tally);
       const bounds: BoundResult[] = [
-        bound('requests lost under freezes and stops', 0, lost),
-        bound('false suspicions in 5 s of load', 0, falseSuspicions),
-        bound('detection, max, ms', DETECTION_MS, detection.percentile(100)),
-        bound('work begun past 3 s of leaving', 0, newWork.late),
+        createUpperBound('requests lost under freezes and stops', 0, lost),
+        createUpperBound('false suspicions in 5 s of load', 0, falseSuspicions),
+        createUpperBound(
+          'detection, max, ms',
+          MAX_DETECTION_MS,
+          detection.percentile(100),
+        ),
+        createUpperBound('work begun past 3 s of leaving', 0, newWork.late),
       ];
       return {
         cases: [detection.result(), newWork.times.result()],
@@ -58,7 +64,11 @@
   },
 };
 
-function bound(name: string, stated: number, measured: number): BoundResult {
+function createUpperBound(
+  name: string,
+  stated: number,
+  measured: number,
+): BoundResult {
   return {name, stated, measured, holds: measured <= stated};
 }
 
@@ -69,7 +79,7 @@
 
 async function countFalseSuspicions(site: Site): Promise<number> {
   const before = await sumSuspicions(site);
-  await sleep(QUIET_MS);
+  await sleep(SUSPICION_WINDOW_MS);
   return (await sumSuspicions(site)) - before;
 }
 
@@ -92,29 +102,29 @@
     const target = site.engines[i % site.engines.length]!;
     const startMs = performance.now();
     target.agent.proc.pause();
-    await waitForUse(site, target, false);
+    await waitForUsability(site, target, false);
     samples.add(performance.now() - startMs);
     target.agent.proc.resume();
-    await waitForUse(site, target, true);
+    await waitForUsability(site, target, true);
   }
   return samples;
 }
 
-async function waitForUse(
+async function waitForUsability(
   site: Site,
   target: Target,
-  used: boolean,
+  isUsable: boolean,
 ): Promise<void> {
   const check = async (): Promise<boolean> => {
     const states = await Promise.all(
-      site.entries.map((entry) => stateOf(entry, target.vm)),
+      site.entries.map((entry) => readPeerState(entry, target.vm)),
     );
-    return states.every((state) => (state === 'usable') === used);
+    return states.every((state) => (state === 'usable') === isUsable);
   };
-  await waitUntil({what: `${target.vm} usable: ${used}`, check});
+  await waitUntil({what: `${target.vm} usable: ${isUsable}`, check});
 }
 
-async function stateOf(entry: Daemon, vm: string): Promise<string> {
+async function readPeerState(entry: Daemon, vm: string): Promise<string> {
   const url = `${entry.operatorsUrl}/status`;
   const {peers} = (await sendControl({url})) as {
     peers: Array<{vm: string; state: string}>;
@@ -122,12 +132,15 @@
   return peers.find((peer) => peer.vm === vm)?.state ?? 'absent';
 }
 
-/** Lists a target as leaving and measures the time to its last new generation. */
+/**
+ * Lists a target as leaving and measures the time to its last new generation.
+ * `late` is the number of generations started after `MAX_NEW_WORK_MS`.
+ */
 async function measureDraining(site: Site) {
   const name = 'listed as leaving to its last new work';
   const times = new Samples({name, unit: 'ms'});
   const target = site.engines[0]!;
-  let seen = await countStarted(target);
+  let startedBefore = await countStarted(target);
   const startMs = performance.now();
   await site.markAsLeaving(target, 'drafts');
   let lastMs = 0;
@@ -135,14 +148,15 @@
   while (performance.now() - startMs < 2 * MAX_NEW_WORK_MS) {
     const started = await countStarted(target);
     const sinceMs = performance.now() - startMs;
-    if (started > seen) lastMs = sinceMs;
-    if (started > seen && sinceMs > MAX_NEW_WORK_MS) late += started - seen;
-    seen = started;
+    if (started > startedBefore) lastMs = sinceMs;
+    if (started > startedBefore && sinceMs > MAX_NEW_WORK_MS)
+      late += started - startedBefore;
+    startedBefore = started;
     await sleep(10);
   }
   times.add(lastMs);
   await target.agent.proc.exited;
-  await restart(site, target);
+  await restartAgent(site, target);
   return {times, late};
 }
 
@@ -152,11 +166,11 @@
 }
 
 /** Replaces all agents and entries, one after the other. */
-async function replaceAll(site: Site): Promise<void> {
+async function replaceProcesses(site: Site): Promise<void> {
   for (const target of [...site.engines]) {
     target.agent.proc.terminate();
     await target.agent.proc.exited;
-    await restart(site, target);
+    await restartAgent(site, target);
   }
   for (const entry of [...site.entries]) {
     await site.addEntry();
@@ -167,7 +181,7 @@
   }
 }
 
-async function restart(site: Site, target: Target): Promise<void> {
+async function restartAgent(site: Site, target: Target): Promise<void> {
   const next = await site.restartAgent(target, 'engine', 'drafts');
   site.engines[site.engines.indexOf(target)] = next;
   await site.waitUntilUsable();
--- a/bench/experiments/overload/index.ts
+++ b/bench/experiments/overload/index.ts
@@ -2,7 +2,7 @@
 import type {RandomSource} from '../../../src/core/clock/index.js';
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import {Site} from '../../../tools/lab/site.js';
-import {poissonArrivals, sleep} from '../../lib/arrivals.js';
+import {createPoissonArrivals, sleep} from '../../lib/arrivals.js';
 import type {RequestResult} from '../../lib/load-run.js';
 import {runLoad} from '../../lib/load-run.js';
 import {Samples} from '../../lib/samples.js';
@@ -22,15 +22,18 @@
 
 /** Start of each step, not counted because the load still builds up. */
 const RAMP_MS = 500;
-const SETTLE_MS = 300;
+/** Pause after each step. */
+const PAUSE_MS = 300;
 /** Duration of the warm-up load before the first step, not counted. */
-const WARM_MS = 1_000;
-const WARM_FACTOR = 0.5;
-const FACTORS: readonly number[] = [0.5, 1, 1.5, 2, 3];
-const GOODPUT_TARGET = 0.95;
+const WARM_UP_MS = 1_000;
+const WARM_UP_FACTOR = 0.5;
+/** Offered load of each step, relative to the capacity. */
+const LOAD_FACTORS: readonly number[] = [0.5, 1, 1.5, 2, 3];
+/** Required goodput of the last step, relative to the highest of all steps. */
+const MIN_GOODPUT_RATIO = 0.95;
 
 /** Capacity of all engines, in requests per second. */
-const CAPACITY = (ENGINES * SLOTS * 1_000) / (PACE_MS * TOKENS);
+const CAPACITY_PER_SECOND = (ENGINES * SLOTS * 1_000) / (PACE_MS * TOKENS);
 
 /** A named set of URLs that receive the load. */
 interface Setup {
@@ -40,8 +43,8 @@
 
 interface Step {
   readonly factor: number;
-  readonly ends: readonly RequestResult[];
-  /** Requests that met their deadline, relative to the capacity. */
+  readonly results: readonly RequestResult[];
+  /** Rate of requests that met their deadline, relative to the capacity. */
   readonly goodput: number;
 }
 
@@ -57,7 +60,7 @@
       entries: 1,
       engines: ENGINES,
       engineFlags: {'pace-ms': PACE_MS, capacity: SLOTS},
-      editBase: liftAccountLimit,
+      editBase: raiseAccountLimit,
     });
     try {
       const urls = site.entries.map((entry) => entry.callersUrl);
@@ -76,8 +79,8 @@
   },
 };
 
-/** Raises the limit of the only account, which is not what is measured. */
-function liftAccountLimit(base: Record<string, unknown>): void {
+/** Raises the account limit so that it does not limit the measured load. */
+function raiseAccountLimit(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<
     string,
     Record<string, unknown>
@@ -92,11 +95,16 @@
 }): Promise<Step[]> {
   const {setup, seed, stepMs} = options;
   const random = new SeededRandom(seed);
-  await sendStep({setup, random, factor: WARM_FACTOR, forMs: WARM_MS});
+  await sendStep({
+    setup,
+    random,
+    factor: WARM_UP_FACTOR,
+    durationMs: WARM_UP_MS,
+  });
   const steps: Step[] = [];
-  for (const factor of FACTORS) {
-    const ends = await sendStep({setup, random, factor, forMs: stepMs});
-    steps.push({factor, ends, goodput: goodputOf(ends, stepMs)});
+  for (const factor of LOAD_FACTORS) {
+    const results = await sendStep({setup, random, factor, durationMs: stepMs});
+    steps.push({factor, results, goodput: computeGoodput(results, stepMs)});
   }
   return steps;
 }
@@ -105,12 +113,12 @@
   setup: Setup;
   random: RandomSource;
   factor: number;
-  forMs: number;
+  durationMs: number;
 }): Promise<RequestResult[]> {
-  const {setup, random, factor, forMs} = options;
-  const perSecond = factor * CAPACITY;
-  const ends = await runLoad({
-    timesMs: poissonArrivals({perSecond, forMs, random}),
+  const {setup, random, factor, durationMs} = options;
+  const perSecond = factor * CAPACITY_PER_SECOND;
+  const results = await runLoad({
+    timesMs: createPoissonArrivals({perSecond, durationMs, random}),
     urlOf: (index) => setup.urls[index % setup.urls.length]!,
     createRequest: (index) => ({
       prompt: `request ${factor} ${index} [length=${TOKENS}]`,
@@ -118,38 +126,50 @@
     }),
     deadlineMs: DEADLINE_MS,
   });
-  await sleep(SETTLE_MS);
-  return ends;
+  await sleep(PAUSE_MS);
+  return results;
 }
 
-/** Requests that met their deadline while the load ran, relative to the capacity. */
-function goodputOf(ends: readonly RequestResult[], stepMs: number): number {
-  const counted = ends.filter(
-    ({metDeadline: inTime, endedAtMs}) =>
-      inTime && endedAtMs > RAMP_MS && endedAtMs <= stepMs,
+/**
+ * Returns the rate of requests that met their deadline after the ramp and while
+ * the load ran, relative to the capacity.
+ */
+function computeGoodput(
+  results: readonly RequestResult[],
+  stepMs: number,
+): number {
+  const counted = results.filter(
+    ({metDeadline, endedAtMs}) =>
+      metDeadline && endedAtMs > RAMP_MS && endedAtMs <= stepMs,
   );
   const perMs = counted.length / (stepMs - RAMP_MS);
-  return (perMs * 1_000) / CAPACITY;
+  return (perMs * 1_000) / CAPACITY_PER_SECOND;
 }
 
 function summarise(
   system: readonly Step[],
-  naive: readonly Step[],
+  roundRobin: readonly Step[],
 ): ExperimentResult {
-  const measured = lastOverPeak(system);
+  const measured = computeLastToPeak(system);
   return {
-    cases: [...casesOf('system', system), ...casesOf('round robin', naive)],
+    cases: [
+      ...createCases('system', system),
+      ...createCases('round robin', roundRobin),
+    ],
     ratios: [
-      ...ratiosOf('system', system),
-      ...ratiosOf('round robin', naive),
-      {name: 'round robin: goodput at 3x / peak', value: lastOverPeak(naive)},
+      ...createRatios('system', system),
+      ...createRatios('round robin', roundRobin),
+      {
+        name: 'round robin: goodput at 3x / peak',
+        value: computeLastToPeak(roundRobin),
+      },
     ],
     bounds: [
       {
         name: 'system: goodput at 3x / peak, at least',
-        stated: GOODPUT_TARGET,
+        stated: MIN_GOODPUT_RATIO,
         measured,
-        holds: measured >= GOODPUT_TARGET,
+        holds: measured >= MIN_GOODPUT_RATIO,
       },
     ],
     plots: [
@@ -158,19 +178,22 @@
         title: 'Answers in time, over what the engines can give',
         xLabel: 'offered load / capacity',
         yLabel: 'goodput / capacity',
-        series: [seriesOf('system', system), seriesOf('round robin', naive)],
+        series: [
+          createSeries('system', system),
+          createSeries('round robin', roundRobin),
+        ],
       },
     ],
   };
 }
 
-function lastOverPeak(steps: readonly Step[]): number {
+function computeLastToPeak(steps: readonly Step[]): number {
   const peak = Math.max(...steps.map(({goodput}) => goodput));
   return steps.at(-1)!.goodput / peak;
 }
 
-function casesOf(name: string, steps: readonly Step[]): CaseResult[] {
-  return steps.flatMap(({factor, ends}) => {
+function createCases(name: string, steps: readonly Step[]): CaseResult[] {
+  return steps.flatMap(({factor, results}) => {
     const answered = new Samples({
       name: `${name} ${factor}x answered in time`,
       unit: 'ms',
@@ -179,9 +202,9 @@
       name: `${name} ${factor}x refused`,
       unit: 'ms',
     });
-    for (const end of ends) {
-      if (end.metDeadline) answered.add(end.durationMs);
-      if (end.refused) refused.add(end.durationMs);
+    for (const result of results) {
+      if (result.metDeadline) answered.add(result.durationMs);
+      if (result.refused) refused.add(result.durationMs);
     }
     return [answered, refused]
       .filter(({count}) => count > 0)
@@ -189,14 +212,14 @@
   });
 }
 
-function ratiosOf(name: string, steps: readonly Step[]) {
+function createRatios(name: string, steps: readonly Step[]) {
   return steps.map(({factor, goodput}) => ({
     name: `${name}: goodput / capacity at ${factor}x`,
     value: goodput,
   }));
 }
 
-function seriesOf(name: string, steps: readonly Step[]): PlotSeries {
+function createSeries(name: string, steps: readonly Step[]): PlotSeries {
   const points = steps.map(({factor, goodput}) => ({x: factor, y: goodput}));
   return {name, points};
 }
--- a/bench/experiments/platform-slopes/index.ts
+++ b/bench/experiments/platform-slopes/index.ts
@@ -1,4 +1,4 @@
-/** Cost of a call, an event and a registration for a direct entry. */
+/** Cost of a call, an event and a registration in the direct entry process. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {Agent} from 'node:http';
 import {tmpdir} from 'node:os';
@@ -27,11 +27,11 @@
 /** Longer than the time over which the entry batches changes. */
 const SETTLE_MS = 2_500;
 
-/** Nothing listens here; a service without a route gets no requests. */
+/** Nothing listens at this address; an unrouted service gets no requests. */
 const UNUSED_ADDRESS = '127.0.0.1:9';
 const UNROUTED_SERVICE = 'unrouted';
 
-/** Measures the usage of the entry before and after each kind of load. */
+/** Measures the usage of the entry under each kind of load. */
 export const experiment: Experiment = {
   name: 'platform-slopes',
   summary: 'processor and memory of a direct entry a call, event, registration',
@@ -114,11 +114,11 @@
   }
 
   async callAll(): Promise<void> {
-    await this.eachCaller(SitePath.SAFE, CALLS_PER_CALLER);
+    await this.sendFromAllCallers(SitePath.SAFE, CALLS_PER_CALLER);
   }
 
   async streamAll(): Promise<void> {
-    await this.eachCaller(SitePath.STREAM, STREAMS_PER_CALLER);
+    await this.sendFromAllCallers(SitePath.STREAM, STREAMS_PER_CALLER);
   }
 
   private async register(state: string): Promise<void> {
@@ -141,7 +141,10 @@
     await sleep(SETTLE_MS);
   }
 
-  private async eachCaller(path: SitePath, requests: number): Promise<void> {
+  private async sendFromAllCallers(
+    path: SitePath,
+    requests: number,
+  ): Promise<void> {
     const callers = Array.from({length: CALLERS}, async () => {
       const agent = new Agent({keepAlive: true, maxSockets: 1});
       for (let i = 0; i < requests; i++) await this.call(path, agent);
--- a/bench/experiments/relay/index.ts
+++ b/bench/experiments/relay/index.ts
@@ -1,9 +1,9 @@
-/** Increase of the gap between tokens by relaying through entry and agent. */
+/** Increase of the gap between tokens when an entry and an agent relay them. */
 import type {Experiment} from '../../lib/types.js';
-import {createLoad} from './load.js';
+import {startStreamLoad} from './load.js';
 
 /** Maximum increase of the 95th percentile of the gap, in milliseconds. */
-const ADDED_P95_MS = 5;
+const MAX_ADDED_P95_MS = 5;
 
 const STREAMS = 1_500;
 const ENGINES = 4;
@@ -20,25 +20,25 @@
   run: async ({flags}) => {
     const streams = flags.number('streams', STREAMS);
     const engines = flags.number('engines', ENGINES);
-    const load = await createLoad({streams, engines});
+    const load = await startStreamLoad({streams, engines});
     try {
-      const straight = await load.measure('straight', load.engineUrls);
+      const direct = await load.measure('straight', load.engineUrls);
       const relayed = await load.measure('relayed', load.entryUrls);
-      const p95 = relayed.gaps.percentile(95) - straight.gaps.percentile(95);
-      const value = relayed.gaps.percentile(95) / straight.gaps.percentile(95);
+      const addedP95 = relayed.gaps.percentile(95) - direct.gaps.percentile(95);
+      const p95Ratio = relayed.gaps.percentile(95) / direct.gaps.percentile(95);
       return {
-        cases: [straight.gaps.result(), relayed.gaps.result()],
+        cases: [direct.gaps.result(), relayed.gaps.result()],
         ratios: [
-          {name: 'p95 relayed / straight', value},
-          {name: 'whole answers, straight', value: straight.wholeShare},
-          {name: 'whole answers, relayed', value: relayed.wholeShare},
+          {name: 'p95 relayed / straight', value: p95Ratio},
+          {name: 'whole answers, straight', value: direct.completeShare},
+          {name: 'whole answers, relayed', value: relayed.completeShare},
         ],
         bounds: [
           {
             name: 'added gap at p95, ms',
-            stated: ADDED_P95_MS,
-            measured: p95,
-            holds: p95 <= ADDED_P95_MS,
+            stated: MAX_ADDED_P95_MS,
+            measured: addedP95,
+            holds: addedP95 <= MAX_ADDED_P95_MS,
           },
         ],
       };
--- a/bench/experiments/relay/load.ts
+++ b/bench/experiments/relay/load.ts
@@ -1,4 +1,4 @@
-/** A site and reader threads that read many streams. */
+/** Starts a site and reads many streams from it with reader threads. */
 import type {Worker} from 'node:worker_threads';
 
 import {Site} from '../../../tools/lab/site.js';
@@ -11,26 +11,26 @@
 const READERS = 4;
 
 /** Measurements of all streams. */
-export interface Measured {
+export interface StreamMeasurements {
   readonly gaps: Samples;
   /** Share of the streams that were complete. */
-  readonly wholeShare: number;
+  readonly completeShare: number;
 }
 
-/** A running site and the load of its streams. */
-export interface Load {
+/** A running site whose streams are read by reader threads. */
+export interface StreamLoad {
   readonly engineUrls: readonly string[];
   readonly entryUrls: readonly string[];
-  /** Reads all streams at once and returns the gaps between tokens. */
-  measure(name: string, urls: readonly string[]): Promise<Measured>;
+  /** Reads all streams at once and measures the gaps between tokens. */
+  measure(name: string, urls: readonly string[]): Promise<StreamMeasurements>;
   close(): Promise<void>;
 }
 
 /** Starts the site. The caller must close the load. */
-export async function createLoad(options: {
+export async function startStreamLoad(options: {
   streams: number;
   engines: number;
-}): Promise<Load> {
+}): Promise<StreamLoad> {
   const {streams, engines} = options;
   const site = await Site.create({
     entries: 1,
@@ -41,19 +41,23 @@
   const measure = async (
     name: string,
     urls: readonly string[],
-  ): Promise<Measured> => {
-    let brokenAll = 0;
+  ): Promise<StreamMeasurements> => {
+    let incomplete = 0;
     const samples = new Samples({name, unit: 'ms'});
     const reports = await Promise.all(
       Array.from({length: READERS}, (_, reader) =>
-        read({urls, name: `${name} ${reader}`, streams: streams / READERS}),
+        runReader({
+          urls,
+          name: `${name} ${reader}`,
+          streams: streams / READERS,
+        }),
       ),
     );
-    for (const {gapsMs, broken} of reports) {
-      brokenAll += broken;
+    for (const {gapsMs, incompleteStreams} of reports) {
+      incomplete += incompleteStreams;
       for (const ms of gapsMs) samples.add(ms);
     }
-    return {gaps: samples, wholeShare: 1 - brokenAll / streams};
+    return {gaps: samples, completeShare: 1 - incomplete / streams};
   };
   return {
     engineUrls: site.engines.map(({standIn}) => standIn.url),
@@ -71,7 +75,7 @@
   }
 }
 
-function read(options: {
+function runReader(options: {
   urls: readonly string[];
   name: string;
   streams: number;
--- a/bench/experiments/relay/reader-thread.ts
+++ b/bench/experiments/relay/reader-thread.ts
@@ -8,36 +8,36 @@
 /** Time over which the starts of the streams are spread, in milliseconds. */
 const RAMP_MS = 1_500;
 
-/** Gaps before this are not counted because other streams still start. */
+/** Gaps before this time are not counted because other streams still start. */
 const WARM_UP_MS = 2_500;
 
 const EVENT_MARK = 'data: {';
 const END_MARK = 'data: [DONE]';
 
-const order = workerData as ReaderTask;
+const task = workerData as ReaderTask;
 const agent = new Agent({keepAlive: false, maxSockets: Infinity});
 const gapsMs: number[] = [];
 const startedAtMs = performance.now();
-let broken = 0;
+let incompleteStreams = 0;
 
-const readings = Array.from({length: order.streams}, (_, i) => start(i));
+const readings = Array.from({length: task.streams}, (_, i) => startStream(i));
 await Promise.all(readings);
-const report: ReaderReport = {gapsMs, broken};
+const report: ReaderReport = {gapsMs, incompleteStreams};
 parentPort?.postMessage(report);
 
-function start(index: number): Promise<void> {
-  const delayMs = (RAMP_MS * index) / order.streams;
+function startStream(index: number): Promise<void> {
+  const delayMs = (RAMP_MS * index) / task.streams;
   return new Promise((resolve) => {
-    setTimeout(() => read(index, resolve), delayMs);
+    setTimeout(() => readStream(index, resolve), delayMs);
   });
 }
 
-function read(index: number, onEnd: () => void): void {
-  const url = order.urls[index % order.urls.length]!;
+function readStream(index: number, onEnd: () => void): void {
+  const url = task.urls[index % task.urls.length]!;
   const body = JSON.stringify({
     model: 'quote-writer',
-    prompt: `${order.name} ${index} [length=${order.tokens}]`,
-    max_tokens: order.tokens,
+    prompt: `${task.name} ${index} [length=${task.tokens}]`,
+    max_tokens: task.tokens,
     stream: true,
   });
   const req = request(`${url}/v1/completions`, {
@@ -48,10 +48,10 @@
       authorization: `Bearer ${DEMO_KEY}`,
     },
   });
-  let lastMs = 0;
-  let ended = false;
+  let lastEventAtMs = 0;
+  let isDone = false;
   const finish = (): void => {
-    if (!ended) broken++;
+    if (!isDone) incompleteStreams++;
     onEnd();
   };
   req.on('error', finish);
@@ -59,11 +59,12 @@
     res.setEncoding('utf8');
     res.on('data', (text: string) => {
       const nowMs = performance.now();
-      ended ||= text.includes(END_MARK);
+      isDone ||= text.includes(END_MARK);
       if (!text.includes(EVENT_MARK)) return;
       const isWarm = nowMs - startedAtMs > WARM_UP_MS;
-      if (lastMs > 0 && isWarm && !ended) gapsMs.push(nowMs - lastMs);
-      lastMs = nowMs;
+      if (lastEventAtMs > 0 && isWarm && !isDone)
+        gapsMs.push(nowMs - lastEventAtMs);
+      lastEventAtMs = nowMs;
     });
     res.on('end', finish);
     res.on('error', () => undefined);
--- a/bench/experiments/relay/reader.ts
+++ b/bench/experiments/relay/reader.ts
@@ -14,11 +14,11 @@
 export interface ReaderReport {
   readonly gapsMs: readonly number[];
   /** Number of streams that were refused or incomplete. */
-  readonly broken: number;
+  readonly incompleteStreams: number;
 }
 
 /** Starts a reader thread. Its only message is a `ReaderReport`. */
-export function startReader(order: ReaderTask): Worker {
+export function startReader(task: ReaderTask): Worker {
   const url = new URL('./reader-thread.js', import.meta.url);
-  return new Worker(url, {workerData: order});
+  return new Worker(url, {workerData: task});
 }
--- a/bench/experiments/resume/baselines.ts
+++ b/bench/experiments/resume/baselines.ts
@@ -15,8 +15,10 @@
 export interface BaselineResult {
   readonly name: string;
   readonly wait: Samples;
-  readonly decodedPerLost: number;
-  readonly prefilledPerLost: number;
+  /** Tokens decoded again per token received before the loss. */
+  readonly redecodedPerLostToken: number;
+  /** Tokens prefilled again per token received before the loss. */
+  readonly prefilledPerLostToken: number;
 }
 
 /** The engine dies and closes the connection; the caller restarts from zero. */
@@ -52,15 +54,18 @@
     return {
       name,
       wait,
-      decodedPerLost: decoded / lostTokens,
-      prefilledPerLost: prefillTokens / lostTokens,
+      redecodedPerLostToken: decoded / lostTokens,
+      prefilledPerLostToken: prefillTokens / lostTokens,
     };
   } finally {
     await lab.close();
   }
 }
 
-/** Reads until the loss, then from zero. Returns the number of lost tokens. */
+/**
+ * Reads a stream until the loss, then reads it from zero at the second engine.
+ * Returns the number of tokens received before the loss.
+ */
 async function readAcrossLoss(options: {
   first: StandIn;
   second: StandIn;
@@ -70,30 +75,30 @@
 }): Promise<number> {
   const {first, second, index, injectLoss, wait} = options;
   const prompt = `baseline ${index} [length=${TOKENS}]`;
-  const ask: CompletionRequest = {prompt, maxTokens: TOKENS};
-  const before = createTranscript();
-  const abort = new AbortController();
-  let timer = setTimeout(() => abort.abort(), FIXED_TIMEOUT_MS);
+  const req: CompletionRequest = {prompt, maxTokens: TOKENS};
+  const beforeLoss = createTranscript();
+  const abortController = new AbortController();
+  let timer = setTimeout(() => abortController.abort(), FIXED_TIMEOUT_MS);
   await readStream({
     url: first.url,
-    req: ask,
-    transcript: before,
-    signal: abort.signal,
-    onChunk: ({chunks: pieces}) => {
+    req,
+    transcript: beforeLoss,
+    signal: abortController.signal,
+    onChunk: ({chunks}) => {
       clearTimeout(timer);
-      timer = setTimeout(() => abort.abort(), FIXED_TIMEOUT_MS);
-      if (pieces === TOKENS_BEFORE_LOSS && index === 0) injectLoss(first);
+      timer = setTimeout(() => abortController.abort(), FIXED_TIMEOUT_MS);
+      if (chunks === TOKENS_BEFORE_LOSS && index === 0) injectLoss(first);
     },
   }).catch(() => undefined);
   clearTimeout(timer);
-  const after = createTranscript();
-  await readStream({url: second.url, req: ask, transcript: after});
-  wait.add(waitForNew(before, after));
-  return before.chunks;
+  const afterRestart = createTranscript();
+  await readStream({url: second.url, req, transcript: afterRestart});
+  wait.add(computeWait(beforeLoss, afterRestart));
+  return beforeLoss.chunks;
 }
 
-/** Time from the last token before the loss to the first new one, in milliseconds. */
-function waitForNew(before: Transcript, after: Transcript): number {
+/** Time from the last token before the loss to the first new one. */
+function computeWait(before: Transcript, after: Transcript): number {
   const next = after.arrivalsMs[before.chunks] ?? after.arrivalsMs.at(-1)!;
   return next - before.arrivalsMs.at(-1)!;
 }
--- a/bench/experiments/resume/index.ts
+++ b/bench/experiments/resume/index.ts
@@ -9,7 +9,7 @@
 /** Maximum time until output resumes after any single loss. */
 const MAX_WAIT_MS = 3_000;
 
-/** Bounds of the 99th percentile with `weigh: latency`. */
+/** Bounds of the 99th percentile of the wait with `weigh: latency`. */
 const DEATH_P99_MS = 300;
 const SILENCE_P99_MS = 1_200;
 
@@ -49,20 +49,20 @@
 ): ExperimentResult {
   return {
     cases: [
-      ...losses.flatMap(({wait, parts}) => [wait.result(), ...parts]),
+      ...losses.flatMap(({wait, phases: parts}) => [wait.result(), ...parts]),
       ...baselines.map(({wait}) => wait.result()),
     ],
     ratios: [
-      ...losses.flatMap(createCosts),
-      ...baselines.map(({name, decodedPerLost: value}) => ({
+      ...losses.flatMap(createCostRatios),
+      ...baselines.map(({name, redecodedPerLostToken: value}) => ({
         name: `${name}: decoded again per lost token`,
         value,
       })),
-      ...baselines.map(({name, prefilledPerLost: value}) => ({
+      ...baselines.map(({name, prefilledPerLostToken: value}) => ({
         name: `${name}: prefilled per lost token`,
         value,
       })),
-      ...losses.map(({name, wholeShare}) => ({
+      ...losses.map(({name, completeShare: wholeShare}) => ({
         name: `${name}: share of answers that were whole`,
         value: wholeShare,
       })),
@@ -71,36 +71,40 @@
   };
 }
 
-function createCosts({name, cost}: LossResult) {
-  const {
-    prefilled,
-    decoded,
-    wastedDecodes: decodedInVain,
-    extraPerPrefill: perPrefill,
-  } = cost;
+function createCostRatios({name, cost}: LossResult) {
+  const {prefilled, decoded, wastedDecodes, extraPerPrefill} = cost;
   return [
     {name: `${name}: prefilled per lost token`, value: prefilled},
     {name: `${name}: decoded again per lost token`, value: decoded},
-    {name: `${name}: decoded in vain at the lost VM`, value: decodedInVain},
-    {name: `${name}: extra, in prefills of what was lost`, value: perPrefill},
+    {name: `${name}: decoded in vain at the lost VM`, value: wastedDecodes},
+    {
+      name: `${name}: extra, in prefills of what was lost`,
+      value: extraPerPrefill,
+    },
   ];
 }
 
 function createBounds(weigh: string, loss: LossResult) {
   const {name, wait, cost, kind} = loss;
-  const always = atMost(`${name}, max ms`, MAX_WAIT_MS, maxOf(wait));
+  const maxWait = createUpperBound(`${name}, max ms`, MAX_WAIT_MS, maxOf(wait));
   if (weigh === 'resources') {
     const label = `${name}, extra computation in prefills of what was lost`;
-    return [always, atMost(label, MAX_EXTRA_PREFILLS, cost.extraPerPrefill)];
+    return [
+      maxWait,
+      createUpperBound(label, MAX_EXTRA_PREFILLS, cost.extraPerPrefill),
+    ];
   }
-  const aim = kind === Loss.DEATH ? DEATH_P99_MS : SILENCE_P99_MS;
-  return [always, atMost(`${name}, p99 ms`, aim, wait.percentile(99))];
+  const boundMs = kind === Loss.DEATH ? DEATH_P99_MS : SILENCE_P99_MS;
+  return [
+    maxWait,
+    createUpperBound(`${name}, p99 ms`, boundMs, wait.percentile(99)),
+  ];
 }
 
 function maxOf(samples: Samples): number {
   return samples.percentile(100);
 }
 
-function atMost(name: string, stated: number, measured: number) {
+function createUpperBound(name: string, stated: number, measured: number) {
   return {name, stated, measured, holds: measured <= stated};
 }
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -20,9 +20,9 @@
 /** Prompt characters per token, as counted by the engine. */
 const CHARACTERS_PER_TOKEN = 4;
 
-const MS_PER_S = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** Kind of a loss. */
+/** How a target is lost. */
 export enum Loss {
   DEATH = 'engine process dies',
   FREEZE = 'VM freezes',
@@ -36,9 +36,10 @@
   /** Time between the last token before and the first after, at the caller. */
   readonly wait: Samples;
   /** Phases of the wait, as measured by the entry. */
-  readonly parts: readonly CaseResult[];
+  readonly phases: readonly CaseResult[];
   readonly cost: ResumeCost;
-  readonly wholeShare: number;
+  /** Share of all answers that were complete. */
+  readonly completeShare: number;
 }
 
 /** Extra computation per lost token that callers had received. */
@@ -62,13 +63,16 @@
   }>;
 }
 
+/** Sums over all rounds, in tokens unless stated otherwise. */
 interface Tally {
   prefilled: number;
   decoded: number;
   wastedDecodes: number;
   lost: number;
-  onePrefill: number;
-  whole: number;
+  /** Tokens of one prefill of each lost context. */
+  contextTokens: number;
+  /** Number of answers that were complete. */
+  complete: number;
   answers: number;
 }
 
@@ -95,10 +99,17 @@
     for (let round = 0; round < rounds; round++) {
       await runRound({site, loss, round, streams, wait, tally});
     }
-    const parts = await readParts(site, loss);
-    const cost = costOf(tally);
-    const wholeShare = tally.whole / tally.answers;
-    return {name: loss, kind: loss, wait, parts, cost, wholeShare};
+    const parts = await readPhases(site, loss);
+    const cost = computeCost(tally);
+    const wholeShare = tally.complete / tally.answers;
+    return {
+      name: loss,
+      kind: loss,
+      wait,
+      phases: parts,
+      cost,
+      completeShare: wholeShare,
+    };
   } finally {
     await site.close();
   }
@@ -114,45 +125,45 @@
 }): Promise<void> {
   const {site, loss, round, streams, wait, tally} = options;
   const urls = site.entries.map((entry) => entry.callersUrl);
-  const asks = Array.from({length: streams}, (_, i) => ({
+  const reqs = Array.from({length: streams}, (_, i) => ({
     prompt: `round ${round} stream ${i} [length=${TOKENS}]`,
     maxTokens: TOKENS,
   }));
-  const alive = site.engines.filter((t) => t.standIn.proc.isRunning);
-  const transcripts = asks.map(() => createTranscript());
-  const before = await readAll(alive);
-  const reading = asks.map((ask, i) =>
-    readWithResume({urls, req: ask, transcript: transcripts[i]!}),
+  const runningTargets = site.engines.filter((t) => t.standIn.proc.isRunning);
+  const transcripts = reqs.map(() => createTranscript());
+  const before = await readEngineCounts(runningTargets);
+  const reading = reqs.map((req, i) =>
+    readWithResume({urls, req: req, transcript: transcripts[i]!}),
   );
   const check = (): Promise<boolean> =>
     Promise.resolve(
-      transcripts.every((t) => positionOf(t) >= TOKENS_BEFORE_LOSS),
+      transcripts.every((t) => parsePosition(t) >= TOKENS_BEFORE_LOSS),
     );
   await waitUntil({what: 'all streams produce tokens', check});
-  const lostTarget = chooseLostTarget(alive, transcripts);
-  const isLost = transcripts.map((t) => vmOf(t) === lostTarget.vm);
+  const lostTarget = chooseLostTarget(runningTargets, transcripts);
+  const isLost = transcripts.map((t) => parseVm(t) === lostTarget.vm);
   const atMs = performance.now();
   const recover = await injectLoss(lostTarget, loss);
   await Promise.all(reading);
   await recover();
-  const others = alive.filter((t) => t !== lostTarget);
-  const after = await readAll(others);
+  const others = runningTargets.filter((t) => t !== lostTarget);
+  const after = await readEngineCounts(others);
   transcripts.forEach((transcript, i) => {
-    if (isLost[i]) wait.add(waitAround(transcript, atMs));
-    tally.whole += Number(isWhole(asks[i]!, transcript));
+    if (isLost[i]) wait.add(findLongestGap(transcript, atMs));
+    tally.complete += Number(isComplete(reqs[i]!, transcript));
     tally.answers++;
-    addAnswer({transcript, prompt: asks[i]!.prompt, after, tally});
+    addAnswer({transcript, prompt: reqs[i]!.prompt, after, tally});
   });
-  const sums = {before, after, targets: others};
-  tally.decoded += growth(sums, (counts) => counts.tokensProduced);
-  tally.prefilled += growth(sums, (counts) => counts.prefillTokens);
+  const snapshots = {before, after, targets: others};
+  tally.decoded += computeGrowth(snapshots, (counts) => counts.tokensProduced);
+  tally.prefilled += computeGrowth(snapshots, (counts) => counts.prefillTokens);
   if (loss === Loss.DEATH) return;
   const atLostTarget = {
     before,
-    after: await readAll([lostTarget]),
+    after: await readEngineCounts([lostTarget]),
     targets: [lostTarget],
   };
-  tally.wastedDecodes += growth(
+  tally.wastedDecodes += computeGrowth(
     atLostTarget,
     (counts) => counts.tokensProduced,
   );
@@ -164,29 +175,29 @@
     decoded: 0,
     wastedDecodes: 0,
     lost: 0,
-    onePrefill: 0,
-    whole: 0,
+    contextTokens: 0,
+    complete: 0,
     answers: 0,
   };
 }
 
-function costOf(tally: Tally): ResumeCost {
+function computeCost(tally: Tally): ResumeCost {
   const {
     prefilled,
     decoded,
-    wastedDecodes: decodedInVain,
+    wastedDecodes,
     lost,
-    onePrefill,
+    contextTokens: onePrefill,
   } = tally;
   return {
     prefilled: prefilled / lost,
     decoded: decoded / lost,
-    wastedDecodes: Math.max(0, decodedInVain) / lost,
+    wastedDecodes: Math.max(0, wastedDecodes) / lost,
     extraPerPrefill: (prefilled + decoded) / onePrefill,
   };
 }
 
-/** Subtracts the necessary computation of a generation from the tally. */
+/** Subtracts the computation that a generation needs without a loss. */
 function addAnswer(options: {
   transcript: Transcript;
   prompt: string;
@@ -204,12 +215,12 @@
   tally.decoded -= TOKENS - lost;
   tally.wastedDecodes -= lost;
   tally.lost += lost;
-  if (lost > 0) tally.onePrefill += lost + promptTokens;
+  if (lost > 0) tally.contextTokens += lost + promptTokens;
   else tally.prefilled -= promptTokens;
 }
 
-/** Returns the growth of a counter of the targets between two readings. */
-function growth(
+/** Returns the increase of a counter between two readings, over all targets. */
+function computeGrowth(
   options: {
     before: ReadonlyMap<string, EngineCounts>;
     after: ReadonlyMap<string, EngineCounts>;
@@ -258,35 +269,36 @@
   transcripts: readonly Transcript[],
 ): Target {
   const countOf = (target: Target): number =>
-    transcripts.filter((t) => vmOf(t) === target.vm).length;
+    transcripts.filter((t) => parseVm(t) === target.vm).length;
   return targets.reduce((a, b) => (countOf(b) > countOf(a) ? b : a));
 }
 
 /** Returns the longest gap between arrivals that ends after `atMs`. */
-function waitAround({arrivalsMs}: Transcript, atMs: number): number {
-  let widest = 0;
+function findLongestGap({arrivalsMs}: Transcript, atMs: number): number {
+  let longestMs = 0;
   arrivalsMs.forEach((ms, i) => {
-    if (i > 0 && ms > atMs) widest = Math.max(widest, ms - arrivalsMs[i - 1]!);
+    if (i > 0 && ms > atMs)
+      longestMs = Math.max(longestMs, ms - arrivalsMs[i - 1]!);
   });
-  return widest;
+  return longestMs;
 }
 
-function isWhole(ask: CompletionRequest, transcript: Transcript): boolean {
-  const {tokens} = expectedOutput({...ask, stop: []});
+function isComplete(req: CompletionRequest, transcript: Transcript): boolean {
+  const {tokens} = expectedOutput({...req, stop: []});
   const text = tokens.map((token) => token.text).join('');
-  const {doneEvents: ends, restarts} = transcript;
-  return transcript.text === text && ends === 1 && restarts === 0;
+  const {doneEvents, restarts} = transcript;
+  return transcript.text === text && doneEvents === 1 && restarts === 0;
 }
 
-function vmOf(transcript: Transcript): string {
+function parseVm(transcript: Transcript): string {
   return transcript.lastEventId.split(':')[2] ?? '';
 }
 
-function positionOf(transcript: Transcript): number {
+function parsePosition(transcript: Transcript): number {
   return Number(transcript.lastEventId.split(':').at(-1));
 }
 
-async function readAll(
+async function readEngineCounts(
   targets: readonly Target[],
 ): Promise<Map<string, EngineCounts>> {
   const read = async (target: Target): Promise<[string, EngineCounts]> => {
@@ -296,21 +308,21 @@
   return new Map(await Promise.all(targets.map(read)));
 }
 
-const PARTS = ['detection', 'placement', 'first_token'];
+const RESUME_PHASES = ['detection', 'placement', 'first_token'];
 
-/** Reads the quantiles of each phase of a resume from the metrics of the entry. */
-async function readParts(site: Site, loss: Loss): Promise<CaseResult[]> {
+/** Reads the quantiles of each resume phase from the entry's metrics. */
+async function readPhases(site: Site, loss: Loss): Promise<CaseResult[]> {
   const url = `${site.entries[0]!.operatorsUrl}/metrics`;
   const res = await request(url);
   const lines = (await res.body.text()).split('\n');
-  return PARTS.map((part) => {
+  return RESUME_PHASES.map((phase) => {
     const read = (suffix: string): number => {
-      const name = `resume_${part}_seconds${suffix}`;
+      const name = `resume_${phase}_seconds${suffix}`;
       const line = lines.find((text) => text.includes(name));
       return Number(line?.split(' ').at(-1) ?? 0);
     };
-    const at = (q: string): number => read(`{quantile="${q}"}`) * MS_PER_S;
-    const name = `${loss}: ${part.replace('_', ' ')}`;
+    const at = (q: string): number => read(`{quantile="${q}"}`) * MS_PER_SECOND;
+    const name = `${loss}: ${phase.replace('_', ' ')}`;
     const n = read('_count');
     const p99 = at('0.99');
     return {
--- a/bench/experiments/slopes/consts.ts
+++ b/bench/experiments/slopes/consts.ts
@@ -18,7 +18,7 @@
 /** Duration of the idle measurement, in milliseconds. */
 export const IDLE_MS = 5_000;
 
-/** Slowdown of the engine while streams are kept open. */
+/** Factor by which the engine is slowed down while streams are kept open. */
 export const SLOW_FACTOR = 20;
 
 /** Number of short generations for the cost per generation. */
--- a/bench/experiments/slopes/fake-targets.ts
+++ b/bench/experiments/slopes/fake-targets.ts
@@ -31,6 +31,7 @@
 /** One listener that serves all targets registered with its port. */
 export class FakeTargets {
   port = 0;
+  /** Number of heartbeats sent. */
   sent = 0;
   private readonly connections = new Set<PeerConnection>();
   private readonly server: PeerServer;
--- a/bench/experiments/slopes/index.ts
+++ b/bench/experiments/slopes/index.ts
@@ -1,4 +1,4 @@
-/** Cost of each unit of work for a process, used by docs/CAPACITY.md. */
+/** Resources used per unit of work by each process, for docs/CAPACITY.md. */
 import {setMaxListeners} from 'node:events';
 
 import {HttpObjectStore} from '../../../src/adapters/index.js';
@@ -104,8 +104,8 @@
 
   /** Sends load so that the JIT compiler optimizes frequently run code. */
   private async warmUp(): Promise<void> {
-    await this.stream({streams: BUSY_STREAMS, tokens: 40, prompt: 'warm'});
-    for (let i = 0; i < BOOKINGS; i++) await this.book(`warm-${i}`);
+    await this.runStreams({streams: BUSY_STREAMS, tokens: 40, prompt: 'warm'});
+    for (let i = 0; i < BOOKINGS; i++) await this.sendBooking(`warm-${i}`);
   }
 
   private async measureIdle(): Promise<void> {
@@ -130,7 +130,7 @@
     const tokens = Math.round(WINDOW_MS / BUSY_PACE_MS);
     const startMs = performance.now();
     const before = this.readUsages();
-    await this.stream({streams: BUSY_STREAMS, tokens, prompt: 'busy'});
+    await this.runStreams({streams: BUSY_STREAMS, tokens, prompt: 'busy'});
     const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     const relayed = BUSY_STREAMS * tokens;
@@ -146,7 +146,7 @@
     const before = this.readUsages();
     const startMs = performance.now();
     for (let i = 0; i < REQUESTS; i++) {
-      await this.stream({streams: 1, tokens: 1, prompt: `short ${i}`});
+      await this.runStreams({streams: 1, tokens: 1, prompt: `short ${i}`});
     }
     const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
@@ -159,7 +159,7 @@
     const callsBefore = await this.countCalls();
     const before = this.readUsages();
     const startMs = performance.now();
-    for (let i = 0; i < BOOKINGS; i++) await this.book(`slopes-${i}`);
+    for (let i = 0; i < BOOKINGS; i++) await this.sendBooking(`slopes-${i}`);
     const after = this.readUsages();
     const seconds = (performance.now() - startMs) / MS_PER_SECOND;
     await sleep(WINDOW_MS / 4);
@@ -195,7 +195,7 @@
   }
 
   private async measureStreams(): Promise<void> {
-    await this.slowEngine();
+    await this.slowDownEngine();
     const before = this.readUsages();
     const ended = new AbortController();
     setMaxListeners(STREAMS + 1, ended.signal);
@@ -203,10 +203,10 @@
     const reading = Array.from({length: STREAMS}, async (_, i) => {
       const prompt = `${i} ${'x'.repeat(PROMPT_CHARACTERS)} [length=4000]`;
       const transcript = createTranscript();
-      let counted = false;
+      let hasStarted = false;
       const onChunk = (): void => {
-        if (!counted) started++;
-        counted = true;
+        if (!hasStarted) started++;
+        hasStarted = true;
       };
       const req = {prompt, maxTokens: 4_000};
       const {signal} = ended;
@@ -235,10 +235,10 @@
     await waitUntil({what: 'the entry watches all targets', check});
     targets.sendHeartbeats(MS_PER_SECOND);
     await sleep(WINDOW_MS);
-    const quiet = this.readUsages();
+    const usageWhenWatched = this.readUsages();
     this.addMemory(
       'entry: memory per watched target',
-      {before, after: quiet},
+      {before, after: usageWhenWatched},
       WATCHED_TARGETS,
     );
     const slow = await this.measureHeartbeats(targets, MS_PER_SECOND);
@@ -246,16 +246,21 @@
       targets,
       MS_PER_SECOND / HEARTBEATS_PER_SECOND,
     );
-    const perBeat = (fast.us - slow.us) / (fast.beats - slow.beats);
+    const perBeat = (fast.us - slow.us) / (fast.heartbeats - slow.heartbeats);
     this.add('entry: per heartbeat', 'us', perBeat);
     const perTarget =
-      (slow.us - slow.beats * perBeat - this.idle.entryUs) / WATCHED_TARGETS;
+      (slow.us - slow.heartbeats * perBeat - this.idle.entryUs) /
+      WATCHED_TARGETS;
     this.add('entry: per watched target beside heartbeats', 'us/s', perTarget);
     const bytes = encodeFrame(SAMPLE_HEARTBEAT).length;
     this.add('peer: bytes of a heartbeat', 'bytes', bytes);
     const bare = encodeFrame({...SAMPLE_HEARTBEAT, cachedPrefixes: []}).length;
     this.add('peer: bytes of a heartbeat without prefixes', 'bytes', bare);
-    this.addBounds({use: slow, residentKb: quiet.entry.residentKb, bytes});
+    this.addBounds({
+      usage: slow,
+      residentKb: usageWhenWatched.entry.residentKb,
+      bytes,
+    });
     targets.sendHeartbeats(MS_PER_SECOND);
   }
 
@@ -263,7 +268,7 @@
   private async measureHeartbeats(
     targets: FakeTargets,
     periodMs: number,
-  ): Promise<{us: number; beats: number}> {
+  ): Promise<{us: number; heartbeats: number}> {
     targets.sendHeartbeats(periodMs);
     await sleep(periodMs);
     const sent = targets.sent;
@@ -272,22 +277,22 @@
     const seconds = WINDOW_MS / MS_PER_SECOND;
     return {
       us: (this.readUsages().entry.cpuUs - before) / seconds,
-      beats: (targets.sent - sent) / seconds,
+      heartbeats: (targets.sent - sent) / seconds,
     };
   }
 
   /** Compares the control overhead with the required bounds per node. */
   private addBounds(options: {
-    use: {us: number; beats: number};
+    usage: {us: number; heartbeats: number};
     residentKb: number;
     bytes: number;
   }): void {
-    const {use, residentKb, bytes} = options;
+    const {usage, residentKb, bytes} = options;
     const rows: ReadonlyArray<Omit<BoundResult, 'holds'>> = [
       {
         name: `entry: control with ${WATCHED_TARGETS} watched targets, share of a core`,
         stated: CONTROL_CORE_SHARE,
-        measured: use.us / US_PER_SECOND,
+        measured: usage.us / US_PER_SECOND,
       },
       {
         name: `entry: whole process with ${WATCHED_TARGETS} watched targets, kB`,
@@ -297,7 +302,7 @@
       {
         name: `entry: heartbeats of ${WATCHED_TARGETS} watched targets, bytes/s`,
         stated: CONTROL_BYTES_PER_SECOND,
-        measured: use.beats * bytes,
+        measured: usage.heartbeats * bytes,
       },
     ];
     for (const row of rows) {
@@ -306,7 +311,7 @@
   }
 
   /** Slows the engine down so that streams stay open at little cost. */
-  private async slowEngine(): Promise<void> {
+  private async slowDownEngine(): Promise<void> {
     const url = `${this.site.engines[0]!.standIn.url}/faults`;
     const body = {kind: 'slow', factor: SLOW_FACTOR};
     await sendControl({url, method: 'POST', body});
@@ -322,7 +327,7 @@
     });
   }
 
-  private async stream(options: {
+  private async runStreams(options: {
     streams: number;
     tokens: number;
     prompt: string;
@@ -342,7 +347,7 @@
     await Promise.all(reading);
   }
 
-  private async book(key: string): Promise<void> {
+  private async sendBooking(key: string): Promise<void> {
     const url = `${this.site.entries[0]!.callersUrl}/services/orders/bookings`;
     const res = await fetch(url, {
       method: 'POST',
@@ -353,7 +358,8 @@
       },
       body: JSON.stringify({pallets: 1}),
     });
-    if (!res.ok) throw new Error(`booking: ${res.status} ${await res.text()}`);
+    if (!res.ok)
+      throw new Error(`booking failed: ${res.status} ${await res.text()}`);
     await res.arrayBuffer();
   }
 
@@ -380,6 +386,7 @@
     this.add(name, 'bytes', (kb * BYTES_PER_KB) / count);
   }
 
+  /** Adds a case with a single figure, which is used for all quantiles. */
   private add(name: string, unit: string, value: number): void {
     const [p50, p95, p99, max] = [value, value, value, value];
     this.cases.push({name, unit, n: 1, p50, p95, p99, max});
--- a/bench/experiments/storm/index.ts
+++ b/bench/experiments/storm/index.ts
@@ -1,11 +1,11 @@
-/** Loss of a third of the engines at full load with callers that retry at once. */
+/** Loss of a third of the engines under overload; callers retry at once. */
 import {SeededRandom} from '../../../src/core/clock/index.js';
 import {sendControl} from '../../../tools/lab/lab.js';
 import type {Target} from '../../../tools/lab/site.js';
 import {Site} from '../../../tools/lab/site.js';
-import {runAtTimes, poissonArrivals, sleep} from '../../lib/arrivals.js';
+import {runAtTimes, createPoissonArrivals, sleep} from '../../lib/arrivals.js';
 import type {RequestResult} from '../../lib/load-run.js';
-import {sendOne} from '../../lib/load-run.js';
+import {sendRequest} from '../../lib/load-run.js';
 import {Samples} from '../../lib/samples.js';
 import type {Experiment, ExperimentResult} from '../../lib/types.js';
 
@@ -14,19 +14,22 @@
 const PACE_MS = 10;
 const TOKENS = 20;
 const DEADLINE_MS = 1_500;
-const LOAD = 1.2;
-const FOR_MS = 14_000;
+/** Offered load relative to the capacity of all engines. */
+const LOAD_FACTOR = 1.2;
+const LOAD_DURATION_MS = 14_000;
 const LOSS_AT_MS = 6_000;
-const BIN_MS = 500;
+const PLOT_BIN_MS = 500;
+/** Time after the start and after the loss that is not counted. */
 const RAMP_MS = 2_000;
 
-/** Immediate retries of a caller after a refusal. */
+/** Maximum number of immediate retries of a caller after refusals. */
 const IMMEDIATE_RETRIES = 3;
 
 /** Capacity of one engine, in requests per second. */
-const ENGINE_RATE = (SLOTS * 1_000) / (PACE_MS * TOKENS);
+const ENGINE_CAPACITY_PER_SECOND = (SLOTS * 1_000) / (PACE_MS * TOKENS);
 
-const AMPLIFICATION_TARGET = 1.1;
+/** Maximum number of generations started at engines per admitted request. */
+const MAX_AMPLIFICATION = 1.1;
 
 /** Measures goodput around the loss and the amplification by retries. */
 export const experiment: Experiment = {
@@ -39,7 +42,7 @@
       entries: 1,
       engines: ENGINES,
       engineFlags: {'pace-ms': PACE_MS, capacity: SLOTS},
-      editBase: liftAccountLimit,
+      editBase: raiseAccountLimit,
     });
     try {
       return await runStorm(site, seed);
@@ -49,7 +52,7 @@
   },
 };
 
-function liftAccountLimit(base: Record<string, unknown>): void {
+function raiseAccountLimit(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<
     string,
     Record<string, unknown>
@@ -59,11 +62,15 @@
 
 async function runStorm(site: Site, seed: number): Promise<ExperimentResult> {
   const url = site.entries[0]!.callersUrl;
-  const perSecond = LOAD * ENGINES * ENGINE_RATE;
+  const perSecond = LOAD_FACTOR * ENGINES * ENGINE_CAPACITY_PER_SECOND;
   const random = new SeededRandom(seed);
-  const timesMs = poissonArrivals({perSecond, forMs: FOR_MS, random});
+  const timesMs = createPoissonArrivals({
+    perSecond,
+    durationMs: LOAD_DURATION_MS,
+    random,
+  });
   const startMs = performance.now();
-  const ends: RequestResult[] = [];
+  const results: RequestResult[] = [];
   const startedAtLost = sleep(LOSS_AT_MS).then(() =>
     killEngine(site.engines[0]!),
   );
@@ -71,9 +78,9 @@
     timesMs,
     run: async (index) => {
       for (let i = 0; i <= IMMEDIATE_RETRIES; i++) {
-        const end = await sendOne(createLoad(url), index);
-        ends.push({...end, endedAtMs: performance.now() - startMs});
-        if (!end.refused) return;
+        const result = await sendRequest(createLoadOptions(url), index);
+        results.push({...result, endedAtMs: performance.now() - startMs});
+        if (!result.refused) return;
       }
     },
   });
@@ -81,10 +88,10 @@
     site.engines.slice(1).map(countStarted),
   );
   const started = startedAtOthers.reduce((a, b) => a + b, await startedAtLost);
-  return summarise(ends, started);
+  return summarise(results, started);
 }
 
-function createLoad(url: string) {
+function createLoadOptions(url: string) {
   return {
     urlOf: () => url,
     createRequest: (index: number) => ({
@@ -110,21 +117,28 @@
 }
 
 function summarise(
-  ends: readonly RequestResult[],
+  results: readonly RequestResult[],
   started: number,
 ): ExperimentResult {
-  const admitted = ends.filter(({refused}) => !refused).length;
+  const admitted = results.filter(({refused}) => !refused).length;
   const amplification = started / admitted;
-  const before = goodput(ends, RAMP_MS, LOSS_AT_MS) / (ENGINES * ENGINE_RATE);
-  const leftRate = (ENGINES - 1) * ENGINE_RATE;
-  const after = goodput(ends, LOSS_AT_MS + RAMP_MS, FOR_MS) / leftRate;
+  const before =
+    computeGoodput(results, RAMP_MS, LOSS_AT_MS) /
+    (ENGINES * ENGINE_CAPACITY_PER_SECOND);
+  const remainingCapacity = (ENGINES - 1) * ENGINE_CAPACITY_PER_SECOND;
+  const after =
+    computeGoodput(results, LOSS_AT_MS + RAMP_MS, LOAD_DURATION_MS) /
+    remainingCapacity;
   const answered = new Samples({name: 'answered in time', unit: 'ms'});
   const refused = new Samples({name: 'refused', unit: 'ms'});
-  for (const end of ends) {
-    if (end.metDeadline) answered.add(end.durationMs);
-    if (end.refused) refused.add(end.durationMs);
+  for (const result of results) {
+    if (result.metDeadline) answered.add(result.durationMs);
+    if (result.refused) refused.add(result.durationMs);
   }
-  const bins = Array.from({length: FOR_MS / BIN_MS}, (_, i) => i * BIN_MS);
+  const bins = Array.from(
+    {length: LOAD_DURATION_MS / PLOT_BIN_MS},
+    (_, i) => i * PLOT_BIN_MS,
+  );
   return {
     cases: [answered, refused]
       .filter(({count}) => count > 0)
@@ -134,15 +148,15 @@
       {name: 'goodput / capacity that is left, after it', value: after},
       {
         name: 'requests sent by callers / admitted',
-        value: ends.length / admitted,
+        value: results.length / admitted,
       },
     ],
     bounds: [
       {
         name: 'started at engines / admitted, at most',
-        stated: AMPLIFICATION_TARGET,
+        stated: MAX_AMPLIFICATION,
         measured: amplification,
-        holds: amplification <= AMPLIFICATION_TARGET,
+        holds: amplification <= MAX_AMPLIFICATION,
       },
     ],
     plots: [
@@ -156,7 +170,7 @@
             name: 'in time',
             points: bins.map((fromMs) => ({
               x: fromMs / 1_000,
-              y: goodput(ends, fromMs, fromMs + BIN_MS),
+              y: computeGoodput(results, fromMs, fromMs + PLOT_BIN_MS),
             })),
           },
         ],
@@ -166,14 +180,14 @@
 }
 
 /** Returns the rate of requests that met their deadline between two times. */
-function goodput(
-  ends: readonly RequestResult[],
+function computeGoodput(
+  results: readonly RequestResult[],
   fromMs: number,
   toMs: number,
 ): number {
-  const within = ends.filter(
-    ({metDeadline: inTime, endedAtMs}) =>
-      inTime && endedAtMs > fromMs && endedAtMs <= toMs,
+  const within = results.filter(
+    ({metDeadline, endedAtMs}) =>
+      metDeadline && endedAtMs > fromMs && endedAtMs <= toMs,
   );
   return (within.length * 1_000) / (toMs - fromMs);
 }
--- a/bench/lib/arrivals.ts
+++ b/bench/lib/arrivals.ts
@@ -7,20 +7,20 @@
  * Returns the arrival times of a Poisson process, in milliseconds from its start.
  *
  * @example
- * poissonArrivals({perSecond: 50, forMs: 3_000, random});
+ * createPoissonArrivals({perSecond: 50, durationMs: 3_000, random});
  */
-export function poissonArrivals(options: {
+export function createPoissonArrivals(options: {
   perSecond: number;
-  forMs: number;
+  durationMs: number;
   random: RandomSource;
 }): number[] {
-  const {perSecond, forMs, random} = options;
+  const {perSecond, durationMs, random} = options;
   const times: number[] = [];
   const meanMs = MS_PER_SECOND / perSecond;
-  let atMs = exponential(meanMs, random);
-  while (atMs < forMs) {
+  let atMs = sampleExponential(meanMs, random);
+  while (atMs < durationMs) {
     times.push(atMs);
-    atMs += exponential(meanMs, random);
+    atMs += sampleExponential(meanMs, random);
   }
   return times;
 }
@@ -29,38 +29,61 @@
  * Returns arrival times in bursts of `size` at a mean rate of `perSecond`.
  *
  * @example
- * burstArrivals({perSecond: 50, forMs: 3_000, size: 10, random});
+ * createBurstArrivals({perSecond: 50, durationMs: 3_000, size: 10, random});
  */
-export function burstArrivals(options: {
+export function createBurstArrivals(options: {
   perSecond: number;
-  forMs: number;
+  durationMs: number;
   size: number;
   random: RandomSource;
 }): number[] {
-  const {perSecond, forMs, size, random} = options;
-  const starts = poissonArrivals({perSecond: perSecond / size, forMs, random});
+  const {perSecond, durationMs, size, random} = options;
+  const starts = createPoissonArrivals({
+    perSecond: perSecond / size,
+    durationMs,
+    random,
+  });
   return starts.flatMap((atMs) => Array.from({length: size}, () => atMs));
 }
 
-/** Returns an exponentially distributed time in milliseconds. */
-export function exponential(meanMs: number, random: RandomSource): number {
+/**
+ * Draws an exponentially distributed time with a mean of `meanMs` milliseconds.
+ *
+ * @example
+ * const delayMs = sampleExponential(400, random);
+ */
+export function sampleExponential(
+  meanMs: number,
+  random: RandomSource,
+): number {
   return -meanMs * Math.log(1 - random.float());
 }
 
-/** Calls `run` at each time, even if earlier calls have not ended. */
+/**
+ * Calls `run` at each time after the start, even if earlier calls have not
+ * ended. Resolves when all calls have ended.
+ *
+ * @example
+ * await runAtTimes({timesMs: [0, 10.5], run: (index) => send(index)});
+ */
 export async function runAtTimes(options: {
   timesMs: readonly number[];
   run: (index: number) => Promise<void>;
 }): Promise<void> {
   const startMs = performance.now();
-  const work = options.timesMs.map(async (atMs, index) => {
+  const runs = options.timesMs.map(async (atMs, index) => {
     await sleep(startMs + atMs - performance.now());
     await options.run(index);
   });
-  await Promise.all(work);
+  await Promise.all(runs);
 }
 
-/** Waits `ms` milliseconds, or not at all if negative. */
+/**
+ * Waits `ms` milliseconds; a negative time counts as 0.
+ *
+ * @example
+ * await sleep(500);
+ */
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, Math.max(0, ms)));
 }
--- a/bench/lib/load-run.ts
+++ b/bench/lib/load-run.ts
@@ -20,56 +20,62 @@
 
 /** Options of a load. */
 export interface LoadOptions {
+  /** Times at which the requests start, relative to the start of the load. */
   readonly timesMs: readonly number[];
   /** Returns the URL for the request with an index. */
   readonly urlOf: (index: number) => string;
   readonly createRequest: (index: number) => CompletionRequest;
-  /** Time after which the caller aborts the request. */
+  /** Deadline sent with each request; the caller aborts the request then. */
   readonly deadlineMs: number;
 }
 
 /**
- * Sends the load and waits for the end of every request.
+ * Sends the load and waits until every request has ended.
  *
  * @example
- * const ends = await runLoad({timesMs, urlOf, createRequest, deadlineMs: 1_000});
+ * const results = await runLoad({timesMs, urlOf, createRequest, deadlineMs});
  */
 export async function runLoad(options: LoadOptions): Promise<RequestResult[]> {
-  const ends: RequestResult[] = [];
+  const results: RequestResult[] = [];
   const startMs = performance.now();
   await runAtTimes({
     timesMs: options.timesMs,
     run: async (index) => {
-      const end = await sendOne(options, index);
-      ends.push({...end, endedAtMs: performance.now() - startMs});
+      const result = await sendRequest(options, index);
+      results.push({...result, endedAtMs: performance.now() - startMs});
     },
   });
-  return ends;
+  return results;
 }
 
-/** Sends one request and reads the response until the deadline. */
-export async function sendOne(
+/**
+ * Sends one request and reads the response until its end or the deadline.
+ *
+ * @example
+ * const result = await sendRequest({urlOf, createRequest, deadlineMs}, 0);
+ */
+export async function sendRequest(
   options: Omit<LoadOptions, 'timesMs'>,
   index: number,
 ): Promise<Omit<RequestResult, 'endedAtMs'>> {
-  const {urlOf, createRequest: askOf, deadlineMs} = options;
+  const {urlOf, createRequest, deadlineMs} = options;
   const transcript = createTranscript();
   const startedMs = performance.now();
   const abortController = new AbortController();
   const timer = setTimeout(() => abortController.abort(), deadlineMs);
-  const ask = {...askOf(index), deadlineMs};
+  const req = {...createRequest(index), deadlineMs};
   const {signal} = abortController;
   const url = urlOf(index);
-  await readStream({url, req: ask, transcript, signal}).catch(() => undefined);
+  await readStream({url, req, transcript, signal}).catch(() => undefined);
   clearTimeout(timer);
-  const tookMs = performance.now() - startedMs;
+  const durationMs = performance.now() - startedMs;
   const isComplete =
     transcript.doneEvents === 1 && transcript.finishReason !== '';
   const problem = transcript.errors[0] as {retryAfterMs?: number} | undefined;
   return {
     index,
-    durationMs: tookMs,
-    metDeadline: isComplete && tookMs <= deadlineMs,
+    durationMs,
+    metDeadline: isComplete && durationMs <= deadlineMs,
     refused: problem !== undefined,
     retryAfterMs: problem?.retryAfterMs ?? 0,
   };
--- a/bench/lib/plot.ts
+++ b/bench/lib/plot.ts
@@ -31,13 +31,13 @@
   const {report, directory} = options;
   const {experiment, plots = []} = report;
   mkdirSync(directory, {recursive: true});
-  const drawings = plots.map(renderPlot);
-  drawings.forEach((svg, i) => {
+  const svgs = plots.map(renderPlot);
+  svgs.forEach((svg, i) => {
     const name = `${experiment}-${plots[i]!.name}.svg`;
     writeFileSync(join(directory, name), svg);
   });
   const text = escapeText(renderReport(report));
-  const body = `${drawings.join('\n')}\n<pre>${text}</pre>`;
+  const body = `${svgs.join('\n')}\n<pre>${text}</pre>`;
   const head = `<!doctype html><meta charset="utf-8"><title>${experiment}</title>`;
   writeFileSync(join(directory, `${experiment}.html`), `${head}\n${body}\n`);
 }
@@ -55,9 +55,9 @@
     maxY: Math.max(...points.map(({y}) => y), Number.MIN_VALUE),
   };
   const parts = [
-    text({x: MARGIN, y: 24, content: plot.title}),
-    text({x: WIDTH / 2, y: HEIGHT - 12, content: plot.xLabel}),
-    text({x: 8, y: MARGIN - 12, content: plot.yLabel}),
+    renderText({x: MARGIN, y: 24, content: plot.title}),
+    renderText({x: WIDTH / 2, y: HEIGHT - 12, content: plot.xLabel}),
+    renderText({x: 8, y: MARGIN - 12, content: plot.yLabel}),
     ...renderAxes(scale),
     ...plot.series.flatMap((series, i) => renderSeries({series, i, scale})),
   ];
@@ -69,12 +69,16 @@
 
 function renderAxes(scale: Scale): string[] {
   const ticks = Array.from({length: TICKS + 1}, (_, i) => i / TICKS);
-  const labels = ticks.flatMap((share) => {
-    const x = {x: share * scale.maxX, y: 0};
-    const y = {x: 0, y: share * scale.maxY};
+  const labels = ticks.flatMap((fraction) => {
+    const x = {x: fraction * scale.maxX, y: 0};
+    const y = {x: 0, y: fraction * scale.maxY};
     return [
-      text({x: placeX(x, scale) - 8, y: HEIGHT - 36, content: format(x.x)}),
-      text({x: 8, y: placeY(y, scale) + 4, content: format(y.y)}),
+      renderText({
+        x: toPixelX(x, scale) - 8,
+        y: HEIGHT - 36,
+        content: formatTick(x.x),
+      }),
+      renderText({x: 8, y: toPixelY(y, scale) + 4, content: formatTick(y.y)}),
     ];
   });
   const left = MARGIN;
@@ -91,12 +95,12 @@
   const {series, i, scale} = options;
   const colour = COLOURS[i % COLOURS.length]!;
   const path = series.points
-    .map((point) => `${placeX(point, scale)},${placeY(point, scale)}`)
+    .map((point) => `${toPixelX(point, scale)},${toPixelY(point, scale)}`)
     .join(' ');
   const stroke = `stroke="${colour}" stroke-width="2"`;
   return [
     `<polyline points="${path}" fill="none" ${stroke}/>`,
-    text({
+    renderText({
       x: WIDTH - 2 * MARGIN - 60,
       y: MARGIN + i * LEGEND_STEP,
       content: series.name,
@@ -105,16 +109,16 @@
   ];
 }
 
-function placeX(point: PlotPoint, scale: Scale): number {
+function toPixelX(point: PlotPoint, scale: Scale): number {
   return round(MARGIN + (point.x / scale.maxX) * (WIDTH - 2 * MARGIN));
 }
 
-function placeY(point: PlotPoint, scale: Scale): number {
+function toPixelY(point: PlotPoint, scale: Scale): number {
   const height = HEIGHT - 2 * MARGIN;
   return round(HEIGHT - MARGIN - (point.y / scale.maxY) * height);
 }
 
-function text(options: {
+function renderText(options: {
   x: number;
   y: number;
   content: string;
@@ -129,7 +133,7 @@
   return content.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
 }
 
-function format(value: number): string {
+function formatTick(value: number): string {
   return String(Number(value.toPrecision(3)));
 }
 
--- a/bench/lib/process-usage.ts
+++ b/bench/lib/process-usage.ts
@@ -5,12 +5,14 @@
 const US_PER_TICK = 10_000;
 
 /** Indexes of utime and stime in `/proc/PID/stat`, after the program name. */
-const USER_TICKS = 11;
-const SYSTEM_TICKS = 12;
+const UTIME_INDEX = 11;
+const STIME_INDEX = 12;
 
 /** Processor time and resident memory of a process. */
 export interface ProcessUsage {
+  /** User and system time since the start of the process, in microseconds. */
   readonly cpuUs: number;
+  /** Resident set size in kB. */
   readonly residentKb: number;
 }
 
@@ -27,7 +29,7 @@
 function readCpuUs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
-  const ticks = Number(fields[USER_TICKS]) + Number(fields[SYSTEM_TICKS]);
+  const ticks = Number(fields[UTIME_INDEX]) + Number(fields[STIME_INDEX]);
   return ticks * US_PER_TICK;
 }
 
--- a/bench/lib/report.ts
+++ b/bench/lib/report.ts
@@ -38,7 +38,12 @@
   return `${sections.filter((text) => text !== '').join('\n\n')}\n`;
 }
 
-/** Renders a report as one line of JSON, without plots. */
+/**
+ * Renders a report as one line of JSON, without plots.
+ *
+ * @example
+ * process.stdout.write(renderJson(report));
+ */
 export function renderJson(report: Report): string {
   const {experiment, seed, commit, cases, ratios, bounds} = report;
   const shape = {experiment, seed, commit, cases, ratios, bounds};
--- a/bench/lib/samples.ts
+++ b/bench/lib/samples.ts
@@ -3,9 +3,11 @@
 
 import type {CaseResult} from './types.js';
 
-const SCALE = 1_000;
-const HIGHEST = 3_600_000_000;
-const DIGITS = 3;
+/** The histogram counts whole steps of a thousandth of the unit. */
+const STEPS_PER_UNIT = 1_000;
+/** Maximum of the histogram: one hour if the unit is milliseconds. */
+const MAX_STEPS = 3_600_000_000;
+const SIGNIFICANT_DIGITS = 3;
 
 /**
  * Samples of one quantity, with a resolution of a thousandth of its unit.
@@ -16,8 +18,8 @@
  */
 export class Samples {
   private readonly histogram = build({
-    highestTrackableValue: HIGHEST,
-    numberOfSignificantValueDigits: DIGITS,
+    highestTrackableValue: MAX_STEPS,
+    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 
   constructor(private readonly options: {name: string; unit: string}) {}
@@ -26,14 +28,15 @@
     return this.histogram.totalCount;
   }
 
+  /** Adds a sample. Values outside the range count as 0 or as the maximum. */
   add(value: number): void {
-    const scaled = Math.round(Math.max(value, 0) * SCALE);
-    this.histogram.recordValue(Math.min(scaled, HIGHEST));
+    const steps = Math.round(Math.max(value, 0) * STEPS_PER_UNIT);
+    this.histogram.recordValue(Math.min(steps, MAX_STEPS));
   }
 
-  /** Returns the value below which `percent` of the samples lie. */
+  /** Returns the value below which `percent` percent of the samples lie. */
   percentile(percent: number): number {
-    return this.histogram.getValueAtPercentile(percent) / SCALE;
+    return this.histogram.getValueAtPercentile(percent) / STEPS_PER_UNIT;
   }
 
   result(): CaseResult {
--- a/bench/lib/types.ts
+++ b/bench/lib/types.ts
@@ -4,6 +4,7 @@
 export interface CaseResult {
   readonly name: string;
   readonly unit: string;
+  /** Number of samples. */
   readonly n: number;
   readonly p50: number;
   readonly p95: number;
@@ -17,11 +18,12 @@
   readonly value: number;
 }
 
-/** A stated bound and the measured value. */
+/** A required bound and the measured value. */
 export interface BoundResult {
   readonly name: string;
   readonly stated: number;
   readonly measured: number;
+  /** Whether the measured value is within the bound. */
   readonly holds: boolean;
 }
 
@@ -59,6 +61,7 @@
 export interface ExperimentFlags {
   /** The value of `--<name>`, or the fallback. */
   text(name: string, fallback: string): string;
+  /** The value of `--<name>` as a number, or the fallback. */
   number(name: string, fallback: number): number;
 }
 
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -8,7 +8,7 @@
 import {renderJson, renderReport} from './lib/report.js';
 import type {Experiment} from './lib/types.js';
 
-const EXPERIMENTS = new URL('./experiments/', import.meta.url);
+const EXPERIMENTS_URL = new URL('./experiments/', import.meta.url);
 const DEFAULT_SEED = '1';
 
 const program = new Command('bench')
@@ -35,7 +35,7 @@
     await listExperiments();
     return;
   }
-  if (!existsSync(new URL(`${name}/index.js`, EXPERIMENTS))) {
+  if (!existsSync(new URL(`${name}/index.js`, EXPERIMENTS_URL))) {
     process.stderr.write(`there is no experiment "${name}"\n`);
     process.exitCode = 2;
     return;
@@ -59,7 +59,7 @@
 }
 
 async function listExperiments(): Promise<void> {
-  for (const name of readdirSync(EXPERIMENTS).sort()) {
+  for (const name of readdirSync(EXPERIMENTS_URL).sort()) {
     const {summary, starts, flags} = await loadExperiment(name);
     const lines = [summary, starts, ...flags].map((line) => `    ${line}`);
     process.stdout.write(`${name}\n${lines.join('\n')}\n`);
@@ -67,15 +67,15 @@
 }
 
 async function loadExperiment(name: string): Promise<Experiment> {
-  const url = new URL(`${name}/index.js`, EXPERIMENTS);
+  const url = new URL(`${name}/index.js`, EXPERIMENTS_URL);
   const module = (await import(url.href)) as {experiment: Experiment};
   return module.experiment;
 }
 
 function readFlags() {
   const text = (name: string, fallback: string): string => {
-    const at = process.argv.indexOf(`--${name}`);
-    return at < 0 ? fallback : (process.argv[at + 1] ?? fallback);
+    const index = process.argv.indexOf(`--${name}`);
+    return index < 0 ? fallback : (process.argv[index + 1] ?? fallback);
   };
   const number = (name: string, fallback: number): number =>
     Number(text(name, String(fallback)));
