--- a/bench/experiments/fairness/index.ts
+++ b/bench/experiments/fairness/index.ts
@@ -27,6 +27,7 @@
 
 /** Results by account; account 0 is the greedy one, the others are modest. */
 interface SimResult {
+  /** Number of requests sent. */
   readonly sent: number[];
   /** Requests that met their deadline. */
   readonly inTime: number[];
@@ -104,7 +105,7 @@
         admission,
         clock,
         request: requests[next]!,
-        result: result,
+        result,
       });
     }
     await new Promise((resolve) => setImmediate(resolve));
@@ -129,7 +130,7 @@
     const startMs = clock.now();
     const run = (): void => {
       ticket.release();
-      recordCompletion({result: result, request, startMs, endMs: clock.now()});
+      recordCompletion({result, request, startMs, endMs: clock.now()});
     };
     clock.schedule({delayMs: request.serviceMs, run});
   });
@@ -144,7 +145,7 @@
     const startMs = Math.max(request.atMs, freeAtMs[slot]!);
     const endMs = startMs + request.serviceMs;
     freeAtMs[slot] = endMs;
-    recordCompletion({result: result, request, startMs, endMs});
+    recordCompletion({result, request, startMs, endMs});
   }
   return result;
 }
--- a/bench/experiments/relay/load.ts
+++ b/bench/experiments/relay/load.ts
@@ -36,7 +36,7 @@
     entries: 1,
     engines,
     engineFlags: {'pace-ms': PACE_MS, capacity: streams},
-    editBase: raiseLimits,
+    editBase: raiseAccountLimits,
   });
   const measure = async (
     name: string,
@@ -68,7 +68,7 @@
 }
 
 /** Raises the account limits so that all streams can run at once. */
-function raiseLimits(base: Record<string, unknown>): void {
+function raiseAccountLimits(base: Record<string, unknown>): void {
   const accounts = base['clientAccounts'] as Record<string, unknown>;
   for (const account of Object.values(accounts)) {
     (account as {maxConcurrent: number}).maxConcurrent = 10_000;
--- a/bench/experiments/resume/index.ts
+++ b/bench/experiments/resume/index.ts
@@ -49,7 +49,7 @@
 ): ExperimentResult {
   return {
     cases: [
-      ...losses.flatMap(({wait, phases: parts}) => [wait.result(), ...parts]),
+      ...losses.flatMap(({wait, phases}) => [wait.result(), ...phases]),
       ...baselines.map(({wait}) => wait.result()),
     ],
     ratios: [
@@ -62,9 +62,9 @@
         name: `${name}: prefilled per lost token`,
         value,
       })),
-      ...losses.map(({name, completeShare: wholeShare}) => ({
+      ...losses.map(({name, completeShare}) => ({
         name: `${name}: share of answers that were whole`,
-        value: wholeShare,
+        value: completeShare,
       })),
     ],
     bounds: losses.flatMap((loss) => createBounds(weigh, loss)),
@@ -86,17 +86,21 @@
 
 function createBounds(weigh: string, loss: LossResult) {
   const {name, wait, cost, kind} = loss;
-  const maxWait = createUpperBound(`${name}, max ms`, MAX_WAIT_MS, maxOf(wait));
+  const maxWaitBound = createUpperBound(
+    `${name}, max ms`,
+    MAX_WAIT_MS,
+    maxOf(wait),
+  );
   if (weigh === 'resources') {
     const label = `${name}, extra computation in prefills of what was lost`;
     return [
-      maxWait,
+      maxWaitBound,
       createUpperBound(label, MAX_EXTRA_PREFILLS, cost.extraPerPrefill),
     ];
   }
   const boundMs = kind === Loss.DEATH ? DEATH_P99_MS : SILENCE_P99_MS;
   return [
-    maxWait,
+    maxWaitBound,
     createUpperBound(`${name}, p99 ms`, boundMs, wait.percentile(99)),
   ];
 }
--- a/bench/experiments/resume/losses.ts
+++ b/bench/experiments/resume/losses.ts
@@ -42,7 +42,7 @@
   readonly completeShare: number;
 }
 
-/** Extra computation per lost token that callers had received. */
+/** Extra computation, per token that callers had received before the loss. */
 export interface ResumeCost {
   /** Tokens prefilled by other targets. */
   readonly prefilled: number;
@@ -68,6 +68,7 @@
   prefilled: number;
   decoded: number;
   wastedDecodes: number;
+  /** Tokens that callers had received of interrupted generations. */
   lost: number;
   /** Tokens of one prefill of each lost context. */
   contextTokens: number;
@@ -99,16 +100,16 @@
     for (let round = 0; round < rounds; round++) {
       await runRound({site, loss, round, streams, wait, tally});
     }
-    const parts = await readPhases(site, loss);
+    const phases = await readPhases(site, loss);
     const cost = computeCost(tally);
-    const wholeShare = tally.complete / tally.answers;
+    const completeShare = tally.complete / tally.answers;
     return {
       name: loss,
       kind: loss,
       wait,
-      phases: parts,
+      phases,
       cost,
-      completeShare: wholeShare,
+      completeShare,
     };
   } finally {
     await site.close();
@@ -133,7 +134,7 @@
   const transcripts = reqs.map(() => createTranscript());
   const before = await readEngineCounts(runningTargets);
   const reading = reqs.map((req, i) =>
-    readWithResume({urls, req: req, transcript: transcripts[i]!}),
+    readWithResume({urls, req, transcript: transcripts[i]!}),
   );
   const check = (): Promise<boolean> =>
     Promise.resolve(
@@ -142,14 +143,14 @@
   await waitUntil({what: 'all streams produce tokens', check});
   const lostTarget = chooseLostTarget(runningTargets, transcripts);
   const isLost = transcripts.map((t) => parseVm(t) === lostTarget.vm);
-  const atMs = performance.now();
+  const lossAtMs = performance.now();
   const recover = await injectLoss(lostTarget, loss);
   await Promise.all(reading);
   await recover();
   const others = runningTargets.filter((t) => t !== lostTarget);
   const after = await readEngineCounts(others);
   transcripts.forEach((transcript, i) => {
-    if (isLost[i]) wait.add(findLongestGap(transcript, atMs));
+    if (isLost[i]) wait.add(findLongestGap(transcript, lossAtMs));
     tally.complete += Number(isComplete(reqs[i]!, transcript));
     tally.answers++;
     addAnswer({transcript, prompt: reqs[i]!.prompt, after, tally});
@@ -182,18 +183,12 @@
 }
 
 function computeCost(tally: Tally): ResumeCost {
-  const {
-    prefilled,
-    decoded,
-    wastedDecodes,
-    lost,
-    contextTokens: onePrefill,
-  } = tally;
+  const {prefilled, decoded, wastedDecodes, lost, contextTokens} = tally;
   return {
     prefilled: prefilled / lost,
     decoded: decoded / lost,
     wastedDecodes: Math.max(0, wastedDecodes) / lost,
-    extraPerPrefill: (prefilled + decoded) / onePrefill,
+    extraPerPrefill: (prefilled + decoded) / contextTokens,
   };
 }
 
--- a/bench/experiments/slopes/index.ts
+++ b/bench/experiments/slopes/index.ts
@@ -96,7 +96,7 @@
     await this.measureRequests();
     await this.measureBookings();
     await this.measureConfig();
-    await this.measureWatched();
+    await this.measureWatchedTargets();
     await this.measureStreams();
     this.targets.close();
     return this.cases;
@@ -224,7 +224,7 @@
     this.addMemory('agent: memory per stream', {before, after}, STREAMS);
   }
 
-  private async measureWatched(): Promise<void> {
+  private async measureWatchedTargets(): Promise<void> {
     const {targets} = this;
     await targets.open();
     const before = this.readUsages();
@@ -235,10 +235,10 @@
     await waitUntil({what: 'the entry watches all targets', check});
     targets.sendHeartbeats(MS_PER_SECOND);
     await sleep(WINDOW_MS);
-    const usageWhenWatched = this.readUsages();
+    const usageWatching = this.readUsages();
     this.addMemory(
       'entry: memory per watched target',
-      {before, after: usageWhenWatched},
+      {before, after: usageWatching},
       WATCHED_TARGETS,
     );
     const slow = await this.measureHeartbeats(targets, MS_PER_SECOND);
@@ -258,7 +258,7 @@
     this.add('peer: bytes of a heartbeat without prefixes', 'bytes', bare);
     this.addBounds({
       usage: slow,
-      residentKb: usageWhenWatched.entry.residentKb,
+      residentKb: usageWatching.entry.residentKb,
       bytes,
     });
     targets.sendHeartbeats(MS_PER_SECOND);
--- a/bench/lib/samples.ts
+++ b/bench/lib/samples.ts
@@ -39,6 +39,7 @@
     return this.histogram.getValueAtPercentile(percent) / STEPS_PER_UNIT;
   }
 
+  /** Returns the number of samples and their quantiles. */
   result(): CaseResult {
     return {
       ...this.options,
